--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -1,4 +1,7 @@
-// Package quotas keeps the teams' quotas in fleets that are too large for each daemon to hear of all use.
+// Package quotas enforces team quotas in fleets that are too large for every daemon to receive all usage.
+//
+// A few daemons are coordinators. Each team's token bucket lives at one of them. The
+// other daemons report usage and demand to it and receive grants in return.
 package quotas
 
 import (
@@ -22,75 +25,75 @@
 
 const (
 	methodReport = "report"
-	// reportEvery is the pause between two reports. What a team uses in that time
-	// above its quota is not noticed yet; the tolerance of quotas covers it.
-	reportEvery = 300 * time.Millisecond
-	// fadeEvery is the pause between two reports of which the news is only that teams
-	// ask for less. A keeper counts what was told before for that much longer, and what
-	// it said is used for trust, which leaves time for a second report.
-	fadeEvery = 900 * time.Millisecond
-	// reportTime bounds a report.
-	reportTime = 250 * time.Millisecond
-	// healthy is the fill of a quota's bucket above which daemons give out what
-	// they are asked for. A team's requests are few and large at each of many
-	// daemons, so that fixed parts of its rate would refuse many of them although
-	// the team is far below its quota.
-	healthy = 0.3
-	// noticeTime is how long it takes until daemons know that a bucket is no longer
-	// well filled: two reports. What they are asked for in that time has to be in
-	// the bucket; a hot team of several times its quota would else get as much
-	// again beyond it.
-	noticeTime = 2 * reportEvery
-	// repayTime is over how long use beyond a quota is paid back, leastRate the
-	// part of the rate that is left meanwhile.
-	repayTime = 4 * time.Second
-	leastRate = 0.2
-	// trust is how long a report's answer is used: some reports may fail.
-	trust = 1500 * time.Millisecond
-	// spare is how much more than its demand a daemon asks for, so that a demand
-	// that grows is not refused before the next report.
-	spare = 1.3
-	// perKeeper is how many daemons one keeper serves, three reports a second each.
-	perKeeper = 100
+	// reportInterval is the time between two reports. Usage above a team's quota goes
+	// unnoticed for that long; the quota tolerance covers it.
+	reportInterval = 300 * time.Millisecond
+	// decreaseReportInterval is the time between reports that only lower the demand of
+	// teams. The coordinator counts the higher demand for that much longer. A second
+	// report still fits in before the grants expire after grantTTL.
+	decreaseReportInterval = 900 * time.Millisecond
+	// reportTimeout bounds one report call.
+	reportTimeout = 250 * time.Millisecond
+	// healthyFill is the fill of a team's bucket above which daemons admit all of the
+	// team's requests. Each of many daemons sees few, large requests of a team. Fixed
+	// fractions of the rate would refuse many of them although the team is far below
+	// its quota.
+	healthyFill = 0.3
+	// detectionDelay is how long daemons take to learn that a bucket is no longer well
+	// filled: two reports. The bucket has to cover the demand of that time. Otherwise
+	// a team that sends several times its quota would get that much again on top.
+	detectionDelay = 2 * reportInterval
+	// repaymentPeriod is the time over which usage above a quota is paid back.
+	// minRateFraction is the part of the rate that remains available meanwhile.
+	repaymentPeriod = 4 * time.Second
+	minRateFraction = 0.2
+	// grantTTL is how long a grant is valid. It outlasts a few failed reports.
+	grantTTL = 1500 * time.Millisecond
+	// demandHeadroom is the factor by which a daemon requests more than its demand, so
+	// that growing demand is not refused before the next report.
+	demandHeadroom = 1.3
+	// daemonsPerCoordinator is how many daemons one coordinator serves. Each of them
+	// sends about three reports a second.
+	daemonsPerCoordinator = 100
 )
 
-// Peers is what Quotas needs of the endpoint.
+// Peers registers methods for calls from other daemons and makes such calls.
 type Peers interface {
 	Handle(method string, m peer.Method)
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
-// Limits hold the quotas' buckets of this daemon.
+// Limits holds this daemon's copies of the quota buckets.
 type Limits interface {
-	// Quota is a team's, or nil.
+	// Quota returns the quota of a team, or nil if it has none.
 	Quota(team string) *fireflypath.Quota
-	// Spend returns what each team used since the last call, and asked for in a second.
+	// Spend returns each team's usage since the last call and its demand per second.
 	Spend(now time.Time) map[string]Spent
-	// SetFree lets the team's highest tiers, that many, have what they ask for until
-	// a time.
+	// SetFree admits all requests of the team's highest tiers until the given time.
 	SetFree(now time.Time, team string, tiers int, until time.Time)
-	// SetPart sets the fraction of a team's quota that this daemon may give out.
+	// SetPart sets the fraction of the team's quota that this daemon may grant.
 	SetPart(now time.Time, team string, part float64)
 }
 
-// Spent is what a team used since the last report, in units, and what it asks
-// for, in units a second.
+// Spent is a team's usage since the last report, in units, and its demand, in units
+// per second.
 type Spent struct {
 	Used   int64  `json:"u,omitempty"`
 	Demand Demand `json:"d"`
-	// Level is what its keeper said last, so that a new keeper can go on there.
+	// Level is the bucket level that the coordinator returned last. A new coordinator
+	// continues from it.
 	Level int64 `json:"l,omitempty"`
 }
 
-// Tiers is the number of tiers of a team that are told apart; lower ones count as
-// the last.
+// Tiers is the number of a team's tiers that quotas distinguish. Lower tiers are
+// counted with the last one.
 const Tiers = 4
 
-// Demand is what a team asks for in a second, by tier.
+// Demand is a team's demand per second, by tier.
 type Demand [Tiers]int64
 
-// of is the demand of the tiers from one on.
-func (d Demand) of(tier int) int64 {
+// fromTier sums the demand of a tier and all lower ones.
+func (d Demand) fromTier(tier int) int64 {
 	sum := int64(0)
 	for _, n := range d[tier:] {
 		sum += n
@@ -98,92 +101,94 @@
 	return sum
 }
 
-// Verdict is what a keeper says of a team.
-type Verdict struct {
-	// Free is how many of the highest tiers may have what they ask for: all of them
-	// while the quota's bucket is well filled.
-	Free  int   `json:"f,omitempty"`
-	Level int64 `json:"l,omitempty"`
-	// Rate is what the daemon may give out to the other tiers, in units a second.
+// Grant is a coordinator's answer to a daemon about one team.
+type Grant struct {
+	// UnlimitedTiers is the number of the highest tiers whose requests are all
+	// admitted. It covers all tiers while the quota's bucket is well filled.
+	UnlimitedTiers int   `json:"f,omitempty"`
+	Level          int64 `json:"l,omitempty"`
+	// Rate is what the daemon may grant to the other tiers, in units per second.
 	Rate float64 `json:"r,omitempty"`
 }
 
-type question struct {
-	stamp
+type reportRequest struct {
+	reportID
 	Teams map[string]Spent `json:"t"`
 }
 
-// stamp tells a report that is made again from a new one. Life is another number after
-// each start of the reporter, Number grows with each report to one keeper.
-type stamp struct {
-	Life   uint64 `json:"i,omitempty"`
-	Number uint64 `json:"n,omitempty"`
+// reportID distinguishes a resent report from a new one. Epoch is drawn at random at
+// each start of the reporter. Sequence grows with each report to a coordinator.
+type reportID struct {
+	Epoch    uint64 `json:"i,omitempty"`
+	Sequence uint64 `json:"n,omitempty"`
 }
 
-type answer struct {
-	Teams map[string]Verdict `json:"t"`
+type reportResponse struct {
+	Teams map[string]Grant `json:"t"`
 }
 
-// Quotas reports to the keepers, and is one if its name's hash is among the
-// lowest. A keeper holds the one bucket of each of its teams.
+// Quotas reports usage to the coordinators. It acts as a coordinator itself while the
+// hash of this daemon's name is among the lowest.
 type Quotas struct {
-	self    string
-	peers   Peers
-	members fireflypath.Members
-	limits  Limits
-	tol     quota.Tolerance
-	clock   clockwork.Clock
-	asked   tally.Counter
-	failed  tally.Counter
+	self          string
+	peers         Peers
+	members       fireflypath.Members
+	limits        Limits
+	tolerance     quota.Tolerance
+	clock         clockwork.Clock
+	reportsSent   tally.Counter
+	reportsFailed tally.Counter
 
-	// began is when this daemon started. A keeper's bucket fills from then on, not
-	// from a team's first request; one that restarts does not give out the burst
-	// once more.
-	began time.Time
+	// startedAt is when this daemon started. A coordinator's buckets fill from then
+	// on and not from a team's first request, so that a restarted coordinator does not
+	// grant the burst again.
+	startedAt time.Time
 
-	mu    sync.Mutex
-	teams map[string]*kept
-	// levels is what keepers said last.
+	mu sync.Mutex
+	// buckets holds the teams that this daemon coordinates.
+	buckets map[string]*teamBucket
+	// levels holds the bucket level that a coordinator returned last, by team.
 	levels map[string]int64
-	// asks is what each team was last told to ask for, reported when each keeper was
-	// last told anything.
-	asks     map[string]Demand
-	reported map[string]time.Time
-	// life is another number after each start; open are the reports that got no answer,
-	// by keeper, and owed what was used since and not told.
-	life uint64
-	open map[string]*unanswered
-	owed map[string]map[string]int64
-	// numbers are those of the last report to each keeper, heard those of the last one
-	// that each daemon made to this one.
-	numbers map[string]uint64
-	heard   map[string]stamp
+	// reportedDemand is the demand last reported for each team. reportedAt is the time
+	// of the last answered report to each coordinator.
+	reportedDemand map[string]Demand
+	reportedAt     map[string]time.Time
+	// epoch identifies this run of the process. unacknowledged holds the reports that
+	// got no answer, by coordinator. unreported holds the usage since then that is not
+	// reported yet, by coordinator and team.
+	epoch          uint64
+	unacknowledged map[string]*unacknowledgedReport
+	unreported     map[string]map[string]int64
+	// sequences holds the number of the last report to each coordinator, received the
+	// ID of the last report from each daemon.
+	sequences map[string]uint64
+	received  map[string]reportID
 }
 
-// New connects to the endpoint before that serves.
-func New(self string, peers Peers, members fireflypath.Members, limits Limits, tol quota.Tolerance,
+// New registers the report method. It must be called before the endpoint serves.
+func New(self string, peers Peers, members fireflypath.Members, limits Limits, tolerance quota.Tolerance,
 	clock clockwork.Clock, scope tally.Scope,
 ) *Quotas {
 	scope = scope.SubScope("quotas")
-	g := &Quotas{
-		self: self, peers: peers, members: members, limits: limits, tol: tol, clock: clock,
-		asked: scope.Counter("asked"), failed: scope.Counter("failed"),
-		began: clock.Now(), teams: map[string]*kept{}, levels: map[string]int64{},
-		asks: map[string]Demand{}, reported: map[string]time.Time{},
-		life: rand.Uint64(), open: map[string]*unanswered{}, owed: map[string]map[string]int64{},
-		numbers: map[string]uint64{}, heard: map[string]stamp{},
+	q := &Quotas{
+		self: self, peers: peers, members: members, limits: limits, tolerance: tolerance, clock: clock,
+		reportsSent: scope.Counter("asked"), reportsFailed: scope.Counter("failed"),
+		startedAt: clock.Now(), buckets: map[string]*teamBucket{}, levels: map[string]int64{},
+		reportedDemand: map[string]Demand{}, reportedAt: map[string]time.Time{},
+		epoch: rand.Uint64(), unacknowledged: map[string]*unacknowledgedReport{}, unreported: map[string]map[string]int64{},
+		sequences: map[string]uint64{}, received: map[string]reportID{},
 	}
-	peers.Handle(methodReport, g.handle)
-	return g
+	peers.Handle(methodReport, q.handleReport)
+	return q
 }
 
-// Run reports until the context ends, while large says that the fleet is large.
-func (g *Quotas) Run(ctx context.Context, large func() bool) error {
-	t := g.clock.NewTicker(reportEvery)
+// Run reports until the context ends, as long as large returns true.
+func (q *Quotas) Run(ctx context.Context, large func() bool) error {
+	t := q.clock.NewTicker(reportInterval)
 	defer t.Stop()
 	for {
 		if large() {
-			g.Step(ctx)
+			q.Step(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -193,76 +198,78 @@
 	}
 }
 
-// Step reports what was used and puts the verdicts in force.
-func (g *Quotas) Step(ctx context.Context) {
-	now := g.clock.Now()
-	keepers := g.keepers()
-	if len(keepers) == 0 {
+// Step reports the usage to the coordinators and applies their grants.
+func (q *Quotas) Step(ctx context.Context) {
+	now := q.clock.Now()
+	coordinators := q.coordinators()
+	if len(coordinators) == 0 {
 		return
 	}
-	reports := make([]report, len(keepers))
-	g.mu.Lock()
-	g.forget(keepers)
-	for team, sp := range g.limits.Spend(now) {
-		if sp == (Spent{}) {
-			delete(g.asks, team)
+	reports := make([]report, len(coordinators))
+	q.mu.Lock()
+	q.dropFormerCoordinators(coordinators)
+	for team, usage := range q.limits.Spend(now) {
+		if usage == (Spent{}) {
+			delete(q.reportedDemand, team)
 			continue
 		}
-		sp.Level = g.levels[team]
-		reports[xxhash.Sum64String(team)%uint64(len(keepers))].add(team, sp, g.urgent(team, sp))
+		usage.Level = q.levels[team]
+		reports[xxhash.Sum64String(team)%uint64(len(coordinators))].add(team, usage, q.isUrgent(team, usage))
 	}
 	due := reports[:0]
 	for i, r := range reports {
-		r.keeper = keepers[i]
-		if g.due(now, r) {
+		r.coordinator = coordinators[i]
+		if q.isDue(now, r) {
 			due = append(due, r)
 		}
 	}
-	g.mu.Unlock()
+	q.mu.Unlock()
 	var wg conc.WaitGroup
 	for _, r := range due {
-		wg.Go(func() { g.report(ctx, now, r.keeper, r.teams) })
+		wg.Go(func() { q.report(ctx, now, r.coordinator, r.teams) })
 	}
 	wg.Wait()
 }
 
-// forget drops what was to be told to daemons that are no keepers any more: what they
-// counted is in the levels that their successors begin with. The caller holds mu.
-func (g *Quotas) forget(keepers []fireflypath.Member) {
-	other := func(name string) bool {
-		return !slices.ContainsFunc(keepers, func(k fireflypath.Member) bool { return k.Name == name })
+// dropFormerCoordinators drops pending reports to daemons that are no longer
+// coordinators. The levels that their successors start from include what they counted.
+// The caller holds mu.
+func (q *Quotas) dropFormerCoordinators(coordinators []fireflypath.Member) {
+	former := func(name string) bool {
+		return !slices.ContainsFunc(coordinators, func(c fireflypath.Member) bool { return c.Name == name })
 	}
-	maps.DeleteFunc(g.open, func(name string, _ *unanswered) bool { return other(name) })
-	maps.DeleteFunc(g.owed, func(name string, _ map[string]int64) bool { return other(name) })
+	maps.DeleteFunc(q.unacknowledged, func(name string, _ *unacknowledgedReport) bool { return former(name) })
+	maps.DeleteFunc(q.unreported, func(name string, _ map[string]int64) bool { return former(name) })
 }
 
-// due is true for a report that has to be made now. The caller holds mu.
-func (g *Quotas) due(now time.Time, r report) bool {
-	if g.open[r.keeper.Name] != nil || len(g.owed[r.keeper.Name]) > 0 {
+// isDue reports whether a report has to be sent now. The caller holds mu.
+func (q *Quotas) isDue(now time.Time, r report) bool {
+	if q.unacknowledged[r.coordinator.Name] != nil || len(q.unreported[r.coordinator.Name]) > 0 {
 		return true
 	}
-	return len(r.teams) > 0 && (r.urgent || now.Sub(g.reported[r.keeper.Name]) >= fadeEvery)
+	return len(r.teams) > 0 && (r.urgent || now.Sub(q.reportedAt[r.coordinator.Name]) >= decreaseReportInterval)
 }
 
-// urgent is true for what the keeper has to know at once. That a team asks for less
-// can wait: most daemons of a large fleet see a few requests of a team a minute, and
-// would report three times a second how the measure of the last one fades. The caller
-// holds mu.
-func (g *Quotas) urgent(team string, sp Spent) bool {
-	if sp.Used != 0 {
+// isUrgent reports whether the coordinator has to learn of a team's usage at once. A
+// lower demand can wait: most daemons of a large fleet see a few requests of a team a
+// minute, and would otherwise report the decaying demand of the last one three times a
+// second. The caller holds mu.
+func (q *Quotas) isUrgent(team string, usage Spent) bool {
+	if usage.Used != 0 {
 		return true
 	}
-	told := g.asks[team]
-	for i, n := range sp.Demand {
-		if n > told[i] {
+	reported := q.reportedDemand[team]
+	for i, n := range usage.Demand {
+		if n > reported[i] {
 			return true
 		}
 	}
 	return false
 }
 
-// keepers are the live daemons with the lowest hashes, enough for the fleet.
-func (g *Quotas) keepers() []fireflypath.Member {
-	live := g.members.Live()
-	return keeper.Of(live, 1+len(live)/perKeeper)
+// coordinators returns the live daemons with the lowest name hashes, as many as the
+// size of the fleet needs.
+func (q *Quotas) coordinators() []fireflypath.Member {
+	live := q.members.Live()
+	return keeper.Of(live, 1+len(live)/daemonsPerCoordinator)
 }
