--- a/internal/decide/sched/bench_test.go
+++ b/internal/decide/sched/bench_test.go
@@ -12,7 +12,7 @@
 // bench is a scheduler in steady state: every team has work waiting, and each
 // step takes one request in, dispatches one and ends the oldest in flight.
 type bench struct {
-	s      *Sched
+	s      *Scheduler
 	now    time.Time
 	free   []*fireflypath.Work
 	flight []*fireflypath.Work
@@ -28,7 +28,7 @@
 
 func newBench(targets, teams int) *bench {
 	b := &bench{now: t0}
-	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Requests: 1 << 20, Bytes: 1 << 40}, Lowest: 2, Seed: 1}
+	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Requests: 1 << 20, Bytes: 1 << 40}, LowestRank: 2, Seed: 1}
 	for i := range targets {
 		cfg.Targets = append(cfg.Targets, fireflypath.Target{Name: fmt.Sprintf("m%04d", i), Pool: "llm"})
 	}
--- a/internal/decide/sched/bounds.go
+++ b/internal/decide/sched/bounds.go
@@ -4,9 +4,9 @@
 
 // SetPool puts changed bounds of the pool and a changed lowest tier in force.
 // Waiting work above a lower bound gives way at the next offer.
-func (s *Sched) SetPool(pool fireflypath.Pool, lowest int) {
+func (s *Scheduler) SetPool(pool fireflypath.Pool, lowest int) {
 	s.cfg.Pool = bounded(pool)
-	s.cfg.Lowest = lowest
+	s.cfg.LowestRank = lowest
 }
 
 // bounded fills in the bounds that a pool does not name.
--- a/internal/decide/sched/burst_test.go
+++ b/internal/decide/sched/burst_test.go
@@ -40,7 +40,7 @@
 }
 
 // turn offers work of the highest tier, and ends one request at the target.
-func turn(s *Sched, now time.Time, offers int) {
+func turn(s *Scheduler, now time.Time, offers int) {
 	for range offers {
 		w := work(0, "burst")
 		w.Arrived, w.Deadline = now, now.Add(time.Hour)
--- a/internal/decide/sched/choose.go
+++ b/internal/decide/sched/choose.go
@@ -20,7 +20,7 @@
 
 // choose finds the target for work. It reports false if the work would end too
 // late at every open target, or is long and has to wait for its turn.
-func (s *Sched) choose(now time.Time, slot int32, p *fireflypath.Placement) bool {
+func (s *Scheduler) choose(now time.Time, slot int32, p *fireflypath.Placement) bool {
 	it := &s.items[slot]
 	w := it.work
 	s.weigh(now, w, p)
@@ -49,19 +49,19 @@
 }
 
 // expected is how long the work chosen for last takes.
-func (s *Sched) expected() time.Duration {
+func (s *Scheduler) expected() time.Duration {
 	return time.Duration(s.pick.Score * float64(time.Second))
 }
 
 // prefill is how long the prefill of the work chosen for last takes, in seconds.
-func (s *Sched) prefill(w *fireflypath.Work) float64 {
+func (s *Scheduler) prefill(w *fireflypath.Work) float64 {
 	t := s.pick.Target
 	return float64(max(w.Cost.Prompt-s.hit(t), 0)) / s.prefillRate(&s.targets[t])
 }
 
 // weigh fills the options and the candidates: the holders found last, and all
 // open targets or a random sample of many.
-func (s *Sched) weigh(now time.Time, w *fireflypath.Work, p *fireflypath.Placement) {
+func (s *Scheduler) weigh(now time.Time, w *fireflypath.Work, p *fireflypath.Placement) {
 	s.options = s.options[:0]
 	p.Considered = p.Considered[:0]
 	for _, i := range s.holders {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (s *Sched) consider(now time.Time, i int32, w *fireflypath.Work, p *fireflypath.Placement) {
+func (s *Scheduler) consider(now time.Time, i int32, w *fireflypath.Work, p *fireflypath.Placement) {
 	t := &s.targets[i]
 	if s.keep && s.fast(t) {
 		return
@@ -112,7 +112,7 @@
 
 // hit is the number of prompt tokens expected in the cache of a target, for the
 // work weighed last.
-func (s *Sched) hit(i int32) int {
+func (s *Scheduler) hit(i int32) int {
 	for k, h := range s.holders {
 		if h == i {
 			return s.depths[k] * block
--- a/internal/decide/sched/expire.go
+++ b/internal/decide/sched/expire.go
@@ -18,7 +18,7 @@
 )
 
 // Expire appends the waiting work that can no longer end in time.
-func (s *Sched) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
+func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	s.drain.Pass(now, s.queue.Len() > 0)
 	for len(s.latest) > 0 && !s.items[s.latest[0]].latest.After(now) {
 		slot := s.latest[0]
@@ -42,7 +42,7 @@
 }
 
 // doom sets work aside for Expire, which returns it.
-func (s *Sched) doom(slot int32) {
+func (s *Scheduler) doom(slot int32) {
 	s.unqueue(slot)
 	s.items[slot].phase = phaseDoomed
 	s.doomed = append(s.doomed, slot)
@@ -52,7 +52,7 @@
 // here or at peers it has to go first: a caller of a higher tier must not be
 // refused while lower work holds a place. While peers are asked the work is
 // kept, for the owner to withdraw; it reports true then.
-func (s *Sched) expire(now time.Time, slot int32, out []fireflypath.Shed) ([]fireflypath.Shed, bool) {
+func (s *Scheduler) expire(now time.Time, slot int32, out []fireflypath.Shed) ([]fireflypath.Shed, bool) {
 	it := &s.items[slot]
 	w := it.work
 	if it.phase != phaseDoomed || w.Life.State() != fireflypath.StateWaiting {
@@ -73,7 +73,7 @@
 
 // Relieve gives up waiting work of lower tiers than rank, lowest first, until
 // tokens are freed.
-func (s *Sched) Relieve(now time.Time, rank, tokens int, out []fireflypath.Shed) []fireflypath.Shed {
+func (s *Scheduler) Relieve(now time.Time, rank, tokens int, out []fireflypath.Shed) []fireflypath.Shed {
 	if now.Before(s.pressed) {
 		// another round's work may be of a higher tier than this one's
 		s.pressure = min(s.pressure, rank)
--- a/internal/decide/sched/flight.go
+++ b/internal/decide/sched/flight.go
@@ -9,7 +9,7 @@
 const overdueAfter = 3
 
 // depart counts work as in flight.
-func (s *Sched) depart(now time.Time, slot int32) {
+func (s *Scheduler) depart(now time.Time, slot int32) {
 	it, t := &s.items[slot], &s.targets[s.pick.Target]
 	w := it.work
 	it.phase = phaseFlight
@@ -40,13 +40,13 @@
 // overdue is how long a target with prefills in flight may send no first token
 // before it is taken for slow: the answers that would tell come too late, as
 // they are slow themselves.
-func (s *Sched) overdue(now time.Time, t *target) time.Duration {
+func (s *Scheduler) overdue(now time.Time, t *target) time.Duration {
 	sec := t.speed.Delay(now).Seconds() + float64(t.prefill)/s.prefillRate(t)
 	return max(time.Duration(overdueAfter*sec*float64(time.Second)), 2*brief)
 }
 
 // filled ends the prefill of work in flight.
-func (s *Sched) filled(now time.Time, it *item, t *target) {
+func (s *Scheduler) filled(now time.Time, it *item, t *target) {
 	t.prefill -= it.fresh
 	t.filling--
 	t.due = now.Add(s.overdue(now, t))
@@ -56,7 +56,7 @@
 }
 
 // land takes work out of flight.
-func (s *Sched) land(now time.Time, slot int32) {
+func (s *Scheduler) land(now time.Time, slot int32) {
 	it := &s.items[slot]
 	t := &s.targets[it.target]
 	t.requests--
--- a/internal/decide/sched/latest.go
+++ b/internal/decide/sched/latest.go
@@ -3,7 +3,7 @@
 import "time"
 
 // schedule puts an item into the heap of latest starts.
-func (s *Sched) schedule(slot int32, latest time.Time) {
+func (s *Scheduler) schedule(slot int32, latest time.Time) {
 	s.items[slot].latest = latest
 	s.latest = append(s.latest, slot)
 	s.items[slot].pos = int32(len(s.latest) - 1)
@@ -11,7 +11,7 @@
 }
 
 // unschedule takes an item out of the heap.
-func (s *Sched) unschedule(slot int32) {
+func (s *Scheduler) unschedule(slot int32) {
 	at := int(s.items[slot].pos)
 	if at < 0 {
 		return
@@ -28,11 +28,11 @@
 	s.down(s.up(at))
 }
 
-func (s *Sched) sooner(a, b int32) bool {
+func (s *Scheduler) sooner(a, b int32) bool {
 	return s.items[a].latest.Before(s.items[b].latest)
 }
 
-func (s *Sched) up(i int) int {
+func (s *Scheduler) up(i int) int {
 	for i > 0 {
 		p := (i - 1) / 2
 		if !s.sooner(s.latest[i], s.latest[p]) {
@@ -44,7 +44,7 @@
 	return i
 }
 
-func (s *Sched) down(i int) {
+func (s *Scheduler) down(i int) {
 	for {
 		c := 2*i + 1
 		if c >= len(s.latest) {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *Sched) swap(i, j int) {
+func (s *Scheduler) swap(i, j int) {
 	s.latest[i], s.latest[j] = s.latest[j], s.latest[i]
 	s.items[s.latest[i]].pos = int32(i)
 	s.items[s.latest[j]].pos = int32(j)
--- a/internal/decide/sched/next.go
+++ b/internal/decide/sched/next.go
@@ -22,7 +22,7 @@
 )
 
 // Next chooses the next work and its target and counts it as in flight.
-func (s *Sched) Next(now time.Time, p *fireflypath.Placement) bool {
+func (s *Scheduler) Next(now time.Time, p *fireflypath.Placement) bool {
 	s.drain.Pass(now, s.queue.Len() > 0)
 	if len(s.sick) > 0 {
 		s.probe(now)
@@ -31,7 +31,7 @@
 		if s.queue.Requests(r) == 0 {
 			continue
 		}
-		if len(s.open) == 0 && r >= s.cfg.Lowest {
+		if len(s.open) == 0 && r >= s.cfg.LowestRank {
 			return false
 		}
 		if s.nextOf(now, r, p) {
@@ -43,7 +43,7 @@
 
 // kept is true if the free slots of the fast targets are kept for higher tiers.
 // Slow targets are not: they end little work in time that has a tight deadline.
-func (s *Sched) kept(now time.Time, r int) bool {
+func (s *Scheduler) kept(now time.Time, r int) bool {
 	if s.flights == 0 {
 		return false
 	}
@@ -53,7 +53,7 @@
 // nextOf dispatches the first work of a tier that an open target can end in
 // time. Work whose prompt is cached at a target without room lets others pass
 // that are as well off here, for a while: the open target would prefill it anew.
-func (s *Sched) nextOf(now time.Time, r int, p *fireflypath.Placement) bool {
+func (s *Scheduler) nextOf(now time.Time, r int, p *fireflypath.Placement) bool {
 	s.parked = s.parked[:0]
 	s.keep = s.kept(now, r)
 	patient := none
@@ -97,7 +97,7 @@
 }
 
 // drop takes work out that was withdrawn elsewhere or that is too late.
-func (s *Sched) drop(now time.Time, slot int32) bool {
+func (s *Scheduler) drop(now time.Time, slot int32) bool {
 	it := &s.items[slot]
 	if it.work.Life.State() != fireflypath.StateWaiting {
 		s.unqueue(slot)
@@ -112,7 +112,7 @@
 }
 
 // park lets others pass until the end of the decision.
-func (s *Sched) park(slot int32) {
+func (s *Scheduler) park(slot int32) {
 	s.queue.Remove(slot)
 	s.parked = append(s.parked, slot)
 }
@@ -121,7 +121,7 @@
 // given number of blocks, for as long as is worth waiting for it. It is asked
 // before the open targets are weighed, since stepping aside is to cost little,
 // and again for the chosen one.
-func (s *Sched) elsewhere(now time.Time, slot int32, blocks int) bool {
+func (s *Scheduler) elsewhere(now time.Time, slot int32, blocks int) bool {
 	it := &s.items[slot]
 	if len(s.depths) == 0 || s.urgent(now, it) {
 		return false
@@ -138,7 +138,7 @@
 }
 
 // openDepth is how many blocks of the prompt the best open target holds.
-func (s *Sched) openDepth() int {
+func (s *Scheduler) openDepth() int {
 	n := 0
 	for k, i := range s.holders {
 		if s.targets[i].at != none {
@@ -149,12 +149,12 @@
 }
 
 // find looks up which targets hold the beginning of the prompt.
-func (s *Sched) find(w *fireflypath.Work) {
+func (s *Scheduler) find(w *fireflypath.Work) {
 	s.holders, s.depths = s.index.Find(w.Prefix, s.holders[:0], s.depths[:0])
 }
 
 // send counts work as in flight at the target chosen last.
-func (s *Sched) send(now time.Time, slot int32, p *fireflypath.Placement) {
+func (s *Scheduler) send(now time.Time, slot int32, p *fireflypath.Placement) {
 	it := &s.items[slot]
 	s.queue.Serve(slot)
 	s.unschedule(slot)
@@ -166,7 +166,7 @@
 }
 
 // Wake is when Next or Expire may have something new without an event.
-func (s *Sched) Wake(now time.Time) time.Time {
+func (s *Scheduler) Wake(now time.Time) time.Time {
 	var at time.Time
 	if len(s.latest) > 0 {
 		at = s.items[s.latest[0]].latest
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -24,7 +24,7 @@
 )
 
 // Observe learns from an event at a target.
-func (s *Sched) Observe(now time.Time, e fireflypath.Event) {
+func (s *Scheduler) Observe(now time.Time, e fireflypath.Event) {
 	i, ok := s.names[e.Target]
 	if !ok {
 		return
@@ -56,7 +56,7 @@
 }
 
 // flight is the slot of work in flight at a target.
-func (s *Sched) flight(i int32, w *fireflypath.Work) (int32, bool) {
+func (s *Scheduler) flight(i int32, w *fireflypath.Work) (int32, bool) {
 	slot, ok := s.slots[w]
 	if !ok || s.items[slot].phase != phaseFlight || s.items[slot].target != i {
 		return none, false
@@ -64,7 +64,7 @@
 	return slot, true
 }
 
-func (s *Sched) first(now time.Time, i int32, e fireflypath.Event) {
+func (s *Scheduler) first(now time.Time, i int32, e fireflypath.Event) {
 	slot, ok := s.flight(i, e.Work)
 	if !ok || !s.items[slot].first.IsZero() {
 		return
@@ -85,7 +85,7 @@
 	s.fastPrefill = max(s.fastPrefill*decay, t.speed.Prefill())
 }
 
-func (s *Sched) done(now time.Time, i int32, e fireflypath.Event) {
+func (s *Scheduler) done(now time.Time, i int32, e fireflypath.Event) {
 	slot, ok := s.flight(i, e.Work)
 	if !ok {
 		return
@@ -110,7 +110,7 @@
 }
 
 // sample compares an answer's time with what was expected of this target.
-func (s *Sched) sample(now time.Time, t *target, took, want float64) {
+func (s *Scheduler) sample(now time.Time, t *target, took, want float64) {
 	want = max(want, brief.Seconds())
 	ratio := max(took, brief.Seconds()) / want
 	s.pace += blend * (min(ratio, failed) - s.pace)
@@ -119,13 +119,13 @@
 }
 
 // forgive takes an ejection for slowness back if too many targets are ejected.
-func (s *Sched) forgive(t *target) {
+func (s *Scheduler) forgive(t *target) {
 	if t.slow.State() == slow.Ejected && spared*(len(s.sick)+1) > len(s.targets) {
 		t.slow.Spare()
 	}
 }
 
-func (s *Sched) unsent(now time.Time, i int32, e fireflypath.Event) {
+func (s *Scheduler) unsent(now time.Time, i int32, e fireflypath.Event) {
 	slot, ok := s.flight(i, e.Work)
 	if !ok {
 		return
@@ -142,7 +142,7 @@
 	s.schedule(slot, s.latestOf(w))
 }
 
-func (s *Sched) lost(now time.Time, i int32, e fireflypath.Event) {
+func (s *Scheduler) lost(now time.Time, i int32, e fireflypath.Event) {
 	t := &s.targets[i]
 	if e.Kind == fireflypath.EventRefused {
 		t.slow.Fail(now)
@@ -156,7 +156,7 @@
 	}
 }
 
-func (s *Sched) back(i int32) {
+func (s *Scheduler) back(i int32) {
 	t := &s.targets[i]
 	t.leaving = false
 	t.window.Reset()
--- a/internal/decide/sched/offer.go
+++ b/internal/decide/sched/offer.go
@@ -32,13 +32,13 @@
 
 // Offer takes work in. It appends to out what gives way: the work itself, or
 // lower work displaced by it.
-func (s *Sched) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
+func (s *Scheduler) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	if _, ok := s.slots[w]; ok {
 		return out
 	}
 	s.drain.Pass(now, s.queue.Len() > 0)
 	r := rank(w)
-	s.cfg.Lowest = max(s.cfg.Lowest, r)
+	s.cfg.LowestRank = max(s.cfg.LowestRank, r)
 	if w.Early {
 		s.damper.Early(now, w.Team)
 	}
@@ -70,13 +70,13 @@
 // the daemon that asked for relief would refuse its work while newly arrived
 // lower work waits, and would have to ask again. Work that might be dispatched
 // at once is barred too: whether it would be is known only after it was let in.
-func (s *Sched) barred(now time.Time, r int) bool {
+func (s *Scheduler) barred(now time.Time, r int) bool {
 	return r > s.pressure && now.Before(s.pressed)
 }
 
 // Withdraw removes waiting work; it reports false if it was not waiting here.
 // Work that Next returned, but that its owner did not send, is forgotten.
-func (s *Sched) Withdraw(now time.Time, w *fireflypath.Work) bool {
+func (s *Scheduler) Withdraw(now time.Time, w *fireflypath.Work) bool {
 	slot, ok := s.slots[w]
 	if !ok {
 		return false
@@ -103,7 +103,7 @@
 
 // best is how long the work takes at the fastest target, not cached; 0 while
 // nothing is known.
-func (s *Sched) best(w *fireflypath.Work) time.Duration {
+func (s *Scheduler) best(w *fireflypath.Work) time.Duration {
 	if s.fastPrefill == 0 || s.fastDecode == 0 {
 		return 0
 	}
@@ -112,14 +112,14 @@
 }
 
 // latestOf is when the work must start at the fastest target.
-func (s *Sched) latestOf(w *fireflypath.Work) time.Time {
+func (s *Scheduler) latestOf(w *fireflypath.Work) time.Time {
 	return deadline.Latest(w.Deadline, s.best(w), s.margin.Tight())
 }
 
 // late is true if the work is expected to wait past its latest start. While
 // lower work waits here it is not asked: the lower work would have to go first,
 // for the sake of an estimate.
-func (s *Sched) late(now time.Time, w *fireflypath.Work, latest time.Time) bool {
+func (s *Scheduler) late(now time.Time, w *fireflypath.Work, latest time.Time) bool {
 	if s.lower(rank(w)) >= 0 {
 		return false
 	}
@@ -132,7 +132,7 @@
 // nothing of the time behind it: taken as lasting, a burst of two seconds made
 // work with a minute to spare look hopeless and refused it beside idle targets.
 // So higher work counts for one more horizon at most.
-func (s *Sched) wait(w *fireflypath.Work, more int) (time.Duration, bool) {
+func (s *Scheduler) wait(w *fireflypath.Work, more int) (time.Duration, bool) {
 	drain := s.drain.Rate()
 	if drain == 0 {
 		return 0, false
@@ -152,7 +152,7 @@
 // retryAfter is when what waits now will have been served, and with it what was
 // given up together with w before it: callers that are refused together would
 // else be told the same time, and find each other when they come back.
-func (s *Sched) retryAfter(now time.Time, w *fireflypath.Work, before int) time.Duration {
+func (s *Scheduler) retryAfter(now time.Time, w *fireflypath.Work, before int) time.Duration {
 	d, ok := s.wait(w, before)
 	if !ok {
 		d = shortest
@@ -163,7 +163,7 @@
 }
 
 // lower is the lowest rank below r of which work waits here, or -1.
-func (s *Sched) lower(r int) int {
+func (s *Scheduler) lower(r int) int {
 	for i := fair.Ranks - 1; i > r; i-- {
 		if s.queue.Requests(i) > 0 {
 			return i
@@ -172,7 +172,7 @@
 	return -1
 }
 
-func (s *Sched) hopeless(w *fireflypath.Work, expected time.Duration) fireflypath.Shed {
+func (s *Scheduler) hopeless(w *fireflypath.Work, expected time.Duration) fireflypath.Shed {
 	return fireflypath.Shed{
 		Work:   w,
 		Reason: fireflypath.ReasonDeadline,
@@ -182,7 +182,7 @@
 
 // refuseLate refuses work on arrival whose turn comes too late. If peers may
 // hold lower work it waits while they are asked.
-func (s *Sched) refuseLate(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
+func (s *Scheduler) refuseLate(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	sh := s.lateShed(now, w)
 	if sh.Relief {
 		slot := s.alloc(w)
@@ -194,7 +194,7 @@
 	return append(out, sh)
 }
 
-func (s *Sched) lateShed(now time.Time, w *fireflypath.Work) fireflypath.Shed {
+func (s *Scheduler) lateShed(now time.Time, w *fireflypath.Work) fireflypath.Shed {
 	wait, _ := s.wait(w, 0)
 	reason := fireflypath.ReasonDeadline
 	if w.Early {
@@ -205,18 +205,18 @@
 		Reason:     reason,
 		RetryAfter: s.retryAfter(now, w, 0),
 		Detail:     fmt.Sprintf("turn expected in %v, too late for the deadline", wait.Round(time.Millisecond)),
-		Relief:     rank(w) < s.cfg.Lowest,
+		Relief:     rank(w) < s.cfg.LowestRank,
 		Tokens:     everything,
 	}
 }
 
 // bound gives up work while the pool's limits are exceeded, the lowest tier first.
-func (s *Sched) bound(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
+func (s *Scheduler) bound(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	for s.queue.Len() > s.cfg.Pool.Requests || s.queue.Bytes() > s.cfg.Pool.Bytes {
 		r := s.lower(-1)
 		slot := s.queue.Victim(r)
 		it := &s.items[slot]
-		relief := r < s.cfg.Lowest
+		relief := r < s.cfg.LowestRank
 		if relief && now.Sub(it.asked) < repeat {
 			return out
 		}
@@ -231,7 +231,7 @@
 	return out
 }
 
-func (s *Sched) full(now time.Time, w *fireflypath.Work, relief bool) fireflypath.Shed {
+func (s *Scheduler) full(now time.Time, w *fireflypath.Work, relief bool) fireflypath.Shed {
 	return fireflypath.Shed{
 		Work:       w,
 		Reason:     fireflypath.ReasonFull,
--- a/internal/decide/sched/property_test.go
+++ b/internal/decide/sched/property_test.go
@@ -12,7 +12,7 @@
 
 // model drives a Sched as its owner does and keeps its own books.
 type model struct {
-	s       *Sched
+	s       *Scheduler
 	now     time.Time
 	seq     int
 	waiting map[*fireflypath.Work]bool
@@ -25,7 +25,7 @@
 const modelBound = 20
 
 func newModel(targets int) *model {
-	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Requests: modelBound}, Lowest: 2, Seed: 3}
+	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Requests: modelBound}, LowestRank: 2, Seed: 3}
 	for i := range targets {
 		cfg.Targets = append(cfg.Targets, fireflypath.Target{Name: fmt.Sprint("m", i), Pool: "llm"})
 	}
@@ -63,7 +63,7 @@
 			m.asked[s.Work] = true
 			continue
 		}
-		if s.RetryAfter > 0 && s.Work.Rank < m.s.cfg.Lowest && m.s.lower(s.Work.Rank) >= 0 && s.Reason != fireflypath.ReasonFull {
+		if s.RetryAfter > 0 && s.Work.Rank < m.s.cfg.LowestRank && m.s.lower(s.Work.Rank) >= 0 && s.Reason != fireflypath.ReasonFull {
 			t.Fatalf("rank %d refused while lower work waits", s.Work.Rank)
 		}
 		m.refuse(t, s.Work)
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -37,18 +37,18 @@
 	Pool fireflypath.Pool
 	// Targets are the pool's targets at first.
 	Targets []fireflypath.Target
-	// Lowest is the rank of the lowest configured tier. Work of a higher tier is
+	// LowestRank is the rank of the lowest configured tier. Work of a higher tier is
 	// refused for want of room only after peers were asked for lower work.
-	Lowest int
+	LowestRank int
 	// Seed breaks ties; it differs between daemons, so that equal views do not
 	// give equal choices.
 	Seed uint64
-	// Place is how targets are chosen; the zero value is the shipped way.
-	Place place.Kind
+	// Placement is how targets are chosen; the zero value is the shipped way.
+	Placement place.Kind
 }
 
-// Sched implements fireflypath.Scheduler.
-type Sched struct {
+// Scheduler implements fireflypath.Scheduler.
+type Scheduler struct {
 	cfg    Config
 	queue  *fair.Queue
 	chosen *place.Chooser
@@ -106,7 +106,7 @@
 	parked  []int32
 }
 
-var _ fireflypath.Scheduler = (*Sched)(nil)
+var _ fireflypath.Scheduler = (*Scheduler)(nil)
 
 // phase is where an item is.
 type phase int8
@@ -143,12 +143,12 @@
 }
 
 // New makes a Sched.
-func New(cfg Config) *Sched {
+func New(cfg Config) *Scheduler {
 	cfg.Pool = bounded(cfg.Pool)
-	s := &Sched{
+	s := &Scheduler{
 		cfg:     cfg,
 		queue:   fair.New(),
-		chosen:  place.New(cfg.Place, cfg.Seed),
+		chosen:  place.New(cfg.Placement, cfg.Seed),
 		index:   prefix.New(),
 		damper:  retry.New(),
 		reserve: reserve.New(),
@@ -169,7 +169,7 @@
 }
 
 // alloc takes a slot for work.
-func (s *Sched) alloc(w *fireflypath.Work) int32 {
+func (s *Scheduler) alloc(w *fireflypath.Work) int32 {
 	var slot int32
 	if n := len(s.spare); n > 0 {
 		slot = s.spare[n-1]
@@ -184,14 +184,14 @@
 }
 
 // release gives a slot back.
-func (s *Sched) release(slot int32) {
+func (s *Scheduler) release(slot int32) {
 	delete(s.slots, s.items[slot].work)
 	s.items[slot] = item{}
 	s.spare = append(s.spare, slot)
 }
 
 // unqueue takes a waiting item out of the queue and the heap.
-func (s *Sched) unqueue(slot int32) {
+func (s *Scheduler) unqueue(slot int32) {
 	s.queue.Remove(slot)
 	s.unschedule(slot)
 }
@@ -201,6 +201,6 @@
 }
 
 // noise is a number between 0 and 1 that differs between daemons for a target.
-func (s *Sched) noise(name string) float64 {
+func (s *Scheduler) noise(name string) float64 {
 	return float64(place.Mix(xxhash.Sum64String(name)^place.Mix(s.cfg.Seed+1))>>11) / (1 << 53)
 }
--- a/internal/decide/sched/sched_test.go
+++ b/internal/decide/sched/sched_test.go
@@ -11,8 +11,8 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newSched(targets int) *Sched {
-	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Kind: fireflypath.KindEngine}, Lowest: 2, Seed: 1}
+func newSched(targets int) *Scheduler {
+	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Kind: fireflypath.KindEngine}, LowestRank: 2, Seed: 1}
 	for i := range targets {
 		cfg.Targets = append(cfg.Targets, fireflypath.Target{Name: string(rune('a' + i)), Pool: "llm"})
 	}
--- a/internal/decide/sched/target.go
+++ b/internal/decide/sched/target.go
@@ -57,7 +57,7 @@
 }
 
 // SetTargets replaces the targets and keeps what was learned of those that stay.
-func (s *Sched) SetTargets(_ time.Time, targets []fireflypath.Target) {
+func (s *Scheduler) SetTargets(_ time.Time, targets []fireflypath.Target) {
 	for i := range s.targets {
 		s.targets[i].gone = true
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-func (s *Sched) setTarget(t fireflypath.Target) {
+func (s *Scheduler) setTarget(t fireflypath.Target) {
 	if i, ok := s.names[t.Name]; ok {
 		old := &s.targets[i]
 		old.gone = false
@@ -95,7 +95,7 @@
 }
 
 // vacant is the number of a target that is gone and holds no work, or a new one.
-func (s *Sched) vacant() int32 {
+func (s *Scheduler) vacant() int32 {
 	for i := range s.targets {
 		t := &s.targets[i]
 		if t.gone && t.requests == 0 && t.at == none {
@@ -109,7 +109,7 @@
 }
 
 // SetShare sets this daemon's part of each target's window.
-func (s *Sched) SetShare(_ time.Time, share fireflypath.Share) {
+func (s *Scheduler) SetShare(_ time.Time, share fireflypath.Share) {
 	s.share = share
 	for i := range s.targets {
 		s.targets[i].part = s.partOf(s.targets[i].Name)
@@ -117,7 +117,7 @@
 	}
 }
 
-func (s *Sched) partOf(name string) float64 {
+func (s *Scheduler) partOf(name string) float64 {
 	if p, ok := s.share.Part[name]; ok {
 		return p
 	}
@@ -141,7 +141,7 @@
 // takes one request of any size: a part of a window can be smaller than one
 // long request, which would otherwise wait for ever. So a daemon exceeds its
 // part by less than one request.
-func (s *Sched) room(t *target) bool {
+func (s *Scheduler) room(t *target) bool {
 	if !t.usable() {
 		return false
 	}
@@ -155,7 +155,7 @@
 }
 
 // refresh moves a target in or out of the list of open ones.
-func (s *Sched) refresh(i int32) {
+func (s *Scheduler) refresh(i int32) {
 	t := &s.targets[i]
 	s.count(t)
 	if t.slow.State() == slow.Ejected {
@@ -174,7 +174,7 @@
 }
 
 // count keeps the sums over targets.
-func (s *Sched) count(t *target) {
+func (s *Scheduler) count(t *target) {
 	part := 0.0
 	if t.usable() && t.slow.State() != slow.Ejected {
 		part = t.part
@@ -191,11 +191,11 @@
 }
 
 // fast is true for a target that work with a tight deadline can use.
-func (s *Sched) fast(t *target) bool {
+func (s *Scheduler) fast(t *target) bool {
 	return quick*s.decodeRate(t) >= s.fastDecode
 }
 
-func (s *Sched) close(i int32) {
+func (s *Scheduler) close(i int32) {
 	t := &s.targets[i]
 	if t.at == none {
 		return
@@ -208,7 +208,7 @@
 	t.at = none
 }
 
-func (s *Sched) quarantine(i int32) {
+func (s *Scheduler) quarantine(i int32) {
 	for _, j := range s.sick {
 		if i == j {
 			return
@@ -218,7 +218,7 @@
 }
 
 // probe opens ejected targets whose pause is over for one request.
-func (s *Sched) probe(now time.Time) {
+func (s *Scheduler) probe(now time.Time) {
 	for k := 0; k < len(s.sick); k++ {
 		i := s.sick[k]
 		t := &s.targets[i]
@@ -241,7 +241,7 @@
 	return t.speed.Prefill() > 0 && t.speed.Decode() > 0
 }
 
-func (s *Sched) prefillRate(t *target) float64 {
+func (s *Scheduler) prefillRate(t *target) float64 {
 	if r := t.speed.Prefill(); r > 0 {
 		return r
 	}
@@ -251,7 +251,7 @@
 	return guessPrefill
 }
 
-func (s *Sched) decodeRate(t *target) float64 {
+func (s *Scheduler) decodeRate(t *target) float64 {
 	if r := t.speed.Decode(); r > 0 {
 		return r
 	}
@@ -263,7 +263,7 @@
 
 // expect is how long work takes at a target in seconds: own prefill ahead, the
 // delay that others cause, what is not cached, and the output.
-func (s *Sched) expect(now time.Time, t *target, w *fireflypath.Work, hit int) float64 {
+func (s *Scheduler) expect(now time.Time, t *target, w *fireflypath.Work, hit int) float64 {
 	fresh := max(w.Cost.Prompt-hit, 0)
 	wait := max(t.speed.Delay(now).Seconds(), s.queued(now, t))
 	prefill := float64(t.prefill+fresh) / s.prefillRate(t)
@@ -273,7 +273,7 @@
 
 // queued is the time that the work of other daemons waiting in the target takes
 // to prefill, in seconds, as last reported, less what has passed since.
-func (s *Sched) queued(now time.Time, t *target) float64 {
+func (s *Scheduler) queued(now time.Time, t *target) float64 {
 	others := float64(t.report.Waiting - t.filling)
 	if others <= 0 {
 		return 0
@@ -281,6 +281,6 @@
 	return max(others*s.prompt/s.prefillRate(t)-now.Sub(t.report.Measured).Seconds(), 0)
 }
 
-func (s *Sched) outputOf(w *fireflypath.Work) float64 {
+func (s *Scheduler) outputOf(w *fireflypath.Work) float64 {
 	return float64(w.Cost.Output) * s.output
 }
--- a/internal/decide/sched/view.go
+++ b/internal/decide/sched/view.go
@@ -9,8 +9,8 @@
 )
 
 // Demand summarises waiting and running work for the other daemons.
-func (s *Sched) Demand(_ time.Time) fireflypath.Demand {
-	n := min(s.cfg.Lowest+1, fair.Ranks)
+func (s *Scheduler) Demand(_ time.Time) fireflypath.Demand {
+	n := min(s.cfg.LowestRank+1, fair.Ranks)
 	d := fireflypath.Demand{
 		Pool:     s.cfg.Pool.Name,
 		Waiting:  make([]int, n),
@@ -33,7 +33,7 @@
 }
 
 // Views appends what is known of each target, for operators.
-func (s *Sched) Views(now time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
+func (s *Scheduler) Views(now time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
 	for i := range s.targets {
 		t := &s.targets[i]
 		if t.gone {
--- a/internal/route/pool/yield_test.go
+++ b/internal/route/pool/yield_test.go
@@ -44,7 +44,7 @@
 		if alone {
 			relief = nil
 		}
-		p := pool.New("chat", clock, sched.New(sched.Config{Pool: fireflypath.Pool{Name: "chat"}, Lowest: 2}), relief)
+		p := pool.New("chat", clock, sched.New(sched.Config{Pool: fireflypath.Pool{Name: "chat"}, LowestRank: 2}), relief)
 		var works [3]*fireflypath.Work
 		var wg sync.WaitGroup
 		for _, rank := range []int{2, 1, 0} {
--- a/internal/route/records_test.go
+++ b/internal/route/records_test.go
@@ -60,7 +60,7 @@
 	cfg := testkit.Config(nil, addrs)
 	clock := clockwork.NewRealClock()
 	p := pools.New(clock, nil, func(p fireflypath.Pool) fireflypath.Scheduler {
-		return sched.New(sched.Config{Pool: p, Lowest: 2})
+		return sched.New(sched.Config{Pool: p, LowestRank: 2})
 	})
 	p.Apply(cfg)
 	return route.New(route.Deps{
--- a/internal/trial/policy.go
+++ b/internal/trial/policy.go
@@ -59,11 +59,11 @@
 func placed(kind place.Kind) func(uint64, int, []fireflypath.Target) fireflypath.Scheduler {
 	return func(seed uint64, lowest int, targets []fireflypath.Target) fireflypath.Scheduler {
 		return sched.New(sched.Config{
-			Pool:    fireflypath.Pool{Name: mix.Models, Kind: fireflypath.KindEngine},
-			Targets: targets,
-			Lowest:  lowest,
-			Seed:    seed,
-			Place:   kind,
+			Pool:       fireflypath.Pool{Name: mix.Models, Kind: fireflypath.KindEngine},
+			Targets:    targets,
+			LowestRank: lowest,
+			Seed:       seed,
+			Placement:  kind,
 		})
 	}
 }
