--- a/internal/daemon/held.go
+++ b/internal/daemon/held.go
@@ -25,12 +25,12 @@
 	if cfg.Off {
 		return nil
 	}
-	out := decide.Config{Targets: cfg.Targets, Time: cfg.Time.Std()}
-	if out.Targets == 0 {
-		out.Targets = heldTargets
+	out := decide.Config{MinCrashes: cfg.Targets, HoldTime: cfg.Time.Std()}
+	if out.MinCrashes == 0 {
+		out.MinCrashes = heldTargets
 	}
-	if out.Time == 0 {
-		out.Time = heldTime
+	if out.HoldTime == 0 {
+		out.HoldTime = heldTime
 	}
 	deps := quarantine.Deps{
 		Self: d.cfg.Name, Store: d.deps.Store, Targets: d.targetsOf, Clock: d.deps.Clock, Scope: d.scope, Log: d.deps.Log,
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -20,49 +20,49 @@
 )
 
 const (
-	// suspectRuns is how many runs in a row have to end targets for a suspect.
-	suspectRuns = 2
-	// chance is how likely it may be at most that the runs of healthy work have met so
+	// suspectCrashes is how many runs in a row have to end targets for a suspect.
+	suspectCrashes = 2
+	// maxChance is how likely it may be at most that the runs of healthy work have met so
 	// many ends of targets. With it one in some tens of thousands that are hit as often
 	// is taken for deadly.
-	chance = 1e-5
-	// surplus is how many runs more than the least number make surplusChance enough: work
+	maxChance = 1e-5
+	// extraCrashes is how many runs more than the least number make extraCrashesChance enough: work
 	// that runs for long before it ends its target meets more by chance, too.
-	surplus       = 2
-	surplusChance = 1e-3
-	// againChance is for work that was held before.
-	againChance = 0.05
-	// skew is by how much the times of two daemons may differ.
-	skew = 25 * time.Millisecond
-	// memory is how long a target's end is held against what ran there.
-	memory = 30 * time.Minute
-	// maxWork and maxLost bound what is remembered: many times what runs in a failure
+	extraCrashes       = 2
+	extraCrashesChance = 1e-3
+	// repeatChance is for work that was held before.
+	repeatChance = 0.05
+	// clockSkew is by how much the times of two daemons may differ.
+	clockSkew = 25 * time.Millisecond
+	// retention is how long a target's end is held against what ran there.
+	retention = 30 * time.Minute
+	// maxRequests and maxCrashedTargets bound what is remembered: many times what runs in a failure
 	// domain that is lost as a whole.
-	maxWork, maxLost = 4096, 4096
-	trimEvery        = time.Minute
-	maxPast          = 64
+	maxRequests, maxCrashedTargets = 4096, 4096
+	pruneInterval                  = time.Minute
+	maxPastCrashes                 = 64
 	// maxDoublings bounds how long a request is refused: sixteen times the first time.
 	maxDoublings = 4
 )
 
 // Config sets when a request is refused, and for how long.
 type Config struct {
-	// Targets is how many targets have to end under a request, one after the other; at
+	// MinCrashes is how many targets have to end under a request, one after the other; at
 	// least 2.
-	Targets int
-	// Time is how long it is refused then; twice as long each time after.
-	Time time.Duration
+	MinCrashes int
+	// HoldTime is how long it is refused then; twice as long each time after.
+	HoldTime time.Duration
 }
 
-// Loss is a target that ended while it ran a request.
-type Loss struct {
+// Crash is a target that ended while it ran a request.
+type Crash struct {
 	Digest digest.Digest
 	Pool   string
 	// Target names one life of the target, one of so many of its pool.
-	Target  string
-	Targets int
-	// Began is when the request was sent there, Ended when the connection broke.
-	Began, Ended time.Time
+	Target   string
+	PoolSize int
+	// Started is when the request was sent there, Ended when the connection broke.
+	Started, Ended time.Time
 }
 
 // State is what is known of a request.
@@ -74,8 +74,8 @@
 	Suspect State = "suspect"
 	// Held is a request that is refused.
 	Held State = "held"
-	// Free is a request that was one of the others and is known to be healthy now.
-	Free State = "free"
+	// Cleared is a request that was one of the others and is known to be healthy now.
+	Cleared State = "free"
 )
 
 // Verdict is a change of a request's state.
@@ -85,170 +85,170 @@
 	State  State
 	// Until is when a request that is held may run again.
 	Until time.Time
-	// Targets is how many targets have ended under it, Times how often it was held.
-	Targets, Times int
+	// Crashes is how many targets have ended under it, Times how often it was held.
+	Crashes, Holds int
 }
 
-// lost is a target that ended.
-type lost struct {
-	pool  string
-	ended time.Time
-	// works are the requests that ran there.
-	works []digest.Digest
+// crashedTarget is a target that ended.
+type crashedTarget struct {
+	pool      string
+	crashedAt time.Time
+	// requests are the requests that ran there.
+	requests []digest.Digest
 }
 
-// Ledger holds what daemons report. It is not safe for concurrent use.
-type Ledger struct {
-	cfg   Config
-	works map[digest.Digest]*work
-	// lost holds the targets that ended, whatever ran there.
-	lost map[string]*lost
-	// trimmed is when what is old was last forgotten.
-	trimmed time.Time
+// Detector holds what daemons report. It is not safe for concurrent use.
+type Detector struct {
+	cfg      Config
+	requests map[digest.Digest]*request
+	// crashedTargets holds the targets that ended, whatever ran there.
+	crashedTargets map[string]*crashedTarget
+	// lastPruned is when what is old was last forgotten.
+	lastPruned time.Time
 }
 
 // New returns an empty ledger.
-func New(cfg Config) *Ledger {
-	return &Ledger{cfg: cfg, works: map[digest.Digest]*work{}, lost: map[string]*lost{}}
+func New(cfg Config) *Detector {
+	return &Detector{cfg: cfg, requests: map[digest.Digest]*request{}, crashedTargets: map[string]*crashedTarget{}}
 }
 
-// Lost takes in a target's end. The same one may be told any number of times.
-func (l *Ledger) Lost(now time.Time, loss Loss) {
-	l.meet(loss)
-	w := l.works[loss.Digest]
+// RecordCrash takes in a target's end. The same one may be told any number of times.
+func (l *Detector) RecordCrash(now time.Time, loss Crash) {
+	l.recordTarget(loss)
+	w := l.requests[loss.Digest]
 	if w == nil {
-		w = &work{pool: loss.Pool}
-		l.works[loss.Digest] = w
+		w = &request{pool: loss.Pool}
+		l.requests[loss.Digest] = w
 	}
-	w.last = now
-	w.targets = loss.Targets
-	if w.ended(loss.Target) {
+	w.lastReport = now
+	w.poolSize = loss.PoolSize
+	if w.crashed(loss.Target) {
 		return
 	}
-	if now.Before(w.until) {
-		w.past = append(w.past, loss) // it was on its way when the work was held
+	if now.Before(w.heldUntil) {
+		w.pastCrashes = append(w.pastCrashes, loss) // it was on its way when the work was held
 		return
 	}
-	w.losses = append(w.losses, loss)
-	slices.SortFunc(w.losses, func(a, b Loss) int { return cmp.Compare(a.Ended.UnixNano(), b.Ended.UnixNano()) })
-	if now.Sub(l.trimmed) > trimEvery || len(l.works) > maxWork || len(l.lost) > maxLost {
-		l.trimmed = now
-		l.trim(now)
+	w.crashes = append(w.crashes, loss)
+	slices.SortFunc(w.crashes, func(a, b Crash) int { return cmp.Compare(a.Ended.UnixNano(), b.Ended.UnixNano()) })
+	if now.Sub(l.lastPruned) > pruneInterval || len(l.requests) > maxRequests || len(l.crashedTargets) > maxCrashedTargets {
+		l.lastPruned = now
+		l.prune(now)
 	}
 }
 
-// meet books what ran on a target that ended.
-func (l *Ledger) meet(loss Loss) {
-	o := l.lost[loss.Target]
+// recordTarget books what ran on a target that ended.
+func (l *Detector) recordTarget(loss Crash) {
+	o := l.crashedTargets[loss.Target]
 	if o == nil {
-		o = &lost{pool: loss.Pool}
-		l.lost[loss.Target] = o
+		o = &crashedTarget{pool: loss.Pool}
+		l.crashedTargets[loss.Target] = o
 	}
-	o.ended = loss.Ended
-	if !slices.Contains(o.works, loss.Digest) {
-		o.works = append(o.works, loss.Digest)
+	o.crashedAt = loss.Ended
+	if !slices.Contains(o.requests, loss.Digest) {
+		o.requests = append(o.requests, loss.Digest)
 	}
 }
 
-// Alive takes back that a target has ended: it has answered since.
-func (l *Ledger) Alive(target string) {
-	delete(l.lost, target)
-	for d, w := range l.works {
-		is := func(o Loss) bool { return o.Target == target }
-		w.losses, w.past = slices.DeleteFunc(w.losses, is), slices.DeleteFunc(w.past, is)
-		if len(w.losses) == 0 && w.times == 0 && w.suspected.IsZero() {
-			delete(l.works, d)
+// RetractCrash takes back that a target has ended: it has answered since.
+func (l *Detector) RetractCrash(target string) {
+	delete(l.crashedTargets, target)
+	for d, w := range l.requests {
+		is := func(o Crash) bool { return o.Target == target }
+		w.crashes, w.pastCrashes = slices.DeleteFunc(w.crashes, is), slices.DeleteFunc(w.pastCrashes, is)
+		if len(w.crashes) == 0 && w.holds == 0 && w.suspectSince.IsZero() {
+			delete(l.requests, d)
 		}
 	}
 }
 
-// Served takes in that a request was answered whole, and tells if that changes what the
+// RecordSuccess takes in that a request was answered whole, and tells if that changes what the
 // daemons were told of it.
-func (l *Ledger) Served(now time.Time, d digest.Digest) (Verdict, bool) {
-	w := l.works[d]
+func (l *Detector) RecordSuccess(now time.Time, d digest.Digest) (Verdict, bool) {
+	w := l.requests[d]
 	if w == nil {
 		return Verdict{}, false
 	}
-	delete(l.works, d)
-	known := !w.suspected.IsZero() || now.Before(w.until)
-	return Verdict{Digest: d, Pool: w.pool, State: Free, Targets: len(w.losses), Times: w.times}, known
+	delete(l.requests, d)
+	known := !w.suspectSince.IsZero() || now.Before(w.heldUntil)
+	return Verdict{Digest: d, Pool: w.pool, State: Cleared, Crashes: len(w.crashes), Holds: w.holds}, known
 }
 
-// Adopt takes in what another daemon decided.
-func (l *Ledger) Adopt(now time.Time, v Verdict) {
-	if v.State == Free {
-		delete(l.works, v.Digest)
+// ApplyVerdict takes in what another daemon decided.
+func (l *Detector) ApplyVerdict(now time.Time, v Verdict) {
+	if v.State == Cleared {
+		delete(l.requests, v.Digest)
 		return
 	}
-	w := l.works[v.Digest]
+	w := l.requests[v.Digest]
 	if w == nil {
-		w = &work{pool: v.Pool}
-		l.works[v.Digest] = w
+		w = &request{pool: v.Pool}
+		l.requests[v.Digest] = w
 	}
-	w.last = now
-	if w.suspected.IsZero() {
-		w.suspected = now
+	w.lastReport = now
+	if w.suspectSince.IsZero() {
+		w.suspectSince = now
 	}
 	if v.State == Held {
-		w.hold(v.Until, max(v.Times, 1))
+		w.hold(v.Until, max(v.Holds, 1))
 	}
 }
 
-// Judge appends what is newly known. A request is a suspect for the time of the hearing
+// Evaluate appends what is newly known. A request is a suspect for the time of the hearing
 // before it is held: all daemons hear of suspects and tell if one of them was answered.
 // Judge has to be called again after a while as long as it reports that a hearing goes on.
-func (l *Ledger) Judge(now time.Time, hearing time.Duration, out []Verdict) (verdicts []Verdict, hearings bool) {
-	for d, w := range l.works {
-		least := l.suspects(w)
-		if len(w.losses) < least || now.Before(w.until) || len(chain(w.losses)) < least {
+func (l *Detector) Evaluate(now time.Time, hearing time.Duration, out []Verdict) (verdicts []Verdict, hearings bool) {
+	for d, w := range l.requests {
+		least := l.suspectThreshold(w)
+		if len(w.crashes) < least || now.Before(w.heldUntil) || len(consecutive(w.crashes)) < least {
 			continue
 		}
-		if w.suspected.IsZero() {
-			w.suspected = now
-			out = append(out, Verdict{Digest: d, Pool: w.pool, State: Suspect, Targets: len(w.losses), Times: w.times})
+		if w.suspectSince.IsZero() {
+			w.suspectSince = now
+			out = append(out, Verdict{Digest: d, Pool: w.pool, State: Suspect, Crashes: len(w.crashes), Holds: w.holds})
 		}
-		if !l.deadly(w) {
+		if !l.isPoison(w) {
 			continue
 		}
-		if now.Sub(w.suspected) < hearing {
+		if now.Sub(w.suspectSince) < hearing {
 			hearings = true
 			continue
 		}
-		targets := len(w.losses)
-		w.hold(now.Add(l.cfg.Time<<min(w.times, maxDoublings)), w.times+1)
-		out = append(out, Verdict{Digest: d, Pool: w.pool, State: Held, Until: w.until, Targets: targets, Times: w.times})
+		targets := len(w.crashes)
+		w.hold(now.Add(l.cfg.HoldTime<<min(w.holds, maxDoublings)), w.holds+1)
+		out = append(out, Verdict{Digest: d, Pool: w.pool, State: Held, Until: w.heldUntil, Crashes: targets, Holds: w.holds})
 	}
 	return out, hearings
 }
 
-// suspects is how many runs make the work a suspect. One that was held before is one
+// suspectThreshold is how many runs make the work a suspect. One that was held before is one
 // again with its next run.
-func (l *Ledger) suspects(w *work) int {
-	if w.times > 0 {
+func (l *Detector) suspectThreshold(w *request) int {
+	if w.holds > 0 {
 		return 1
 	}
-	return min(suspectRuns, l.cfg.Targets)
+	return min(suspectCrashes, l.cfg.MinCrashes)
 }
 
-// trim forgets what is old, and the oldest if there is too much.
-func (l *Ledger) trim(now time.Time) {
-	for d, w := range l.works {
-		if now.Sub(w.last) > memory && now.After(w.until) {
-			delete(l.works, d)
+// prune forgets what is old, and the oldest if there is too much.
+func (l *Detector) prune(now time.Time) {
+	for d, w := range l.requests {
+		if now.Sub(w.lastReport) > retention && now.After(w.heldUntil) {
+			delete(l.requests, d)
 		}
 	}
-	for len(l.works) > maxWork {
+	for len(l.requests) > maxRequests {
 		var oldest digest.Digest
-		for d, w := range l.works {
-			if o := l.works[oldest]; o == nil || w.last.Before(o.last) {
+		for d, w := range l.requests {
+			if o := l.requests[oldest]; o == nil || w.lastReport.Before(o.lastReport) {
 				oldest = d
 			}
 		}
-		delete(l.works, oldest)
+		delete(l.requests, oldest)
 	}
-	for target, o := range l.lost {
-		if now.Sub(o.ended) > memory || len(l.lost) > maxLost {
-			delete(l.lost, target)
+	for target, o := range l.crashedTargets {
+		if now.Sub(o.crashedAt) > retention || len(l.crashedTargets) > maxCrashedTargets {
+			delete(l.crashedTargets, target)
 		}
 	}
 }
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -42,7 +42,7 @@
 	back    time.Duration
 	targets []target
 	lives   int
-	ledger  *quarantine.Ledger
+	ledger  *quarantine.Detector
 	// attempts is how often a request is sent to targets, its caller's repeats included.
 	attempts int
 	again    []run
@@ -64,7 +64,7 @@
 	p := &pool{
 		is: is.New(t), rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), back: 2 * time.Second, attempts: 4,
 		targets: make([]target, targets),
-		ledger:  quarantine.New(quarantine.Config{Targets: 3, Time: time.Hour}),
+		ledger:  quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour}),
 		served:  map[digest.Digest]time.Time{}, states: map[digest.Digest]quarantine.State{},
 		held: map[digest.Digest]time.Time{}, ended: map[digest.Digest][]time.Time{},
 	}
@@ -105,7 +105,7 @@
 	t := p.targets[i]
 	p.restart(i, p.now.Add(p.back))
 	for _, r := range t.runs {
-		p.ledger.Lost(p.now, quarantine.Loss{Digest: r.digest, Pool: "p", Target: t.life, Targets: len(p.targets), Began: r.began, Ended: p.now})
+		p.ledger.RecordCrash(p.now, quarantine.Crash{Digest: r.digest, Pool: "p", Target: t.life, PoolSize: len(p.targets), Started: r.began, Ended: p.now})
 		p.ended[r.digest] = append(p.ended[r.digest], p.now)
 		if r.attempts < p.attempts {
 			p.again = append(p.again, r)
@@ -145,7 +145,7 @@
 			p.send(r, time.Second)
 		}
 	}
-	vs, _ := p.ledger.Judge(p.now, hearing, nil)
+	vs, _ := p.ledger.Evaluate(p.now, hearing, nil)
 	for _, v := range vs {
 		p.states[v.Digest] = v.State
 		if v.State == quarantine.Held {
@@ -166,7 +166,7 @@
 
 func (p *pool) tell(d digest.Digest) {
 	delete(p.states, d)
-	p.ledger.Served(p.now, d)
+	p.ledger.RecordSuccess(p.now, d)
 }
 
 // later counts the targets that a request ended although all daemons could know it.
@@ -333,20 +333,20 @@
 
 // lose tells of one target after the other, one a second, that ended under one request
 // alone soon after it began there.
-func lose(l *quarantine.Ledger, now time.Time, n int, from string) time.Time {
+func lose(l *quarantine.Detector, now time.Time, n int, from string) time.Time {
 	for i := range n {
 		now = now.Add(time.Second)
 		began := now.Add(-100 * time.Millisecond)
-		l.Lost(now, quarantine.Loss{Digest: poison, Pool: "p", Target: fmt.Sprint(from, i), Targets: 12, Began: began, Ended: now})
+		l.RecordCrash(now, quarantine.Crash{Digest: poison, Pool: "p", Target: fmt.Sprint(from, i), PoolSize: 12, Started: began, Ended: now})
 	}
 	return now
 }
 
-func judge(l *quarantine.Ledger, now time.Time) (quarantine.Verdict, time.Time) {
+func judge(l *quarantine.Detector, now time.Time) (quarantine.Verdict, time.Time) {
 	var last quarantine.Verdict
 	for range 100 {
 		now = now.Add(tick)
-		vs, _ := l.Judge(now, hearing, nil)
+		vs, _ := l.Evaluate(now, hearing, nil)
 		if len(vs) > 0 {
 			last = vs[len(vs)-1]
 		}
@@ -356,21 +356,21 @@
 
 func TestHeldRequestIsTriedAgainAndHeldForLonger(t *testing.T) {
 	is := is.New(t)
-	l := quarantine.New(quarantine.Config{Targets: 3, Time: time.Hour})
+	l := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := lose(l, time.Unix(1000, 0), 3, "a")
 	v, now := judge(l, now)
 	is.Equal(v.State, quarantine.Held)
-	is.Equal(v.Targets, 3)
+	is.Equal(v.Crashes, 3)
 	is.True(v.Until.After(now.Add(59 * time.Minute)))
 
 	now = lose(l, now, 2, "late") // was on its way
 	_, now = judge(l, now)
 	now = lose(l, now.Add(time.Hour), 1, "b") // one more is enough, whoever was there too
-	l.Lost(now, quarantine.Loss{Digest: other, Pool: "p", Target: "b0", Targets: 12, Began: now.Add(-time.Second), Ended: now})
+	l.RecordCrash(now, quarantine.Crash{Digest: other, Pool: "p", Target: "b0", PoolSize: 12, Started: now.Add(-time.Second), Ended: now})
 	v, now = judge(l, now)
 	is.Equal(v.Digest, poison)
 	is.Equal(v.State, quarantine.Held)
-	is.Equal(v.Times, 2)
+	is.Equal(v.Holds, 2)
 	is.True(v.Until.After(now.Add(119 * time.Minute)))
 }
 
@@ -378,13 +378,13 @@
 // meets it three times. It was held for an hour, and its caller had done nothing.
 func TestCompanionOfADeadlyRequestIsFree(t *testing.T) {
 	is := is.New(t)
-	l := quarantine.New(quarantine.Config{Targets: 3, Time: time.Hour})
+	l := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := time.Unix(1000, 0)
 	end := func(target string, works ...digest.Digest) {
 		began := now
 		now = now.Add(20 * time.Millisecond)
 		for _, d := range works {
-			l.Lost(now, quarantine.Loss{Digest: d, Pool: "p", Target: target, Targets: 12, Began: began, Ended: now})
+			l.RecordCrash(now, quarantine.Crash{Digest: d, Pool: "p", Target: target, PoolSize: 12, Started: began, Ended: now})
 		}
 	}
 	for _, target := range []string{"t1", "t2", "t3"} {
@@ -405,23 +405,23 @@
 // A target cuts its answers without ending, as one does whose connections are reset.
 func TestTargetThatAnswersHasNotEnded(t *testing.T) {
 	is := is.New(t)
-	l := quarantine.New(quarantine.Config{Targets: 3, Time: time.Hour})
+	l := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := lose(l, time.Unix(1000, 0), 3, "a")
-	l.Alive("a1")
+	l.RetractCrash("a1")
 	v, _ := judge(l, now)
 	is.Equal(v.State, quarantine.Suspect)
 }
 
 func TestServedRequestIsFree(t *testing.T) {
 	is := is.New(t)
-	l := quarantine.New(quarantine.Config{Targets: 3, Time: time.Hour})
+	l := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := lose(l, time.Unix(1000, 0), 3, "a")
 	v, now := judge(l, now)
 	is.Equal(v.State, quarantine.Held)
-	v, known := l.Served(now, poison) // one that was on its way was answered
+	v, known := l.RecordSuccess(now, poison) // one that was on its way was answered
 	is.True(known)
-	is.Equal(v.State, quarantine.Free)
-	_, known = l.Served(now, poison)
+	is.Equal(v.State, quarantine.Cleared)
+	_, known = l.RecordSuccess(now, poison)
 	is.True(!known)
 }
 
@@ -429,35 +429,35 @@
 func TestVerdictOfAnotherDaemonHolds(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	l := quarantine.New(quarantine.Config{Targets: 3, Time: time.Hour})
-	l.Adopt(now, quarantine.Verdict{Digest: poison, Pool: "p", State: quarantine.Held, Until: now.Add(time.Hour), Times: 2})
+	l := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	l.ApplyVerdict(now, quarantine.Verdict{Digest: poison, Pool: "p", State: quarantine.Held, Until: now.Add(time.Hour), Holds: 2})
 	now = lose(l, now, 3, "a")
 	v, now := judge(l, now)
 	is.Equal(v.State, quarantine.State("")) // it is held already
 	now = lose(l, now.Add(time.Hour), 1, "b")
 	v, _ = judge(l, now)
-	is.Equal(v.Times, 3)
+	is.Equal(v.Holds, 3)
 }
 
 // Whatever daemons report, what is remembered stays bounded.
 func TestLedgerStaysBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := quarantine.New(quarantine.Config{Targets: 2, Time: time.Minute})
+		l := quarantine.New(quarantine.Config{MinCrashes: 2, HoldTime: time.Minute})
 		now := time.Unix(1000, 0)
 		for i := range 100 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond)
 			d := digest.Digest(rapid.Uint64Range(0, 5).Draw(t, "digest"))
 			switch rapid.IntRange(0, 4).Draw(t, "kind") {
 			case 0:
-				l.Served(now, d)
+				l.RecordSuccess(now, d)
 			case 1:
-				l.Alive(fmt.Sprint(rapid.IntRange(0, i).Draw(t, "target")))
+				l.RetractCrash(fmt.Sprint(rapid.IntRange(0, i).Draw(t, "target")))
 			default:
-				l.Lost(now, quarantine.Loss{Digest: d, Pool: "p", Target: fmt.Sprint(i), Began: now.Add(-time.Second), Ended: now})
+				l.RecordCrash(now, quarantine.Crash{Digest: d, Pool: "p", Target: fmt.Sprint(i), Started: now.Add(-time.Second), Ended: now})
 			}
-			vs, _ := l.Judge(now, hearing, nil)
+			vs, _ := l.Evaluate(now, hearing, nil)
 			for _, v := range vs {
-				if v.State == quarantine.Held && (v.Targets < 1 || !v.Until.After(now)) {
+				if v.State == quarantine.Held && (v.Crashes < 1 || !v.Until.After(now)) {
 					t.Fatalf("%+v", v)
 				}
 			}
@@ -467,13 +467,13 @@
 
 func BenchmarkLostDomain(b *testing.B) {
 	for b.Loop() {
-		l := quarantine.New(quarantine.Config{Targets: 3, Time: time.Hour})
+		l := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
 		now := time.Unix(1000, 0)
 		for i := range 600 {
-			l.Lost(now, quarantine.Loss{
-				Digest: digest.Digest(i + 1), Pool: "p", Target: fmt.Sprint(i / 8), Began: now.Add(-time.Second), Ended: now,
+			l.RecordCrash(now, quarantine.Crash{
+				Digest: digest.Digest(i + 1), Pool: "p", Target: fmt.Sprint(i / 8), Started: now.Add(-time.Second), Ended: now,
 			})
 		}
-		l.Judge(now, hearing, nil)
+		l.Evaluate(now, hearing, nil)
 	}
 }
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -36,7 +36,7 @@
 }
 
 // order breaks the tie of two keepers that decided at once.
-var order = map[decide.State]int{decide.Suspect: 1, decide.Held: 2, decide.Free: 3}
+var order = map[decide.State]int{decide.Suspect: 1, decide.Held: 2, decide.Cleared: 3}
 
 // newer is true if an entry replaces what is known.
 func (e entry) newer(o entry) bool {
@@ -49,7 +49,7 @@
 	if v.State == decide.Suspect {
 		v.Until = q.deps.Clock.Now().Add(suspectTime)
 	}
-	if v.State == decide.Free {
+	if v.State == decide.Cleared {
 		v.Until = q.deps.Clock.Now()
 	}
 	e := entry{Verdict: v, Number: old.Number + 1, stored: old.stored}
@@ -107,13 +107,13 @@
 }
 
 func (q *Quarantine) log(e entry) {
-	fields := []zap.Field{zap.Stringer("digest", e.Digest), zap.String("pool", e.Pool), zap.Int("targets", e.Targets)}
+	fields := []zap.Field{zap.Stringer("digest", e.Digest), zap.String("pool", e.Pool), zap.Int("targets", e.Crashes)}
 	switch e.State {
 	case decide.Suspect:
 		q.deps.Log.Info("targets end under a request", fields...)
 	case decide.Held:
-		q.deps.Log.Warn("request held, it ends targets", append(fields, zap.Time("until", e.Until), zap.Int("times", e.Times))...)
-	case decide.Free:
+		q.deps.Log.Warn("request held, it ends targets", append(fields, zap.Time("until", e.Until), zap.Int("times", e.Holds))...)
+	case decide.Cleared:
 		q.deps.Log.Info("request is free, it was answered or released", fields...)
 	}
 }
@@ -127,8 +127,8 @@
 		return false
 	}
 	q.put(e)
-	q.ledger.Adopt(now, e.Verdict)
-	if e.State != decide.Free && q.answers.has(now, e.Digest) {
+	q.ledger.ApplyVerdict(now, e.Verdict)
+	if e.State != decide.Cleared && q.answers.has(now, e.Digest) {
 		q.reports.add(now, item{served: e.Digest})
 		q.rouse()
 	}
@@ -141,7 +141,7 @@
 	for _, e := range news {
 		b.Holds = append(b.Holds, peer.Hold{
 			Digest: e.Digest.String(), Pool: e.Pool, State: string(e.State), Number: e.Number, Until: e.Until.UnixMilli(),
-			Targets: e.Targets, Times: e.Times,
+			Targets: e.Crashes, Times: e.Holds,
 		})
 	}
 	if more {
@@ -181,7 +181,7 @@
 			continue
 		}
 		news = q.learn(entry{Number: h.Number, Verdict: decide.Verdict{
-			Digest: d, Pool: h.Pool, State: decide.State(h.State), Until: time.UnixMilli(h.Until), Targets: h.Targets, Times: h.Times,
+			Digest: d, Pool: h.Pool, State: decide.State(h.State), Until: time.UnixMilli(h.Until), Crashes: h.Targets, Holds: h.Times,
 		}}) || news
 	}
 	if news {
@@ -211,7 +211,7 @@
 	out := []Row{}
 	for _, e := range *q.list.Load() {
 		out = append(out, Row{
-			Digest: e.Digest.String(), Pool: e.Pool, State: string(e.State), Targets: e.Targets, Times: e.Times, Until: e.Until,
+			Digest: e.Digest.String(), Pool: e.Pool, State: string(e.State), Targets: e.Crashes, Times: e.Holds, Until: e.Until,
 		})
 	}
 	slices.SortFunc(out, func(a, b Row) int { return cmp.Compare(a.Digest, b.Digest) })
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -73,7 +73,7 @@
 	wake, unsavedWake chan struct{}
 
 	mu     sync.Mutex
-	ledger *decide.Ledger
+	ledger *decide.Detector
 	// judged is true while the ledger waits for nothing.
 	judged bool
 	// changes numbers what changed in the list here; told is up to where each peer knows.
@@ -133,8 +133,8 @@
 	now := q.deps.Clock.Now()
 	q.count.lost.Inc(1)
 	q.mu.Lock()
-	q.reports.lost(now, decide.Loss{
-		Digest: d, Pool: t.Pool, Target: t.Identity(), Targets: q.deps.Targets(t.Pool), Began: began, Ended: now,
+	q.reports.lost(now, decide.Crash{
+		Digest: d, Pool: t.Pool, Target: t.Identity(), PoolSize: q.deps.Targets(t.Pool), Started: began, Ended: now,
 	})
 	q.mu.Unlock()
 	q.rouse()
@@ -144,7 +144,7 @@
 func (q *Quarantine) Served(d digest.Digest, t fireflypath.Target, began time.Time) {
 	now := q.deps.Clock.Now()
 	e, ok := (*q.list.Load())[d]
-	listed := ok && e.State != decide.Free
+	listed := ok && e.State != decide.Cleared
 	q.mu.Lock()
 	q.answers.add(now, d)
 	news := q.reports.alive(now, t.Identity(), began)
@@ -211,7 +211,7 @@
 		return false
 	}
 	now := q.deps.Clock.Now()
-	verdicts, hearings := q.ledger.Judge(now, hearing+time.Duration(place)*backupDelay, nil)
+	verdicts, hearings := q.ledger.Evaluate(now, hearing+time.Duration(place)*backupDelay, nil)
 	q.judged = !hearings
 	for _, v := range verdicts {
 		q.decided(v)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -110,7 +110,7 @@
 	f.daemons, f.seen = nil, map[string]fireflypath.Entry{}
 	for i := range n {
 		d := &daemon{f: f, name: fmt.Sprint("d", i)}
-		d.q = quarantine.New(decide.Config{Targets: 3, Time: time.Hour}, quarantine.Deps{
+		d.q = quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
 			Self: d.name, Peers: d, Members: d, Store: f.store, Targets: func(string) int { return 12 },
 			Clock: f.clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 		})
@@ -367,7 +367,7 @@
 }
 
 func alone() *quarantine.Quarantine {
-	return quarantine.New(decide.Config{Targets: 3, Time: time.Hour}, quarantine.Deps{
+	return quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
 		Self: "d", Targets: func(string) int { return 12 }, Clock: clockwork.NewRealClock(), Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
 }
@@ -408,7 +408,7 @@
 // single is one daemon whose reports to another are measured.
 func (f *fleet) single(report *int) *daemon {
 	d := &daemon{f: f, name: "d0"}
-	d.q = quarantine.New(decide.Config{Targets: 3, Time: time.Hour}, quarantine.Deps{
+	d.q = quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
 		Self: "d0", Peers: &measured{daemon: d, bytes: report}, Members: d, Targets: func(string) int { return 12 },
 		Clock: f.clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
@@ -433,7 +433,7 @@
 func TestSilentStoreHoldsUpNoReport(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	silent := &silentStore{called: make(chan struct{}, 1), end: make(chan struct{})}
-	q := quarantine.New(decide.Config{Targets: 2, Time: time.Hour}, quarantine.Deps{
+	q := quarantine.New(decide.Config{MinCrashes: 2, HoldTime: time.Hour}, quarantine.Deps{
 		Self: "d", Store: silent, Targets: func(string) int { return 12 }, Clock: clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -32,7 +32,7 @@
 type item struct {
 	number uint64
 	at     time.Time
-	loss   *decide.Loss
+	loss   *decide.Crash
 	served digest.Digest
 	alive  string
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-func (r *reports) lost(now time.Time, l decide.Loss) {
+func (r *reports) lost(now time.Time, l decide.Crash) {
 	r.add(now, item{loss: &l})
 }
 
@@ -124,8 +124,8 @@
 	switch {
 	case i.loss != nil:
 		m.Losses = append(m.Losses, loss{
-			Digest: i.loss.Digest.String(), Pool: i.loss.Pool, Target: i.loss.Target, Targets: i.loss.Targets,
-			Began: now.Sub(i.loss.Began).Milliseconds(), Ended: now.Sub(i.loss.Ended).Milliseconds(),
+			Digest: i.loss.Digest.String(), Pool: i.loss.Pool, Target: i.loss.Target, Targets: i.loss.PoolSize,
+			Began: now.Sub(i.loss.Started).Milliseconds(), Ended: now.Sub(i.loss.Ended).Milliseconds(),
 		})
 	case i.alive != "":
 		m.Alive = append(m.Alive, i.alive)
@@ -217,11 +217,11 @@
 	q.judged = false
 	for _, l := range m.Losses {
 		if d, err := digest.Parse(l.Digest); err == nil {
-			q.ledger.Lost(now, l.decoded(now, d))
+			q.ledger.RecordCrash(now, l.decoded(now, d))
 		}
 	}
 	for _, target := range m.Alive {
-		q.ledger.Alive(target)
+		q.ledger.RetractCrash(target)
 	}
 	news := false
 	for _, text := range m.Served {
@@ -235,20 +235,20 @@
 	}
 }
 
-func (l loss) decoded(now time.Time, d digest.Digest) decide.Loss {
-	return decide.Loss{
-		Digest: d, Pool: l.Pool, Target: l.Target, Targets: l.Targets,
-		Began: now.Add(-time.Duration(l.Began) * time.Millisecond),
-		Ended: now.Add(-time.Duration(l.Ended) * time.Millisecond),
+func (l loss) decoded(now time.Time, d digest.Digest) decide.Crash {
+	return decide.Crash{
+		Digest: d, Pool: l.Pool, Target: l.Target, PoolSize: l.Targets,
+		Started: now.Add(-time.Duration(l.Began) * time.Millisecond),
+		Ended:   now.Add(-time.Duration(l.Ended) * time.Millisecond),
 	}
 }
 
 // free has a request known as healthy if it is known as anything else. The caller holds mu.
 func (q *Quarantine) free(now time.Time, d digest.Digest) bool {
-	v, known := q.ledger.Served(now, d)
-	if e, ok := (*q.list.Load())[d]; ok && e.State != decide.Free {
+	v, known := q.ledger.RecordSuccess(now, d)
+	if e, ok := (*q.list.Load())[d]; ok && e.State != decide.Cleared {
 		v, known = e.Verdict, true
-		v.State = decide.Free
+		v.State = decide.Cleared
 	}
 	if known {
 		q.decided(v)
--- a/internal/quarantine/stored.go
+++ b/internal/quarantine/stored.go
@@ -47,7 +47,7 @@
 		return
 	}
 	news := q.learn(entry{Number: r.Number, stored: true, Verdict: decide.Verdict{
-		Digest: d, Pool: r.Pool, State: decide.Held, Until: time.UnixMilli(r.Until), Targets: r.Targets, Times: r.Times,
+		Digest: d, Pool: r.Pool, State: decide.Held, Until: time.UnixMilli(r.Until), Crashes: r.Targets, Holds: r.Times,
 	}})
 	q.mark(d, true)
 	if news {
@@ -64,7 +64,7 @@
 	q.mark(d, false)
 	if old.State == decide.Held {
 		free := old
-		free.State, free.Number, free.stored = decide.Free, old.Number+1, false
+		free.State, free.Number, free.stored = decide.Cleared, old.Number+1, false
 		q.learn(free)
 		q.flush()
 	}
@@ -128,7 +128,7 @@
 	for d, e := range list {
 		old := first && e.stored && now.Sub(e.Until) > forgetAfter/2
 		if old {
-			e.State = decide.Free
+			e.State = decide.Cleared
 		}
 		if old || q.unsaved[d] {
 			out = append(out, e)
@@ -144,7 +144,7 @@
 	if e.State != decide.Held {
 		return q.deps.Store.Delete(ctx, key, fireflypath.AnyRevision)
 	}
-	b, err := json.Marshal(record{Pool: e.Pool, Until: e.Until.UnixMilli(), Targets: e.Targets, Times: e.Times, Number: e.Number})
+	b, err := json.Marshal(record{Pool: e.Pool, Until: e.Until.UnixMilli(), Targets: e.Crashes, Times: e.Holds, Number: e.Number})
 	if err != nil {
 		return err
 	}
