--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -102,8 +102,8 @@
 	l.split = true
 }
 
-// SetPart sets the fraction of a team's quota that this daemon may give out.
-func (l *Limits) SetPart(now time.Time, name string, part float64) {
+// SetFraction sets the fraction of a team's quota that this daemon may give out.
+func (l *Limits) SetFraction(now time.Time, name string, part float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.teams[name]; t != nil {
@@ -111,10 +111,10 @@
 	}
 }
 
-// SetFree lets the team's highest tiers, that many, have what they ask for until a
+// SetUnlimitedTiers lets the team's highest tiers, that many, have what they ask for until a
 // time. When that ends for the lowest tier, the bucket here was not used meanwhile
 // and begins empty: its part of the burst went with what was given freely.
-func (l *Limits) SetFree(now time.Time, name string, tiers int, until time.Time) {
+func (l *Limits) SetUnlimitedTiers(now time.Time, name string, tiers int, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.teams[name]
@@ -127,14 +127,14 @@
 	t.freeTiers, t.free = tiers, until
 }
 
-// Spend returns what each team used since the last call, and asked for in a second.
-func (l *Limits) Spend(now time.Time) map[string]quotas.Spent {
+// TakeUsage returns what each team used since the last call, and asked for in a second.
+func (l *Limits) TakeUsage(now time.Time) map[string]quotas.TeamUsage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make(map[string]quotas.Spent, len(l.teams))
+	out := make(map[string]quotas.TeamUsage, len(l.teams))
 	for name, t := range l.teams {
 		used := int64(t.bucket.Used())
-		sp := quotas.Spent{Used: used - t.told}
+		sp := quotas.TeamUsage{Used: used - t.told}
 		for i := range t.asked {
 			t.asked[i].Pass(now, true)
 			sp.Demand[i] = int64(t.asked[i].Rate())
--- a/internal/quotas/coordinator.go
+++ b/internal/quotas/coordinator.go
@@ -49,7 +49,7 @@
 }
 
 // grant deducts a daemon's usage from the buckets and returns what the daemon may grant.
-func (q *Quotas) grant(from string, teams map[string]Spent) reportResponse {
+func (q *Quotas) grant(from string, teams map[string]TeamUsage) reportResponse {
 	now := q.clock.Now()
 	resp := reportResponse{Teams: make(map[string]Grant, len(teams))}
 	q.mu.Lock()
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -67,17 +67,17 @@
 type Limits interface {
 	// Quota returns the quota of a team, or nil if it has none.
 	Quota(team string) *fireflypath.Quota
-	// Spend returns each team's usage since the last call and its demand per second.
-	Spend(now time.Time) map[string]Spent
-	// SetFree admits all requests of the team's highest tiers until the given time.
-	SetFree(now time.Time, team string, tiers int, until time.Time)
-	// SetPart sets the fraction of the team's quota that this daemon may grant.
-	SetPart(now time.Time, team string, part float64)
+	// TakeUsage returns each team's usage since the last call and its demand per second.
+	TakeUsage(now time.Time) map[string]TeamUsage
+	// SetUnlimitedTiers admits all requests of the team's highest tiers until the given time.
+	SetUnlimitedTiers(now time.Time, team string, tiers int, until time.Time)
+	// SetFraction sets the fraction of the team's quota that this daemon may grant.
+	SetFraction(now time.Time, team string, part float64)
 }
 
-// Spent is a team's usage since the last report, in units, and its demand, in units
+// TeamUsage is a team's usage since the last report, in units, and its demand, in units
 // per second.
-type Spent struct {
+type TeamUsage struct {
 	Used   int64  `json:"u,omitempty"`
 	Demand Demand `json:"d"`
 	// Level is the bucket level that the coordinator returned last. A new coordinator
@@ -113,7 +113,7 @@
 
 type reportRequest struct {
 	reportID
-	Teams map[string]Spent `json:"t"`
+	Teams map[string]TeamUsage `json:"t"`
 }
 
 // reportID distinguishes a resent report from a new one. Epoch is drawn at random at
@@ -208,8 +208,8 @@
 	reports := make([]report, len(coordinators))
 	q.mu.Lock()
 	q.dropFormerCoordinators(coordinators)
-	for team, usage := range q.limits.Spend(now) {
-		if usage == (Spent{}) {
+	for team, usage := range q.limits.TakeUsage(now) {
+		if usage == (TeamUsage{}) {
 			delete(q.reportedDemand, team)
 			continue
 		}
@@ -254,7 +254,7 @@
 // lower demand can wait: most daemons of a large fleet see a few requests of a team a
 // minute, and would otherwise report the decaying demand of the last one three times a
 // second. The caller holds mu.
-func (q *Quotas) isUrgent(team string, usage Spent) bool {
+func (q *Quotas) isUrgent(team string, usage TeamUsage) bool {
 	if usage.Used != 0 {
 		return true
 	}
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -40,9 +40,9 @@
 	name   string
 	quotas *quotas.Quotas
 	quota  *fireflypath.Quota
-	spent  quotas.Spent
-	// unlimitedTiers and unlimitedUntil are the last values passed to SetFree, part is
-	// the last one passed to SetPart.
+	spent  quotas.TeamUsage
+	// unlimitedTiers and unlimitedUntil are the last values passed to SetUnlimitedTiers, part is
+	// the last one passed to SetFraction.
 	unlimitedUntil time.Time
 	unlimitedTiers int
 	part           float64
@@ -76,17 +76,17 @@
 func (d *daemon) Live() []fireflypath.Member      { return d.fleet.live }
 func (d *daemon) Quota(string) *fireflypath.Quota { return d.quota }
 
-func (d *daemon) Spend(time.Time) map[string]quotas.Spent {
+func (d *daemon) TakeUsage(time.Time) map[string]quotas.TeamUsage {
 	s := d.spent
 	d.spent.Used = 0
-	return map[string]quotas.Spent{"red": s}
+	return map[string]quotas.TeamUsage{"red": s}
 }
 
-func (d *daemon) SetFree(_ time.Time, _ string, tiers int, until time.Time) {
+func (d *daemon) SetUnlimitedTiers(_ time.Time, _ string, tiers int, until time.Time) {
 	d.unlimitedUntil, d.unlimitedTiers = until, tiers
 }
 
-func (d *daemon) SetPart(_ time.Time, _ string, part float64) { d.part = part }
+func (d *daemon) SetFraction(_ time.Time, _ string, part float64) { d.part = part }
 
 // isUnlimited reports whether all requests of the highest tier are admitted. Unless a
 // test sets it otherwise, all demand is of this tier.
@@ -110,7 +110,7 @@
 // step has each daemon use some of the quota and report it.
 func (f *fleet) step(t *testing.T, used, demand int64) {
 	for _, d := range f.daemons {
-		d.spent = quotas.Spent{Used: used, Demand: quotas.Demand{demand}}
+		d.spent = quotas.TeamUsage{Used: used, Demand: quotas.Demand{demand}}
 	}
 	for _, d := range f.daemons {
 		d.quotas.Step(t.Context())
@@ -140,7 +140,7 @@
 	f := start(20)
 	for range 40 {
 		for _, d := range f.daemons {
-			d.spent = quotas.Spent{Used: 60, Demand: quotas.Demand{200}}
+			d.spent = quotas.TeamUsage{Used: 60, Demand: quotas.Demand{200}}
 			if !d.isUnlimited() {
 				d.spent.Used = min(60, int64(d.part*d.quota.Rate*0.3))
 			}
@@ -167,7 +167,7 @@
 	f := start(20)
 	for range 20 {
 		for _, d := range f.daemons {
-			d.spent = quotas.Spent{Used: 17, Demand: quotas.Demand{20, 0, 80}}
+			d.spent = quotas.TeamUsage{Used: 17, Demand: quotas.Demand{20, 0, 80}}
 		}
 		for _, d := range f.daemons {
 			d.quotas.Step(t.Context())
@@ -236,7 +236,7 @@
 				usage = min(usage, d.part*rate*0.3)
 			}
 			sum += usage
-			d.spent = quotas.Spent{Used: int64(usage + 0.5), Demand: quotas.Demand{int64(demand / daemons)}}
+			d.spent = quotas.TeamUsage{Used: int64(usage + 0.5), Demand: quotas.Demand{int64(demand / daemons)}}
 		}
 		used = append(used, sum)
 		for _, d := range f.daemons {
@@ -309,19 +309,19 @@
 		f.rnd = rand.New(rand.NewPCG(seed, 1))
 		for range 10 {
 			for _, d := range f.daemons {
-				d.spent = quotas.Spent{Used: 3, Demand: quotas.Demand{10}}
+				d.spent = quotas.TeamUsage{Used: 3, Demand: quotas.Demand{10}}
 				d.quotas.Step(t.Context())
 			}
 		}
 		f.rnd = nil
 		for range 3 {
 			for _, d := range f.daemons {
-				d.spent = quotas.Spent{Demand: quotas.Demand{10}}
+				d.spent = quotas.TeamUsage{Demand: quotas.Demand{10}}
 				d.quotas.Step(t.Context())
 			}
 		}
-		f.daemons[0].spent = quotas.Spent{Demand: quotas.Demand{20}}
-		f.daemons[1].spent = quotas.Spent{Demand: quotas.Demand{20}}
+		f.daemons[0].spent = quotas.TeamUsage{Demand: quotas.Demand{20}}
+		f.daemons[1].spent = quotas.TeamUsage{Demand: quotas.Demand{20}}
 		f.daemons[0].quotas.Step(t.Context())
 		f.daemons[1].quotas.Step(t.Context())
 		is.True(strings.Contains(f.lastResponse, `"l":400`)) // 1,000 less 20 daemons x 10 x 3
--- a/internal/quotas/reporter.go
+++ b/internal/quotas/reporter.go
@@ -20,14 +20,14 @@
 // report is what is reported to one coordinator in one step.
 type report struct {
 	coordinator fireflypath.Member
-	teams       map[string]Spent
+	teams       map[string]TeamUsage
 	// urgent is true if a team has new usage or a higher demand.
 	urgent bool
 }
 
-func (r *report) add(team string, usage Spent, urgent bool) {
+func (r *report) add(team string, usage TeamUsage, urgent bool) {
 	if r.teams == nil {
-		r.teams = map[string]Spent{}
+		r.teams = map[string]TeamUsage{}
 	}
 	r.teams[team] = usage
 	r.urgent = r.urgent || urgent
@@ -35,7 +35,7 @@
 
 // report sends usage to one coordinator. A previous report without an answer may have
 // been counted. It is resent under its old ID first, so that it counts once.
-func (q *Quotas) report(ctx context.Context, now time.Time, to fireflypath.Member, teams map[string]Spent) {
+func (q *Quotas) report(ctx context.Context, now time.Time, to fireflypath.Member, teams map[string]TeamUsage) {
 	if to.Name == q.self {
 		q.applyGrants(now, to, teams, q.grant(q.self, teams))
 		return
@@ -89,7 +89,7 @@
 }
 
 // addUnreported saves usage for the next report to a coordinator.
-func (q *Quotas) addUnreported(coordinator string, teams map[string]Spent) {
+func (q *Quotas) addUnreported(coordinator string, teams map[string]TeamUsage) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for team, usage := range teams {
@@ -105,10 +105,10 @@
 
 // nextRequest builds the next report to a coordinator, with the usage saved by
 // addUnreported.
-func (q *Quotas) nextRequest(coordinator string, teams map[string]Spent) reportRequest {
+func (q *Quotas) nextRequest(coordinator string, teams map[string]TeamUsage) reportRequest {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	out := make(map[string]Spent, len(teams))
+	out := make(map[string]TeamUsage, len(teams))
 	maps.Copy(out, teams)
 	for team, n := range q.unreported[coordinator] {
 		usage, ok := out[team]
@@ -124,7 +124,7 @@
 }
 
 // applyGrants applies a coordinator's grants to this daemon's limits.
-func (q *Quotas) applyGrants(now time.Time, to fireflypath.Member, teams map[string]Spent, resp reportResponse) {
+func (q *Quotas) applyGrants(now time.Time, to fireflypath.Member, teams map[string]TeamUsage, resp reportResponse) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.reportedAt[to.Name] = now
@@ -137,9 +137,9 @@
 		if limit == nil || limit.Rate <= 0 {
 			continue
 		}
-		q.limits.SetFree(now, team, g.UnlimitedTiers, now.Add(grantTTL))
+		q.limits.SetUnlimitedTiers(now, team, g.UnlimitedTiers, now.Add(grantTTL))
 		if g.UnlimitedTiers < Tiers {
-			q.limits.SetPart(now, team, g.Rate/limit.Rate)
+			q.limits.SetFraction(now, team, g.Rate/limit.Rate)
 		}
 	}
 }
