--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -223,7 +223,7 @@
 	team.demand[tier].Add(now, int(n))
 	confirmed := now.Before(team.unlimitedUntil)
 	if l.perTeamFractions && tier < team.unlimitedTiers && confirmed {
-		team.bucket.TakeUsage(now, n)
+		team.bucket.Spend(now, n)
 		return Grant{OK: true}
 	}
 	wait, ok := team.bucket.Take(now, n, below)
