--- a/internal/decide/slots/choose.go
+++ b/internal/decide/slots/choose.go
@@ -9,99 +9,108 @@
 )
 
 const (
-	// guessPrefill is a prefill speed in tokens a second for targets that nothing
-	// is known of; a wrong guess lasts for one answer.
-	guessPrefill = 30_000
-	// chunk is how many prompt tokens an engine prefills in one step beside the
-	// streams that it runs: the usual default of engines with continuous batching.
-	chunk = 2048
-	// defaultStride is the number of tokens of an event where nobody says it.
-	defaultStride = 3
+	// defaultPrefillRate is the prefill rate, in tokens per second, assumed while
+	// no target's rate is known. The first answer replaces it.
+	defaultPrefillRate = 30_000
+	// prefillChunk is the number of prompt tokens that an engine prefills in one
+	// step alongside its running streams, the usual default with continuous
+	// batching.
+	prefillChunk = 2048
+	// defaultTokensPerEvent is used if the pool does not configure a stride.
+	defaultTokensPerEvent = 3
 )
 
-// choose is the best target with room for the work, or nil.
-func (s *Sched) choose(now time.Time, w *fireflypath.Work) *target {
+// chooseTarget returns the best target that can take the request, or nil.
+func (s *Scheduler) chooseTarget(now time.Time, w *fireflypath.Work) *target {
 	var best *target
-	least := 0.0
-	extra := s.extra(w.Rank)
-	for _, t := range s.order {
-		if !s.takes(now, t, extra) || !s.turn(now, t, w.Rank) || slices.Contains(w.Avoid, t.Name) || !s.fits(now, t, w) {
+	bestScore := 0.0
+	extra := s.allowedExtra(w.Rank)
+	for _, t := range s.ordered {
+		if !s.accepts(now, t, extra) || !s.hasTurn(now, t, w.Rank) || slices.Contains(w.Avoid, t.Name) || !s.suits(now, t, w) {
 			continue
 		}
-		if v := s.score(now, t, w); best == nil || v < least {
-			best, least = t, v
+		if v := s.score(now, t, w); best == nil || v < bestScore {
+			best, bestScore = t, v
 		}
 	}
 	return best
 }
 
-// fits is false for work that would do harm at the target, or come to nothing.
+// suits reports whether the request may go to the target although faster ones may
+// exist.
 //
-// Engines prefill prompts in chunks between the steps of the streams that they
-// run. At an engine several times slower than others a prompt of some thousand
-// tokens holds up all its streams for longer than their callers bear, and a long
-// answer does not end in time. Such work waits for a faster target, unless it
-// would be late for that. Where no target is much faster there is nothing to wait
-// for: the longest prompts would then wait until their goal has passed.
-func (s *Sched) fits(now time.Time, t *target, w *fireflypath.Work) bool {
-	if s.fast == 0 || !t.known() {
+// Engines prefill prompts in chunks between the decode steps of running streams. At
+// an engine several times slower than the others, a prompt of some thousand tokens
+// stalls all streams for longer than their callers tolerate, and a long answer
+// misses its deadline. Such requests wait for a faster target, unless their goal
+// has passed. Targets that are not much slower than the fastest always suit:
+// otherwise the longest prompts would wait until their goal has passed, with
+// nothing to wait for.
+func (s *Scheduler) suits(now time.Time, t *target, w *fireflypath.Work) bool {
+	if s.maxPrefillRate == 0 || !t.speedKnown() {
 		return true
 	}
-	if s.duration(t, w) > s.tune.Hurry*w.Deadline.Sub(now).Seconds() && s.duration(s.best, w) < s.duration(t, w) {
+	if s.expectedDuration(t, w) > s.tuning.Hurry*w.Deadline.Sub(now).Seconds() && s.expectedDuration(s.fastest, w) < s.expectedDuration(t, w) {
 		return false
 	}
-	if w.Gap <= 0 || s.taken(now, t) == 0 || s.prefillRate(t) > s.tune.MuchSlower*s.fast {
+	if w.Gap <= 0 || s.occupied(now, t) == 0 || s.prefillRate(t) > s.tuning.MuchSlower*s.maxPrefillRate {
 		return true
 	}
-	stall := float64(min(w.Cost.Prompt, s.stride()*chunk)) / s.prefillRate(t)
-	return stall <= s.tune.GapPart*w.Gap.Seconds() || now.After(w.Goal)
+	stall := float64(min(w.Cost.Prompt, s.tokensPerEvent()*prefillChunk)) / s.prefillRate(t)
+	return stall <= s.tuning.GapPart*w.Gap.Seconds() || now.After(w.Goal)
 }
 
-func (s *Sched) stride() int {
+// tokensPerEvent returns the number of tokens in one event of a stream.
+func (s *Scheduler) tokensPerEvent() int {
 	if s.pool.Stride > 0 {
 		return s.pool.Stride
 	}
-	return defaultStride
+	return defaultTokensPerEvent
 }
 
-// duration is how long the work is expected to take at a target, in seconds.
-func (s *Sched) duration(t *target, w *fireflypath.Work) float64 {
+// expectedDuration returns the expected duration of the request at the target, in
+// seconds.
+func (s *Scheduler) expectedDuration(t *target, w *fireflypath.Work) float64 {
 	sec := float64(w.Cost.Prompt) / s.prefillRate(t)
 	if d := t.speed.Decode(); d > 0 {
-		sec += float64(w.Output) / (d * float64(s.stride()))
+		sec += float64(w.Output) / (d * float64(s.tokensPerEvent()))
 	}
 	return sec
 }
 
-// known is true if the target's speeds were learned from answers.
-func (t *target) known() bool {
+// speedKnown reports whether the target's prefill and decode rates are known, from
+// answers or from another daemon.
+func (t *target) speedKnown() bool {
 	return t.speed.Prefill() > 0 && t.speed.Decode() > 0
 }
 
-// score is how long the work is expected to take until its answer begins, in
-// seconds, made worse by failures and by a full batch.
-func (s *Sched) score(now time.Time, t *target, w *fireflypath.Work) float64 {
-	sec := float64(t.prefill+t.ahead+w.Cost.Prompt)/s.prefillRate(t) + t.speed.Delay(now).Seconds() + 1e-3
-	taken := float64(s.taken(now, t)) / float64(t.slots())
-	sec *= 1 + s.tune.SlotCost*taken*float64(t.slots())
-	if over := s.taken(now, t) + 1 - t.slots(); over > 0 {
-		sec += float64(over) * t.hold / float64(t.slots())
+// score returns the expected time to the first event, in seconds, increased by the
+// target's occupancy, its queue and its failures. Lower is better.
+func (s *Scheduler) score(now time.Time, t *target, w *fireflypath.Work) float64 {
+	sec := float64(t.pendingPrefill+t.peerPrefill+w.Cost.Prompt)/s.prefillRate(t) + t.speed.Delay(now).Seconds() + 1e-3
+	occupancy := float64(s.occupied(now, t)) / float64(t.slots())
+	sec *= 1 + s.tuning.SlotCost*occupancy*float64(t.slots())
+	if over := s.occupied(now, t) + 1 - t.slots(); over > 0 {
+		sec += float64(over) * t.slotTime / float64(t.slots())
 	}
-	sec *= 1 + s.tune.FailCost*t.failing
-	return sec * (1 + s.tune.Spread*s.noise(t))
+	sec *= 1 + s.tuning.FailCost*t.failureRate
+	return sec * (1 + s.tuning.Spread*s.noise(t))
 }
 
-// noise is a number between 0 and 1 that differs between daemons for a target.
-func (s *Sched) noise(t *target) float64 {
-	return float64(place.Mix(t.hash^s.seed)>>11) / (1 << 53)
+// noise returns a pseudo-random number in [0, 1) that is fixed for a target and
+// differs between daemons.
+func (s *Scheduler) noise(t *target) float64 {
+	return float64(place.Mix(t.nameHash^s.seed)>>11) / (1 << 53)
 }
 
-func (s *Sched) prefillRate(t *target) float64 {
+// prefillRate returns the target's prefill rate. If it is unknown, the fastest
+// known rate is assumed.
+func (s *Scheduler) prefillRate(t *target) float64 {
 	if r := t.speed.Prefill(); r > 0 {
 		return r
 	}
-	if s.fast > 0 {
-		return s.fast
+	if s.maxPrefillRate > 0 {
+		return s.maxPrefillRate
 	}
-	return guessPrefill
+	return defaultPrefillRate
 }
--- a/internal/decide/slots/refuse.go
+++ b/internal/decide/slots/refuse.go
@@ -10,60 +10,62 @@
 	"github.com/fireflypath/fireflypath/internal/decide/place"
 )
 
-// end is when the caller of waiting work leaves.
-func end(w *fireflypath.Work) time.Time {
+// leavesAt returns when the caller of a waiting request gives up.
+func leavesAt(w *fireflypath.Work) time.Time {
 	if !w.Leaves.IsZero() && w.Leaves.Before(w.Deadline) {
 		return w.Leaves
 	}
 	return w.Deadline
 }
 
-// expires is when waiting work is given up.
-func (s *Sched) expires(w *fireflypath.Work) time.Time {
+// expiresAt returns when a waiting request is refused.
+func (s *Scheduler) expiresAt(w *fireflypath.Work) time.Time {
 	if w.Leaves.IsZero() {
-		return w.Deadline.Add(-last)
+		return w.Deadline.Add(-expiryMargin)
 	}
-	return w.Arrived.Add(time.Duration(s.tune.Hopeless * float64(end(w).Sub(w.Arrived))))
+	return w.Arrived.Add(time.Duration(s.tuning.Hopeless * float64(leavesAt(w).Sub(w.Arrived))))
 }
 
-// wait is when the work would get its turn, if enough is known to tell. Places
-// that are free now take their work at once: a rate measured while little was
-// asked for says nothing of them.
-func (s *Sched) wait(now time.Time, w *fireflypath.Work) (time.Duration, bool) {
-	ahead := 1 - s.free(now)
+// expectedWait returns how long the request would wait, if it can be estimated.
+// Free slots serve requests at once: a completion rate measured at low load says
+// nothing about them.
+func (s *Scheduler) expectedWait(now time.Time, w *fireflypath.Work) (time.Duration, bool) {
+	ahead := 1 - s.freeSlots(now)
 	for _, o := range s.waiting {
-		if !s.before(now, w, o) {
+		if !s.servedBefore(now, w, o) {
 			ahead++
 		}
 	}
 	if ahead <= 0 {
 		return 0, true
 	}
-	r := s.capacity()
+	r := s.completionRate()
 	if r <= 0 {
 		return 0, false
 	}
 	return time.Duration(float64(ahead) / r * float64(time.Second)), true
 }
 
-// capacity is how much work ends in a second, 0 if that is not known.
-func (s *Sched) capacity() float64 {
-	r := s.drain.Rate()
-	if s.hold > 0 {
-		r = max(r, float64(len(s.flights))/s.hold)
+// completionRate returns the number of requests that complete per second, or 0 if
+// unknown.
+func (s *Scheduler) completionRate() float64 {
+	r := s.completions.Rate()
+	if s.slotTime > 0 {
+		r = max(r, float64(len(s.inFlight))/s.slotTime)
 	}
 	return r
 }
 
-// comeBack is when there will be room for the work if it comes back: when what waits
-// before it has been served beside what goes on to arrive. Told the time of its
-// own turn only, its caller would come back into a queue as long as before.
-func (s *Sched) comeBack(now time.Time, w *fireflypath.Work) time.Duration {
-	capacity := s.capacity()
-	if capacity <= 0 {
-		return shortest
+// retryAfter estimates when there will be room for the request if it is sent again:
+// when the requests ahead of it have been served along with those that keep
+// arriving. Told only the expected wait, the caller would return to a queue as long
+// as before.
+func (s *Scheduler) retryAfter(now time.Time, w *fireflypath.Work) time.Duration {
+	rate := s.completionRate()
+	if rate <= 0 {
+		return minRetryAfter
 	}
-	ahead, arriving := 1.0, 0.0
+	ahead, arrivalRate := 1.0, 0.0
 	for _, o := range s.waiting {
 		if o.Rank <= w.Rank {
 			ahead++
@@ -71,39 +73,40 @@
 	}
 	for r := range min(w.Rank+1, len(s.arrivals)) {
 		s.arrivals[r].Pass(now, true)
-		arriving += s.arrivals[r].Rate()
+		arrivalRate += s.arrivals[r].Rate()
 	}
-	spare := max(capacity-arriving, leastSpare*capacity)
-	sec := ahead / spare * (1 + jitter*(2*s.lot(w)-1))
-	return min(max(time.Duration(sec*float64(time.Second)), shortest), longest)
+	spare := max(rate-arrivalRate, minSpareFraction*rate)
+	sec := ahead / spare * (1 + retryJitter*(2*s.jitterFraction(w)-1))
+	return min(max(time.Duration(sec*float64(time.Second)), minRetryAfter), maxRetryAfter)
 }
 
-// lot is a number between 0 and 1 for a request, so that callers who were
-// refused together do not come back together.
-func (s *Sched) lot(w *fireflypath.Work) float64 {
+// jitterFraction returns a number in [0, 1) derived from the request's ID, so that
+// callers refused together do not retry together.
+func (s *Scheduler) jitterFraction(w *fireflypath.Work) float64 {
 	return float64(place.Mix(xxhash.Sum64String(w.ID))>>11) / (1 << 53)
 }
 
-// free is the number of places that are free at targets in use.
-func (s *Sched) free(now time.Time) int {
+// freeSlots returns the number of free slots at targets that accept requests.
+func (s *Scheduler) freeSlots(now time.Time) int {
 	n := 0
-	for _, t := range s.order {
-		if s.takes(now, t, 0) {
-			n += t.slots() - s.taken(now, t)
+	for _, t := range s.ordered {
+		if s.accepts(now, t, 0) {
+			n += t.slots() - s.occupied(now, t)
 		}
 	}
 	return n
 }
 
-func (s *Sched) shed(now time.Time, w *fireflypath.Work, detail string) fireflypath.Shed {
-	return fireflypath.Shed{Work: w, Reason: fireflypath.ReasonDeadline, Detail: detail, RetryAfter: s.comeBack(now, w)}
+// shed returns the refusal of a request, with the time after which to retry.
+func (s *Scheduler) shed(now time.Time, w *fireflypath.Work, detail string) fireflypath.Shed {
+	return fireflypath.Shed{Work: w, Reason: fireflypath.ReasonDeadline, Detail: detail, RetryAfter: s.retryAfter(now, w)}
 }
 
-// Expire appends the waiting work whose time is over.
-func (s *Sched) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
+// Expire removes the waiting requests that have expired and appends their refusals.
+func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	kept := s.waiting[:0]
 	for _, w := range s.waiting {
-		if now.Before(s.expires(w)) {
+		if now.Before(s.expiresAt(w)) {
 			kept = append(kept, w)
 			continue
 		}
@@ -113,8 +116,9 @@
 	return out
 }
 
-// Relieve gives up waiting work of lower tiers, lowest first.
-func (s *Sched) Relieve(now time.Time, rank, tokens int, out []fireflypath.Shed) []fireflypath.Shed {
+// Relieve refuses waiting requests of tiers lower than rank, lowest first, until
+// the given number of tokens is freed.
+func (s *Scheduler) Relieve(now time.Time, rank, tokens int, out []fireflypath.Shed) []fireflypath.Shed {
 	for freed := 0; freed < tokens; {
 		at := -1
 		for i, w := range s.waiting {
--- a/internal/decide/slots/restart_test.go
+++ b/internal/decide/slots/restart_test.go
@@ -10,42 +10,43 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// lives are the targets with the first one in the given life.
-func lives(n int, incarnation uint64) []fireflypath.Target {
-	out := targets(n)
+// targetsWithIncarnation returns n targets, the first one with the given
+// incarnation.
+func targetsWithIncarnation(n int, incarnation uint64) []fireflypath.Target {
+	out := newTargets(n)
 	out[0].Incarnation = incarnation
 	return out
 }
 
-// A target crashes with all its slots taken and starts again under its name within
-// a second. Its requests are answered by nobody, and their connections end late. If
-// they still counted, the target would stand empty beside waiting callers.
+// A target crashes with all slots occupied and restarts under its name within a
+// second. Nobody answers its requests, and their connections end late. If these
+// requests still counted, the target would stay idle while callers wait.
 func TestRestartedTargetIsEmpty(t *testing.T) {
 	is := is.New(t)
-	s := sched(1)
-	s.SetTargets(start, lives(1, 1))
+	s := newScheduler(1)
+	s.SetTargets(start, targetsWithIncarnation(1, 1))
 	for i := range 8 {
-		s.Offer(start, work(fmt.Sprint(i), 0, start), nil)
+		s.Offer(start, newWork(fmt.Sprint(i), 0, start), nil)
 	}
-	before := next(s, start)
+	before := dispatchAll(s, start)
 	is.Equal(len(before), 5)
 	now := start.Add(time.Second)
-	// Failures of the life before keep no work from the next one.
+	// Failures of the earlier incarnation do not eject the new one.
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Target: "t0", Incarnation: 1, Work: before[0].Work})
 	s.Hear(now, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0@1": 5}, Prompts: map[string]int{"t0@1": 9}}})
-	s.SetTargets(now, lives(1, 2))
-	is.Equal(len(next(s, now)), 3)
+	s.SetTargets(now, targetsWithIncarnation(1, 2))
+	is.Equal(len(dispatchAll(s, now)), 3)
 
-	// What is heard late of the life before says nothing of this one.
+	// Late reports about the earlier incarnation do not affect the new one.
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventReport, Target: "t0", Incarnation: 1, Report: fireflypath.Report{Running: 5}})
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventLeaving, Target: "t0", Incarnation: 1})
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Target: "t0", Incarnation: 1, Work: before[1].Work})
 	s.Hear(now, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0@1": 5, "t0@2": 1}}})
-	s.Offer(now, work("8", 0, now), nil)
-	s.Offer(now, work("9", 0, now), nil)
-	is.Equal(len(next(s, now)), 1) // 3 from here, 1 from there, and the fifth
+	s.Offer(now, newWork("8", 0, now), nil)
+	s.Offer(now, newWork("9", 0, now), nil)
+	is.Equal(len(dispatchAll(s, now)), 1) // three of this daemon and one of the other occupy four of five slots
 
-	// What this daemon tells names the life that it speaks of.
+	// Reports of this daemon name the incarnation.
 	m := fireflypath.NewMate("")
 	s.Report(&m)
 	is.Equal(m.Flights, map[string]int{"t0@2": 4})
--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -1,10 +1,11 @@
-// Package slots schedules work for targets whose number of slots is known.
+// Package slots schedules requests for targets with a known number of slots.
 //
-// It answers engines that admit first come first served and know no tiers: what
-// lies in an engine's own queue is out of reach of tiers, deadlines and refusals.
-// So no more work is sent to a target than it has slots, all daemons together,
-// and the queue stands here. Without it a burst of low work fills the engines'
-// queues, and work of the highest tier that comes a moment later waits behind it.
+// Engines admit requests first come, first served and know no tiers; tiers,
+// deadlines and refusals have no effect on requests in an engine's own queue. The
+// daemons together therefore send a target no more requests than it has slots and
+// queue the rest themselves. Otherwise a burst of low-tier requests would fill the
+// engines' queues, and a request of the highest tier arriving a moment later would
+// wait behind it.
 package slots
 
 import (
@@ -17,190 +18,197 @@
 )
 
 const (
-	// ranks is the number of tiers that work can have.
-	ranks = 16
-	// defaultSlots is for targets that do not say how many slots they have.
+	// numTiers is the maximum number of tiers.
+	numTiers = 16
+	// defaultSlots is used for targets that do not report their number of slots.
 	defaultSlots = 4
-	// drainHorizon is the time over which the rate of ended work is measured:
-	// some turns of all slots, and short against a burst.
-	drainHorizon = 3 * time.Second
-	// shortest and longest bound the time that a refused caller is told.
-	shortest = 300 * time.Millisecond
-	longest  = 10 * time.Second
-	// leastSpare is the part of the capacity that is taken to be spare for a
-	// backlog in an overload of which the end is not known.
-	leastSpare = 0.2
-	// jitter spreads the times that refused callers are told by so much.
-	jitter = 0.25
-	// last is how long before its deadline waiting work is given up: less than
-	// the shortest answers take, it could only be cut.
-	last = 30 * time.Millisecond
+	// rateHorizon is the time constant of the arrival and completion rates. It
+	// covers several requests per slot and is short compared with a burst.
+	rateHorizon = 3 * time.Second
+	// minRetryAfter and maxRetryAfter bound the Retry-After of refused requests.
+	minRetryAfter = 300 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
+	// minSpareFraction is the fraction of the completion rate assumed to be
+	// available for the backlog during an overload whose end is unknown.
+	minSpareFraction = 0.2
+	// retryJitter is the relative amount, up or down, by which Retry-After is
+	// randomized.
+	retryJitter = 0.25
+	// expiryMargin is how long before its deadline a waiting request expires. Even
+	// the shortest answers take longer, so the request could only be cut off.
+	expiryMargin = 30 * time.Millisecond
 )
 
-// Sched implements fireflypath.Scheduler for one pool at one daemon. It is not
+// Scheduler implements fireflypath.Scheduler for one pool at one daemon. It is not
 // safe for concurrent use.
-type Sched struct {
+type Scheduler struct {
 	pool    fireflypath.Pool
-	tune    Tuning
+	tuning  Tuning
 	targets map[string]*target
-	// order lists the targets by name, so that choices can be repeated.
-	order   []*target
-	waiting []*fireflypath.Work
-	flights map[*fireflypath.Work]flight
-	drain   rate.Meter
-	// hold is how long work holds its place, in seconds.
-	hold float64
-	// arrivals is by rank, in requests.
-	arrivals [ranks]rate.Meter
-	// fast is the best known prefill speed in tokens a second.
-	fast float64
-	// best is the target with that speed.
-	best *target
-	// lowest is the rank of the lowest tier seen.
-	lowest int
-	seed   uint64
-	share  fireflypath.Share
-	// floor keeps tiers from being starved.
+	// ordered holds the targets sorted by name, which makes decisions reproducible.
+	ordered     []*target
+	waiting     []*fireflypath.Work
+	inFlight    map[*fireflypath.Work]dispatched
+	completions rate.Meter
+	// slotTime is the moving average of how long a request occupies a slot, in
+	// seconds.
+	slotTime float64
+	// arrivals counts offered requests by rank.
+	arrivals [numTiers]rate.Meter
+	// maxPrefillRate is the highest known prefill rate in tokens per second.
+	maxPrefillRate float64
+	// fastest is the target with that rate.
+	fastest *target
+	// lowestRank is the rank of the lowest tier seen so far, which is the largest
+	// number.
+	lowestRank int
+	seed       uint64
+	share      fireflypath.Share
+	// floor guarantees each tier a minimum of service.
 	floor *floor.Floor
-	// rivals are the other daemons that have work waiting.
-	rivals []rival
+	// competitors are the other daemons with requests waiting for the pool.
+	competitors []competitor
 }
 
-// flight is work at a target.
-type flight struct {
-	target *target
-	sent   time.Time
-	first  time.Time
-	// before is the prompt in tokens that had not begun its answer at the
-	// target when this was sent, of all daemons as far as they told.
-	before int
+// dispatched describes a request in flight at a target.
+type dispatched struct {
+	target       *target
+	at           time.Time
+	firstEventAt time.Time
+	// prefillAhead is the number of prompt tokens, of all daemons as far as
+	// reported, whose answers had not begun at the target when this request was
+	// dispatched.
+	prefillAhead int
 }
 
-var _ fireflypath.Scheduler = (*Sched)(nil)
+var _ fireflypath.Scheduler = (*Scheduler)(nil)
 
-// New returns a scheduler without targets. The seed differs between daemons, so
-// that equal views do not give equal choices.
-func New(pool fireflypath.Pool, seed uint64, tune Tuning) *Sched {
-	s := &Sched{
-		pool: pool, seed: seed, tune: tune, share: fireflypath.Share{Default: 1},
-		targets: map[string]*target{}, flights: map[*fireflypath.Work]flight{},
-		drain: rate.Meter{Horizon: drainHorizon}, floor: floor.New(tune.Floor),
+// New returns a scheduler without targets. The seed must differ between daemons, so
+// that daemons with equal views choose differently.
+func New(pool fireflypath.Pool, seed uint64, tuning Tuning) *Scheduler {
+	s := &Scheduler{
+		pool: pool, seed: seed, tuning: tuning, share: fireflypath.Share{Default: 1},
+		targets: map[string]*target{}, inFlight: map[*fireflypath.Work]dispatched{},
+		completions: rate.Meter{Horizon: rateHorizon}, floor: floor.New(tuning.Floor),
 	}
 	for i := range s.arrivals {
-		s.arrivals[i].Horizon = drainHorizon
+		s.arrivals[i].Horizon = rateHorizon
 	}
 	return s
 }
 
-// Offer takes work in, or refuses it if its turn would come too late.
-func (s *Sched) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
-	s.lowest = max(s.lowest, w.Rank)
-	s.arrivals[min(max(w.Rank, 0), ranks-1)].Add(now, 1)
+// Offer queues the request, or refuses it if its expected wait is too long.
+func (s *Scheduler) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
+	s.lowestRank = max(s.lowestRank, w.Rank)
+	s.arrivals[min(max(w.Rank, 0), numTiers-1)].Add(now, 1)
 	s.floor.Ask(now, w.Rank)
-	s.drain.Pass(now, len(s.waiting) > 0)
-	wait, known := s.wait(now, w)
-	if known && wait > time.Duration(s.tune.Hopeless*float64(end(w).Sub(now))) && !s.owed(now, w) {
+	s.completions.Pass(now, len(s.waiting) > 0)
+	wait, known := s.expectedWait(now, w)
+	if known && wait > time.Duration(s.tuning.Hopeless*float64(leavesAt(w).Sub(now))) && !s.admitStarved(now, w) {
 		return append(out, s.shed(now, w, fmt.Sprintf("turn expected in %v", wait.Round(time.Millisecond))))
 	}
 	s.waiting = append(s.waiting, w)
 	return out
 }
 
-// before reports whether a is served before b. Work that can still begin in
-// time goes by tier and then by its goal. Work that is late already goes one
-// tier lower: in front of its own tier's punctual work it would make that late
-// as well, and all that comes behind.
-func (s *Sched) before(now time.Time, a, b *fireflypath.Work) bool {
-	ra, rb := s.urgency(now, a), s.urgency(now, b)
+// servedBefore reports whether a is served before b. Requests that can still begin
+// in time are ordered by tier, then by goal. Late requests are ordered behind the
+// punctual ones of the next lower tier: ahead of punctual requests they would make
+// those late as well, and in turn everything queued behind.
+func (s *Scheduler) servedBefore(now time.Time, a, b *fireflypath.Work) bool {
+	ra, rb := s.priority(now, a), s.priority(now, b)
 	if ra != rb {
 		return ra < rb
 	}
-	if s.tune.Newest && ra%2 == 0 {
+	if s.tuning.Newest && ra%2 == 0 {
 		return a.Goal.After(b.Goal)
 	}
 	return a.Goal.Before(b.Goal)
 }
 
-// urgency orders work by tier; a late one stands between its own tier and the
-// next.
-func (s *Sched) urgency(now time.Time, w *fireflypath.Work) int {
+// priority returns the sort key of a request, lower first: twice its rank if it is
+// punctual. A late request sorts between the punctual ones of the next lower tier
+// and of the tier below that.
+func (s *Scheduler) priority(now time.Time, w *fireflypath.Work) int {
 	u := 2 * w.Rank
-	if s.late(now, w) {
+	if s.isLate(now, w) {
 		u += 3
 	}
 	return u
 }
 
-// late is true for work that cannot begin in time any more.
-func (s *Sched) late(now time.Time, w *fireflypath.Work) bool {
-	if !s.tune.Punctual || s.fast == 0 {
+// isLate reports whether the request can no longer begin in time.
+func (s *Scheduler) isLate(now time.Time, w *fireflypath.Work) bool {
+	if !s.tuning.Punctual || s.maxPrefillRate == 0 {
 		return now.After(w.Goal)
 	}
-	least := float64(w.Cost.Prompt)/s.fast + s.tune.Margin
-	return now.After(w.Goal.Add(-time.Duration(least * float64(time.Second))))
+	minSeconds := float64(w.Cost.Prompt)/s.maxPrefillRate + s.tuning.Margin
+	return now.After(w.Goal.Add(-time.Duration(minSeconds * float64(time.Second))))
 }
 
-// Next chooses the next work and its target and counts it as in flight. A tier that is
-// starved goes first.
-func (s *Sched) Next(now time.Time, p *fireflypath.Placement) bool {
-	if len(s.waiting) == 0 || !s.anyRoom(now) {
+// Next chooses the next request and its target and counts it as in flight. A
+// starved tier goes first.
+func (s *Scheduler) Next(now time.Time, p *fireflypath.Placement) bool {
+	if len(s.waiting) == 0 || !s.anyTargetAccepts(now) {
 		return false
 	}
 	var best *target
 	at := -1
-	if rank, ok := s.starved(now); ok {
-		best, at = s.pick(now, func(w *fireflypath.Work) bool { return w.Rank == rank })
+	if rank, ok := s.starvedTier(now); ok {
+		best, at = s.selectWork(now, func(w *fireflypath.Work) bool { return w.Rank == rank })
 	}
 	if at < 0 {
-		best, at = s.pick(now, func(*fireflypath.Work) bool { return true })
+		best, at = s.selectWork(now, func(*fireflypath.Work) bool { return true })
 	}
 	if at < 0 {
 		return false
 	}
 	w := s.waiting[at]
 	s.waiting = append(s.waiting[:at], s.waiting[at+1:]...)
-	s.depart(now, w, best, p)
+	s.dispatch(now, w, best, p)
 	return true
 }
 
-// pick is the work that goes before all other that is let through and has a target,
-// or -1.
-func (s *Sched) pick(now time.Time, let func(*fireflypath.Work) bool) (*target, int) {
+// selectWork returns the first request in service order that is eligible and has a
+// target available, as the target and the index in s.waiting, or -1 if there is
+// none.
+func (s *Scheduler) selectWork(now time.Time, eligible func(*fireflypath.Work) bool) (*target, int) {
 	best, at := (*target)(nil), -1
 	for i, w := range s.waiting {
-		if !let(w) || at >= 0 && !s.before(now, w, s.waiting[at]) {
+		if !eligible(w) || at >= 0 && !s.servedBefore(now, w, s.waiting[at]) {
 			continue
 		}
-		if t := s.choose(now, w); t != nil {
+		if t := s.chooseTarget(now, w); t != nil {
 			best, at = t, i
 		}
 	}
 	return best, at
 }
 
-func (s *Sched) anyRoom(now time.Time) bool {
-	for _, t := range s.order {
-		if s.takes(now, t, s.tune.Extra) {
+func (s *Scheduler) anyTargetAccepts(now time.Time) bool {
+	for _, t := range s.ordered {
+		if s.accepts(now, t, s.tuning.Extra) {
 			return true
 		}
 	}
 	return false
 }
 
-func (s *Sched) depart(now time.Time, w *fireflypath.Work, t *target, p *fireflypath.Placement) {
-	s.flights[w] = flight{target: t, sent: now, before: t.prefill + t.ahead}
+func (s *Scheduler) dispatch(now time.Time, w *fireflypath.Work, t *target, p *fireflypath.Placement) {
+	s.inFlight[w] = dispatched{target: t, at: now, prefillAhead: t.pendingPrefill + t.peerPrefill}
 	s.floor.Serve(now, w.Rank)
 	t.requests++
-	t.prefill += w.Cost.Prompt
-	t.sent(now)
+	t.pendingPrefill += w.Cost.Prompt
+	t.markProbe(now)
 	p.Work, p.Target = w, t.Name
 	p.Waited = now.Sub(w.Arrived)
 	p.Ahead = len(s.waiting)
-	p.Considered = s.consider(now, w, p.Considered[:0])
+	p.Considered = s.candidates(now, w, p.Considered[:0])
 }
 
-// Withdraw removes waiting work; it reports false if it was not waiting here.
-func (s *Sched) Withdraw(now time.Time, w *fireflypath.Work) bool {
+// Withdraw removes a waiting request; it reports false if the request was not
+// waiting here.
+func (s *Scheduler) Withdraw(now time.Time, w *fireflypath.Work) bool {
 	for i, o := range s.waiting {
 		if o == w {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
@@ -210,49 +218,52 @@
 	return false
 }
 
-// Wake is when waiting work must be given up, or a target may be tried again.
-func (s *Sched) Wake(now time.Time) time.Time {
+// Wake returns when the next waiting request expires or a target may be tried
+// again, whichever comes first.
+func (s *Scheduler) Wake(now time.Time) time.Time {
 	var at time.Time
 	for _, w := range s.waiting {
-		if due := s.expires(w); at.IsZero() || due.Before(at) {
+		if due := s.expiresAt(w); at.IsZero() || due.Before(at) {
 			at = due
 		}
 	}
-	for _, t := range s.order {
-		if due := s.due(now, t); !due.IsZero() && (at.IsZero() || due.Before(at)) {
+	for _, t := range s.ordered {
+		if due := s.nextAttempt(now, t); !due.IsZero() && (at.IsZero() || due.Before(at)) {
 			at = due
 		}
 	}
 	return at
 }
 
-// SetShare sets which targets this daemon sends work to: those with a part above
-// 0. How much each may get follows from what daemons tell each other.
-func (s *Sched) SetShare(now time.Time, share fireflypath.Share) {
+// SetShare sets which targets this daemon dispatches to: those with a share above
+// 0. How many requests each daemon may send depends on what daemons report to each
+// other.
+func (s *Scheduler) SetShare(now time.Time, share fireflypath.Share) {
 	s.share = share
-	for _, t := range s.order {
-		s.serve(now, t)
+	for _, t := range s.ordered {
+		s.updateAssignment(now, t)
 	}
 }
 
-// serve sets whether this daemon sends work to the target.
+// updateAssignment sets whether this daemon dispatches to the target.
 //
-// When a target comes or goes, some others pass to another group of daemons. All
-// daemons of that group see such a target at once, with no work of theirs: without
-// care they sent up to 29 requests in a second to an engine of five slots that
-// was still busy with the work of those who had it before.
-func (s *Sched) serve(now time.Time, t *target) {
-	mine := serves(s.share, t.Name)
-	if mine && t.foreign {
-		t.freed = now
-		if now.Sub(t.since) > brandNew {
-			t.inherited = now
+// When a target joins or leaves, other targets are reassigned to another group of
+// daemons. All daemons of that group see the reassigned target at once, with no
+// requests of theirs in flight. Without a limit they sent up to 29 requests within
+// a second to an engine with five slots that was still busy with requests of its
+// previous daemons.
+func (s *Scheduler) updateAssignment(now time.Time, t *target) {
+	isAssigned := assigned(s.share, t.Name)
+	if isAssigned && t.unassigned {
+		t.peerFreedAt = now
+		if now.Sub(t.knownSince) > registrationPeriod {
+			t.takenOverAt = now
 		}
 	}
-	t.foreign = !mine
+	t.unassigned = !isAssigned
 }
 
-func serves(share fireflypath.Share, name string) bool {
+func assigned(share fireflypath.Share, name string) bool {
 	if part, ok := share.Part[name]; ok {
 		return part > 0
 	}
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -14,7 +14,7 @@
 
 var start = time.Unix(1000, 0)
 
-func targets(n int) []fireflypath.Target {
+func newTargets(n int) []fireflypath.Target {
 	var out []fireflypath.Target
 	for i := range n {
 		out = append(out, fireflypath.Target{Name: fmt.Sprintf("t%d", i), Pool: "p", Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Slots: 5})
@@ -22,13 +22,13 @@
 	return out
 }
 
-func sched(n int) *slots.Sched {
+func newScheduler(n int) *slots.Scheduler {
 	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.Alone())
-	s.SetTargets(start, targets(n))
+	s.SetTargets(start, newTargets(n))
 	return s
 }
 
-func work(id string, rank int, now time.Time) *fireflypath.Work {
+func newWork(id string, rank int, now time.Time) *fireflypath.Work {
 	return &fireflypath.Work{
 		ID: id, Rank: rank, Pool: "p", Weight: 1, Arrived: now, Deadline: now.Add(12 * time.Second),
 		Goal: now.Add(time.Second), Leaves: now.Add(4 * time.Second), Gap: 250 * time.Millisecond,
@@ -36,8 +36,8 @@
 	}
 }
 
-// next dispatches what the scheduler gives out now.
-func next(s *slots.Sched, now time.Time) []fireflypath.Placement {
+// dispatchAll dispatches requests until the scheduler has none to dispatch now.
+func dispatchAll(s *slots.Scheduler, now time.Time) []fireflypath.Placement {
 	var out []fireflypath.Placement
 	for {
 		var p fireflypath.Placement
@@ -49,8 +49,8 @@
 	}
 }
 
-// tellAll has each daemon hear all others.
-func tellAll(all []*slots.Sched, now time.Time) {
+// exchangeReports delivers the report of each daemon to all others.
+func exchangeReports(all []*slots.Scheduler, now time.Time) {
 	var mates []fireflypath.Mate
 	for d, s := range all {
 		m := fireflypath.NewMate(fmt.Sprint("d", d))
@@ -62,97 +62,98 @@
 	}
 }
 
-func done(s *slots.Sched, now time.Time, p fireflypath.Placement, took time.Duration) {
+// complete reports the first event and the end of an answer.
+func complete(s *slots.Scheduler, now time.Time, p fireflypath.Placement, took time.Duration) {
 	s.Observe(now.Add(-took/2), fireflypath.Event{Kind: fireflypath.EventFirst, Target: p.Target, Work: p.Work})
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventDone, Target: p.Target, Work: p.Work, Tokens: 33})
 }
 
-// A burst of the lowest tier fills all slots. Engines admit in order of arrival,
-// so what is sent beyond their slots would stand before whatever comes later.
-func TestNoMoreThanSlots(t *testing.T) {
+// A burst of the lowest tier fills all slots. Engines admit in order of arrival, so
+// any request sent beyond the slots would be ahead of all later ones.
+func TestDispatchLimitedToSlots(t *testing.T) {
 	is := is.New(t)
-	s := sched(2)
+	s := newScheduler(2)
 	for i := range 40 {
-		is.Equal(len(s.Offer(start, work(fmt.Sprint(i), 2, start), nil)), 0)
+		is.Equal(len(s.Offer(start, newWork(fmt.Sprint(i), 2, start), nil)), 0)
 	}
-	is.Equal(len(next(s, start)), 10)
+	is.Equal(len(dispatchAll(s, start)), 10)
 }
 
-// Work of all tiers waits. When a slot becomes free the highest tier has it,
-// and within a tier the one whose goal comes first.
-func TestHigherTierFirst(t *testing.T) {
+// Requests of all tiers wait. A slot that becomes free goes to the highest tier,
+// and within a tier to the request with the earliest goal.
+func TestDispatchOrderByTierThenGoal(t *testing.T) {
 	is := is.New(t)
-	s := sched(1)
+	s := newScheduler(1)
 	for i := range 5 {
-		s.Offer(start, work(fmt.Sprint("run", i), 2, start), nil)
+		s.Offer(start, newWork(fmt.Sprint("run", i), 2, start), nil)
 	}
-	running := next(s, start)
+	running := dispatchAll(s, start)
 	is.Equal(len(running), 5)
-	s.Offer(start, work("low", 2, start), nil)
-	later := work("middle-late", 1, start)
-	later.Goal = start.Add(2 * time.Second)
-	s.Offer(start, later, nil)
-	s.Offer(start, work("middle", 1, start), nil)
+	s.Offer(start, newWork("low", 2, start), nil)
+	laterGoal := newWork("middle-late", 1, start)
+	laterGoal.Goal = start.Add(2 * time.Second)
+	s.Offer(start, laterGoal, nil)
+	s.Offer(start, newWork("middle", 1, start), nil)
 	now := start.Add(500 * time.Millisecond)
 	var order []string
 	for _, p := range running {
-		done(s, now, p, 400*time.Millisecond)
-		for _, n := range next(s, now) {
+		complete(s, now, p, 400*time.Millisecond)
+		for _, n := range dispatchAll(s, now) {
 			order = append(order, n.Work.ID)
 		}
 	}
-	// The middle tier may stand in the full target's own queue, so both went at
-	// the first chance.
+	// The middle tier may wait in the queue of the full target, so both were
+	// dispatched at the first opportunity.
 	is.Equal(order[:2], []string{"middle", "middle-late"})
 }
 
-// All slots are taken by low work at other daemons too. Work of the highest tier
-// stands first in a target's own queue instead of waiting for one of its own
-// daemon's slots; low work never does.
-func TestHighestTierMayStandBeforeAFullTarget(t *testing.T) {
+// All slots are occupied by low-tier requests, most of them of other daemons.
+// Requests of the highest tier may wait in the target's own queue instead of
+// waiting for one of this daemon's requests to end; low-tier requests may not.
+func TestHighestTierQueuesAtFullTarget(t *testing.T) {
 	is := is.New(t)
-	s := sched(1)
-	s.Offer(start, work("low", 2, start), nil)
-	is.Equal(len(next(s, start)), 1)
+	s := newScheduler(1)
+	s.Offer(start, newWork("low", 2, start), nil)
+	is.Equal(len(dispatchAll(s, start)), 1)
 	s.Hear(start, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0": 4}}})
-	s.Offer(start, work("low2", 2, start), nil)
-	is.Equal(len(next(s, start)), 0)
+	s.Offer(start, newWork("low2", 2, start), nil)
+	is.Equal(len(dispatchAll(s, start)), 0)
 	for i := range 4 {
-		s.Offer(start, work(fmt.Sprint("high", i), 0, start), nil)
+		s.Offer(start, newWork(fmt.Sprint("high", i), 0, start), nil)
 	}
-	got := next(s, start)
+	got := dispatchAll(s, start)
 	is.Equal(len(got), 2)
 	is.Equal(got[0].Work.Rank, 0)
 }
 
-// Work that is late already goes behind punctual work of the next tier: first,
-// it would make that late as well, and so on down the queue.
-func TestLateWorkDoesNotMakeOthersLate(t *testing.T) {
+// A late request goes behind punctual ones: served first, it would make those late
+// as well, and in turn all requests behind them.
+func TestLateWorkYieldsToPunctualWork(t *testing.T) {
 	is := is.New(t)
-	s := sched(1)
+	s := newScheduler(1)
 	for i := range 5 {
-		s.Offer(start, work(fmt.Sprint("run", i), 1, start), nil)
+		s.Offer(start, newWork(fmt.Sprint("run", i), 1, start), nil)
 	}
-	running := next(s, start)
-	late := work("late", 0, start)
+	running := dispatchAll(s, start)
+	late := newWork("late", 0, start)
 	late.Goal = start.Add(100 * time.Millisecond)
 	late.Rank = 1
 	s.Offer(start, late, nil)
 	now := start.Add(300 * time.Millisecond)
-	s.Offer(now, work("punctual", 1, now), nil)
-	done(s, now, running[0], 200*time.Millisecond)
-	got := next(s, now)
+	s.Offer(now, newWork("punctual", 1, now), nil)
+	complete(s, now, running[0], 200*time.Millisecond)
+	got := dispatchAll(s, now)
 	is.Equal(got[0].Work.ID, "punctual")
 }
 
-// Four times as much comes as can be served, for many seconds. Most of what is
-// served begins by its goal, and the rest is told when to come back before its
-// caller leaves. In order of arrival all of it would begin late.
-func TestOverloadServesInTime(t *testing.T) {
+// For many seconds four times as many requests arrive as can be served. Most of
+// those served begin by their goal, and the others are told when to retry before
+// their callers give up. In order of arrival all of them would begin late.
+func TestOverloadMeetsGoals(t *testing.T) {
 	is := is.New(t)
-	s := sched(1)
+	s := newScheduler(1)
 	now, refused, inTime, late := start, 0, 0, 0
-	var flying []fireflypath.Placement
+	var inFlight []fireflypath.Placement
 	refuse := func(sheds []fireflypath.Shed) {
 		for _, sh := range sheds {
 			refused++
@@ -164,14 +165,14 @@
 	}
 	for i := range 400 {
 		now = now.Add(50 * time.Millisecond)
-		refuse(s.Offer(now, work(fmt.Sprint(i), 0, now), nil))
+		refuse(s.Offer(now, newWork(fmt.Sprint(i), 0, now), nil))
 		refuse(s.Expire(now, nil))
-		if i%4 == 0 && len(flying) > 0 {
-			done(s, now, flying[0], time.Second)
-			flying = flying[1:]
+		if i%4 == 0 && len(inFlight) > 0 {
+			complete(s, now, inFlight[0], time.Second)
+			inFlight = inFlight[1:]
 		}
-		for _, p := range next(s, now) {
-			flying = append(flying, p)
+		for _, p := range dispatchAll(s, now) {
+			inFlight = append(inFlight, p)
 			if now.After(p.Work.Goal) {
 				late++
 			} else {
@@ -184,32 +185,32 @@
 	is.True(late < 10)
 }
 
-// Many callers are refused together. The times they are told lie apart, so that
-// they do not come back together, and grow with what waits before them.
-func TestRefusedCallersComeBackApart(t *testing.T) {
+// Many callers are refused together. Their Retry-After times differ, so that they
+// do not return together, and grow with the length of the queue.
+func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
-	told := func(waiting int) (least, most time.Duration) {
-		s := sched(1)
+	retryRange := func(waiting int) (least, most time.Duration) {
+		s := newScheduler(1)
 		now := start
-		var flying []fireflypath.Placement
-		for i := range 40 { // five a second are served
+		var inFlight []fireflypath.Placement
+		for i := range 40 { // five per second are served
 			now = now.Add(200 * time.Millisecond)
-			s.Offer(now, work(fmt.Sprint("w", i), 0, now), nil)
-			flying = append(flying, next(s, now)...)
-			if len(flying) >= 5 {
-				done(s, now, flying[0], time.Second)
-				flying = flying[1:]
+			s.Offer(now, newWork(fmt.Sprint("w", i), 0, now), nil)
+			inFlight = append(inFlight, dispatchAll(s, now)...)
+			if len(inFlight) >= 5 {
+				complete(s, now, inFlight[0], time.Second)
+				inFlight = inFlight[1:]
 			}
 		}
 		for i := range waiting {
-			w := work(fmt.Sprint("q", i), 0, now)
+			w := newWork(fmt.Sprint("q", i), 0, now)
 			w.Leaves = now.Add(time.Minute)
 			w.Deadline = now.Add(time.Minute)
 			s.Offer(now, w, nil)
-			next(s, now)
+			dispatchAll(s, now)
 		}
 		for i := range 20 {
-			w := work(fmt.Sprint("r", i), 0, now)
+			w := newWork(fmt.Sprint("r", i), 0, now)
 			w.Leaves = now.Add(10 * time.Millisecond)
 			for _, sh := range s.Offer(now, w, nil) {
 				if least == 0 || sh.RetryAfter < least {
@@ -220,18 +221,18 @@
 		}
 		return least, most
 	}
-	least, most := told(10)
+	least, most := retryRange(10)
 	is.True(least > 0)
 	is.True(most > least+least/4)
-	longer, _ := told(100)
+	longer, _ := retryRange(100)
 	is.True(longer > least)
 }
 
-// Waiting work is given up while its caller can still come back.
-func TestWaitingEndsBeforeTheCallerLeaves(t *testing.T) {
+// A waiting request expires while its caller can still retry.
+func TestExpiryPrecedesCallerTimeout(t *testing.T) {
 	is := is.New(t)
-	s := sched(0)
-	w := work("a", 0, start)
+	s := newScheduler(0)
+	w := newWork("a", 0, start)
 	s.Offer(start, w, nil)
 	due := s.Wake(start)
 	is.True(due.After(start))
@@ -241,18 +242,18 @@
 	is.Equal(len(s.Expire(due, nil)), 0)
 }
 
-// One target prefills four times slower than the others. A prompt of thousands
-// of tokens would hold up the streams that run there for longer than their
-// callers bear; it waits for a fast target while there is time.
-func TestSlowTargetGetsNoLongPrompts(t *testing.T) {
+// One target prefills several times slower than the other. A prompt of thousands of
+// tokens would stall its running streams for longer than their callers tolerate, so
+// it waits for the fast target while there is time.
+func TestLongPromptAvoidsSlowTarget(t *testing.T) {
 	is := is.New(t)
-	s := sched(2)
-	// t0 and t1 answer side by side: 1000 tokens in 14 ms and in 80 ms.
-	a, b := work("a", 0, start), work("b", 0, start)
+	s := newScheduler(2)
+	// Both targets prefill 1000 tokens, one in 14 ms and the other in 80 ms.
+	a, b := newWork("a", 0, start), newWork("b", 0, start)
 	s.Offer(start, a, nil)
-	first := next(s, start)
+	first := dispatchAll(s, start)
 	s.Offer(start, b, nil)
-	second := next(s, start)
+	second := dispatchAll(s, start)
 	is.True(first[0].Target != second[0].Target)
 	slow := second[0].Target
 	for i, p := range append(first, second...) {
@@ -262,237 +263,239 @@
 	}
 	now := start.Add(3 * time.Second)
 	for i := range 10 {
-		w := work(fmt.Sprint("short", i), 0, now)
+		w := newWork(fmt.Sprint("short", i), 0, now)
 		w.Cost.Prompt = 200
 		s.Offer(now, w, nil)
 	}
-	is.Equal(len(next(s, now)), 10) // both full of short prompts
+	is.Equal(len(dispatchAll(s, now)), 10) // short prompts fill both targets
 	s.Hear(now, nil)
-	long := work("long", 0, now)
+	long := newWork("long", 0, now)
 	long.Cost.Prompt = 6000
 	s.Offer(now, long, nil)
-	for _, p := range next(s, now) {
+	for _, p := range dispatchAll(s, now) {
 		is.True(p.Target != slow)
 	}
 }
 
-// Three engines are equally fast, and each runs a stream. A prompt of several
-// thousand tokens comes. Held back from all but the very fastest it would wait
-// until its goal has passed: the requests worth most were late that way, in
-// front of engines with free slots.
-func TestLongPromptDoesNotWaitAmongEqualTargets(t *testing.T) {
+// Three engines are equally fast, and each runs a stream when a prompt of several
+// thousand tokens arrives. If only the very fastest could take it, it would wait
+// until its goal has passed although there are free slots: the most valuable
+// requests were late that way.
+func TestLongPromptDispatchedToEqualTargets(t *testing.T) {
 	is := is.New(t)
-	s := sched(3)
+	s := newScheduler(3)
 	now := start
 	for i := range 3 {
-		w := work(fmt.Sprint("learn", i), 0, now)
+		w := newWork(fmt.Sprint("learn", i), 0, now)
 		w.Cost.Prompt = 4000
 		s.Offer(now, w, nil)
 	}
-	for i, p := range next(s, now) {
-		took := time.Duration(100+10*i) * time.Millisecond // 36 to 40 tokens a millisecond
+	for i, p := range dispatchAll(s, now) {
+		took := time.Duration(100+10*i) * time.Millisecond // 33 to 40 tokens per millisecond
 		s.Observe(now.Add(took), fireflypath.Event{Kind: fireflypath.EventFirst, Target: p.Target, Work: p.Work})
 		s.Observe(now.Add(2*took), fireflypath.Event{Kind: fireflypath.EventDone, Target: p.Target, Work: p.Work, Tokens: 33})
 	}
 	now = now.Add(time.Second)
 	for i := range 3 {
-		s.Offer(now, work(fmt.Sprint("run", i), 0, now), nil)
+		s.Offer(now, newWork(fmt.Sprint("run", i), 0, now), nil)
 	}
-	is.Equal(len(next(s, now)), 3)
+	is.Equal(len(dispatchAll(s, now)), 3)
 	for i := range 6 {
-		w := work(fmt.Sprint("long", i), 0, now)
+		w := newWork(fmt.Sprint("long", i), 0, now)
 		w.Cost.Prompt = 9000
 		s.Offer(now, w, nil)
 	}
-	is.Equal(len(next(s, now)), 6)
+	is.Equal(len(dispatchAll(s, now)), 6)
 }
 
-// Another daemon has sent a prompt of 30,000 tokens to one of two equal engines.
-// The number of requests there is the same. Sent behind it, a short question of
-// the highest tier would wait most of a second for its first event.
-func TestWorkGoesAroundAnothersLongPrompt(t *testing.T) {
+// Another daemon has sent a prompt of 30,000 tokens to one of two equal engines,
+// which have the same number of requests. Behind that prompt a short request of the
+// highest tier would wait most of a second for its first event.
+func TestPeerPrefillAffectsTargetChoice(t *testing.T) {
 	is := is.New(t)
-	other, s := sched(2), sched(2)
-	long := work("long", 0, start)
+	other, s := newScheduler(2), newScheduler(2)
+	long := newWork("long", 0, start)
 	long.Cost.Prompt = 30_000
 	other.Offer(start, long, nil)
-	busy := next(other, start)[0].Target
+	busy := dispatchAll(other, start)[0].Target
 	m := fireflypath.NewMate("other")
 	other.Report(&m)
-	for _, t := range targets(2) {
+	for _, t := range newTargets(2) {
 		m.Flights[t.Name] = 1
 	}
 	s.Hear(start, []fireflypath.Mate{m})
 	for i := range 4 {
-		s.Offer(start, work(fmt.Sprint("short", i), 0, start), nil)
+		s.Offer(start, newWork(fmt.Sprint("short", i), 0, start), nil)
 	}
-	for _, p := range next(s, start) {
+	for _, p := range dispatchAll(s, start) {
 		is.True(p.Target != busy)
 	}
-	// Its prefill is over: the engine is as good as the other one.
+	// After the prefill both engines are equal again.
 	other.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirst, Target: busy, Work: long})
 	m = fireflypath.NewMate("other")
 	other.Report(&m)
 	s.Hear(start, []fireflypath.Mate{m})
-	s.Offer(start, work("later", 0, start), nil)
-	is.Equal(next(s, start)[0].Target, busy)
+	s.Offer(start, newWork("later", 0, start), nil)
+	is.Equal(dispatchAll(s, start)[0].Target, busy)
 }
 
-// A target takes no connection. It gets nothing for a while, then one request
-// that decides; without the pause, all waiting work would go there, one after
-// the other, as it always has room.
-func TestDeadTargetIsTriedByOne(t *testing.T) {
+// A target refuses connections. It must receive nothing for a while, then a single
+// probe: as it always has free slots, all waiting requests would otherwise go there
+// one after the other.
+func TestFailedTargetGetsSingleProbe(t *testing.T) {
 	is := is.New(t)
-	s := sched(1)
-	s.Offer(start, work("a", 0, start), nil)
-	p := next(s, start)[0]
+	s := newScheduler(1)
+	s.Offer(start, newWork("a", 0, start), nil)
+	p := dispatchAll(s, start)[0]
 	p.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWaiting)
 	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: p.Target, Work: p.Work})
-	s.Offer(start, work("b", 0, start), nil)
-	is.Equal(len(next(s, start)), 0)
+	s.Offer(start, newWork("b", 0, start), nil)
+	is.Equal(len(dispatchAll(s, start)), 0)
 	later := s.Wake(start)
 	is.True(later.After(start))
-	is.Equal(len(next(s, later)), 1) // both wait, one is the probe
+	is.Equal(len(dispatchAll(s, later)), 1) // of the two waiting requests one is the probe
 }
 
-// A target crashed and is back, and all daemons see it at the same moment, each
-// with a queue. If each filled it, it would have as many times its slots as there
-// are daemons.
-func TestNewTargetIsFilledOnce(t *testing.T) {
+// A target restarts after a crash, and all daemons see it at the same moment, each
+// with a queue. If each daemon filled it, it would receive its number of slots from
+// every one.
+func TestNewTargetNotOverfilled(t *testing.T) {
 	is := is.New(t)
 	const daemons = 8
-	var all []*slots.Sched
+	var all []*slots.Scheduler
 	for d := range daemons {
 		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.Alone())
 		for i := range 20 {
-			s.Offer(start, work(fmt.Sprint(d, "-", i), 0, start), nil)
+			s.Offer(start, newWork(fmt.Sprint(d, "-", i), 0, start), nil)
 		}
 		all = append(all, s)
 	}
-	tellAll(all, start)
+	exchangeReports(all, start)
 	sent := 0
 	now := start
 	for _, s := range all {
-		s.SetTargets(now, targets(1))
+		s.SetTargets(now, newTargets(1))
 	}
 	for range 40 {
 		for _, s := range all {
-			sent += len(next(s, now))
+			sent += len(dispatchAll(s, now))
 		}
-		tellAll(all, now)
+		exchangeReports(all, now)
 		now = now.Add(10 * time.Millisecond)
 	}
 	is.True(sent >= 5)
 	is.True(sent <= 10)
 }
 
-// A target goes, and another one passes to a group of daemons that did not have
-// it. The group before still has five requests there, which nobody of this group
-// hears of. If each daemon took the target for idle, callers would stand behind
-// four times its slots.
-func TestTargetOfOthersIsTakenOverWithCare(t *testing.T) {
+// After a target has left, another one is reassigned to a group of daemons that did
+// not use it. Its previous daemons still have five requests there that are not
+// reported to this group. If each daemon took the target for idle, it would have
+// four times as many requests as slots.
+func TestTakeoverAccountsForPreviousRequests(t *testing.T) {
 	is := is.New(t)
 	const daemons = 8
-	var all []*slots.Sched
+	var all []*slots.Scheduler
 	now := start
 	for d := range daemons {
 		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.Alone())
 		s.SetShare(now, fireflypath.Share{Part: map[string]float64{}})
-		s.SetTargets(now, targets(1))
+		s.SetTargets(now, newTargets(1))
 		all = append(all, s)
 	}
 	now = now.Add(10 * time.Second)
 	sent := 0
 	for d, s := range all {
 		for i := range 20 {
-			s.Offer(now, work(fmt.Sprint(d, "-", i), 0, now), nil)
+			s.Offer(now, newWork(fmt.Sprint(d, "-", i), 0, now), nil)
 		}
 	}
-	tellAll(all, now)
+	exchangeReports(all, now)
 	for _, s := range all {
 		s.SetShare(now, fireflypath.Share{Part: map[string]float64{"t0": 1}})
 	}
 	for range 10 {
 		for _, s := range all {
-			sent += len(next(s, now))
+			sent += len(dispatchAll(s, now))
 		}
-		tellAll(all, now)
+		exchangeReports(all, now)
 		now = now.Add(10 * time.Millisecond)
 	}
-	is.True(sent <= 2) // two of the highest tier may stand before the five
+	is.True(sent <= 2) // two of the highest tier may queue behind the five
 	for range 80 {
 		for _, s := range all {
-			sent += len(next(s, now))
+			sent += len(dispatchAll(s, now))
 		}
-		tellAll(all, now)
+		exchangeReports(all, now)
 		now = now.Add(10 * time.Millisecond)
 	}
-	is.True(sent >= 5 && sent <= 7) // the others' work has ended
+	is.True(sent >= 5 && sent <= 7) // the requests of the previous daemons have ended
 }
 
-// Daemons that do not hear each other share a target. What it says of its load
-// with each answer counts, or each would send as if it had the target alone.
-func TestLoadCountsWhereDaemonsAreNotHeard(t *testing.T) {
+// Daemons that do not receive each other's reports share a target. Its own load
+// reports, sent with each answer, must count; otherwise each daemon would send as
+// if it had the target to itself.
+func TestTargetReportUsedWithoutPeerReports(t *testing.T) {
 	is := is.New(t)
-	s := sched(1)
+	s := newScheduler(1)
 	s.SetShare(start, fireflypath.Share{Default: 1, Mixed: true})
 	s.Hear(start, nil)
 	s.Observe(start, fireflypath.Event{
 		Kind: fireflypath.EventReport, Target: "t0", Cached: -1, Report: fireflypath.Report{Running: 5, Batch: 5},
 	})
-	s.Offer(start, work("a", 0, start), nil)
-	is.Equal(len(next(s, start)), 0)
-	is.Equal(len(next(s, start.Add(500*time.Millisecond))), 1) // the report is too old to tell
+	s.Offer(start, newWork("a", 0, start), nil)
+	is.Equal(len(dispatchAll(s, start)), 0)
+	is.Equal(len(dispatchAll(s, start.Add(500*time.Millisecond))), 1) // the report has expired
 }
 
-// A caller leaves while its work is at a target: that says nothing of the target.
-func TestCallersLeavingDoesNotEject(t *testing.T) {
+// A caller disconnects while its request is in flight. That says nothing about the
+// target.
+func TestCallerDisconnectDoesNotEject(t *testing.T) {
 	is := is.New(t)
-	s := sched(1)
-	s.Offer(start, work("a", 0, start), nil)
-	p := next(s, start)[0]
+	s := newScheduler(1)
+	s.Offer(start, newWork("a", 0, start), nil)
+	p := dispatchAll(s, start)[0]
 	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventFailed, Target: p.Target, Work: p.Work, Left: true})
-	s.Offer(start, work("b", 0, start), nil)
-	is.Equal(len(next(s, start)), 1)
+	s.Offer(start, newWork("b", 0, start), nil)
+	is.Equal(len(dispatchAll(s, start)), 1)
 }
 
-// Whatever happens, a target has no more of this daemon's work than its slots
-// and the places of higher tiers, nothing is given out twice, and nothing is
-// lost.
-func TestNothingIsLostOrTwice(t *testing.T) {
+// After any sequence of events a target has at most as many requests of this daemon
+// as it has slots and places for higher tiers, and no request is dispatched twice
+// or lost.
+func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := sched(3)
+		s := newScheduler(3)
 		now := start
 		waiting := map[*fireflypath.Work]bool{}
-		flying := map[*fireflypath.Work]fireflypath.Placement{}
+		inFlight := map[*fireflypath.Work]fireflypath.Placement{}
 		atTarget := map[string]int{}
 		for i := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "op") {
 			case 0, 1:
-				w := work(fmt.Sprint(i), rapid.IntRange(0, 2).Draw(t, "rank"), now)
+				w := newWork(fmt.Sprint(i), rapid.IntRange(0, 2).Draw(t, "rank"), now)
 				waiting[w] = true
 				for _, sh := range s.Offer(now, w, nil) {
 					delete(waiting, sh.Work)
 				}
 			case 2:
-				for w, p := range flying {
-					done(s, now, p, 100*time.Millisecond)
-					delete(flying, w)
+				for w, p := range inFlight {
+					complete(s, now, p, 100*time.Millisecond)
+					delete(inFlight, w)
 					atTarget[p.Target]--
 					break
 				}
 			case 3:
-				for w, p := range flying {
+				for w, p := range inFlight {
 					s.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Target: p.Target, Work: w})
-					delete(flying, w)
+					delete(inFlight, w)
 					atTarget[p.Target]--
 					break
 				}
 			case 4:
 				for w := range waiting {
 					if !s.Withdraw(now, w) {
-						t.Fatal("waiting work was not there")
+						t.Fatal("withdrew a waiting request, but it was not found")
 					}
 					delete(waiting, w)
 					break
@@ -500,18 +503,18 @@
 			}
 			for _, sh := range s.Expire(now, nil) {
 				if !waiting[sh.Work] {
-					t.Fatal("gave up what does not wait")
+					t.Fatal("expired a request that was not waiting")
 				}
 				delete(waiting, sh.Work)
 			}
-			for _, p := range next(s, now) {
+			for _, p := range dispatchAll(s, now) {
 				if !waiting[p.Work] {
-					t.Fatal("gave out what does not wait")
+					t.Fatal("dispatched a request that was not waiting")
 				}
 				delete(waiting, p.Work)
-				flying[p.Work] = p
+				inFlight[p.Work] = p
 				if atTarget[p.Target]++; atTarget[p.Target] > 5+2 {
-					t.Fatalf("%d at %s", atTarget[p.Target], p.Target)
+					t.Fatalf("%d requests in flight at %s", atTarget[p.Target], p.Target)
 				}
 			}
 			d := s.Demand(now)
@@ -520,7 +523,7 @@
 				n += r
 			}
 			if n != len(waiting) {
-				t.Fatalf("%d wait, %d should", n, len(waiting))
+				t.Fatalf("%d requests waiting, want %d", n, len(waiting))
 			}
 		}
 	})
@@ -529,8 +532,8 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{15, 140, 2700} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := sched(n)
-			w := work("a", 0, start)
+			s := newScheduler(n)
+			w := newWork("a", 0, start)
 			var p fireflypath.Placement
 			b.ReportAllocs()
 			for b.Loop() {
@@ -543,14 +546,15 @@
 	}
 }
 
-// More of the highest tier comes than can be served, for many seconds, and a little of
-// a lower tier. Of that everything was refused on arrival, and its callers had no
-// answer for as long as it lasted. Now they have one a good quarter as often as all,
-// nearly all of it by its goal, and the highest tier loses no more than that.
-func TestLowerTierIsNotStarved(t *testing.T) {
+// For a minute more requests of the highest tier arrive than can be served, and a
+// few of a lower tier. All of the lower tier used to be refused on arrival, for as
+// long as the overload lasted. It must be served at least a quarter as often as all
+// requests together, nearly always by its goal, and the highest tier must lose no
+// more than that.
+func TestLowerTierMinimumService(t *testing.T) {
 	is := is.New(t)
 	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.Shared())
-	s.SetTargets(start, targets(2))
+	s.SetTargets(start, newTargets(2))
 	type end struct {
 		at time.Time
 		p  fireflypath.Placement
@@ -558,22 +562,22 @@
 	var running []end
 	var asked, served, late [2]int
 	now := start
-	for i := range 3000 { // a minute; ten places serve ten a second
+	for i := range 3000 { // one minute; ten slots serve ten requests per second
 		now = now.Add(20 * time.Millisecond)
 		for len(running) > 0 && !running[0].at.After(now) {
-			done(s, now, running[0].p, time.Second)
+			complete(s, now, running[0].p, time.Second)
 			running = running[1:]
 		}
-		if i%4 == 0 { // 12.5 a second
+		if i%4 == 0 { // 12.5 per second
 			asked[0]++
-			s.Offer(now, work(fmt.Sprint("high", i), 0, now), nil)
+			s.Offer(now, newWork(fmt.Sprint("high", i), 0, now), nil)
 		}
-		if i%10 == 0 { // 5 a second
+		if i%10 == 0 { // 5 per second
 			asked[1]++
-			s.Offer(now, work(fmt.Sprint("low", i), 2, now), nil)
+			s.Offer(now, newWork(fmt.Sprint("low", i), 2, now), nil)
 		}
 		s.Expire(now, nil)
-		for _, p := range next(s, now) {
+		for _, p := range dispatchAll(s, now) {
 			running = append(running, end{now.Add(time.Second), p})
 			tier := min(p.Work.Rank, 1)
 			served[tier]++
--- a/internal/decide/slots/starved.go
+++ b/internal/decide/slots/starvation.go
@@ -6,8 +6,9 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// owed is true for work that gets a place in time because its tier is starved.
-func (s *Sched) owed(now time.Time, w *fireflypath.Work) bool {
+// admitStarved reports whether the request is admitted because its tier is starved
+// and few enough requests of the tier wait for it to be served by its goal.
+func (s *Scheduler) admitStarved(now time.Time, w *fireflypath.Work) bool {
 	if !s.floor.Due(now, w.Rank) {
 		return false
 	}
@@ -20,8 +21,9 @@
 	return float64(queued) < max(1, s.floor.Rate(now, w.Rank)*w.Goal.Sub(now).Seconds())
 }
 
-// starved is the lowest tier with work waiting that is due a place.
-func (s *Sched) starved(now time.Time) (int, bool) {
+// starvedTier returns the rank of the lowest tier that is below its minimum of
+// service and has requests waiting.
+func (s *Scheduler) starvedTier(now time.Time) (int, bool) {
 	lowest := -1
 	for _, w := range s.waiting {
 		if w.Rank > lowest && s.floor.Due(now, w.Rank) {
--- a/internal/decide/slots/target.go
+++ b/internal/decide/slots/target.go
@@ -13,94 +13,100 @@
 )
 
 const (
-	// reportLife is how long a target's own word about its load is used: longer,
-	// and what it counted has ended.
-	reportLife = 400 * time.Millisecond
-	// firstPause is how long a target that failed gets nothing; it doubles with
-	// each failure to longestPause. A crashed target is back after seconds.
-	firstPause   = 300 * time.Millisecond
-	longestPause = 4 * time.Second
-	// failWeight weighs a new outcome in the part of work that fails.
-	failWeight = 0.15
-	// inheritTime is when the work of those who had a target before is taken to be
-	// over. Requests hold a slot for half a second at fast engines and for two at the
-	// slowest; 0.8 s leaves few fast ones idle.
-	inheritTime = 800 * time.Millisecond
-	// brandNew is the age up to which a target that comes to this daemon has just
-	// registered, and so has no work of others.
-	brandNew = 500 * time.Millisecond
+	// reportTTL is how long a target's own load report is used. By then the
+	// requests that it counted have ended.
+	reportTTL = 400 * time.Millisecond
+	// minEjection is how long a target that failed receives nothing. The time
+	// doubles with each failure up to maxEjection. A crashed target is back within
+	// seconds.
+	minEjection = 300 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// failureWeight is the weight of a new outcome in the failure rate.
+	failureWeight = 0.15
+	// takeoverPeriod is how long requests of a target's previous daemons are
+	// assumed to last. Requests occupy a slot for half a second at fast engines and
+	// for two seconds at the slowest; 0.8 s leaves few fast engines idle.
+	takeoverPeriod = 800 * time.Millisecond
+	// registrationPeriod is the age up to which a target assigned to this daemon
+	// counts as newly registered, without requests of other daemons.
+	registrationPeriod = 500 * time.Millisecond
 )
 
-// target is what is known of one target.
+// target is the state of one target.
 type target struct {
 	fireflypath.Target
-	// id is the target's identity; hash is that of its name.
-	id    string
-	hash  uint64
-	speed speed.Speed
-	// requests and prefill, in prompt tokens before their first event, are in
-	// flight from here.
-	requests int
-	prefill  int
-	// hold is how long a request holds its slot, in seconds.
-	hold float64
-	// elsewhere is what other daemons have in flight there, by their own word.
-	elsewhere int
-	// ahead is how much prompt of theirs waits there for its prefill, in tokens.
-	ahead int
-	// freed is when a place was last seen to become free that this daemon had not
-	// held itself; own is when a place of its own became free.
-	freed, own time.Time
-	// since is when the target was first known; inherited is when it came to this
-	// daemon from others that still had work there.
-	since, inherited time.Time
-	// told is true once other daemons have said anything.
-	told bool
-	// report is the target's own word, heard with an answer, less own requests.
-	report int
-	heard  time.Time
-	// foreign is true for a target that other daemons send work to.
-	foreign bool
-	// leaving is first-hand evidence that the target takes no more work.
+	// id is the target's identity, nameHash the hash of its name.
+	id       string
+	nameHash uint64
+	speed    speed.Speed
+	// requests counts this daemon's requests in flight, pendingPrefill the prompt
+	// tokens of those that have not received a first event.
+	requests       int
+	pendingPrefill int
+	// slotTime is the moving average of how long a request occupies a slot, in
+	// seconds.
+	slotTime float64
+	// peerRequests counts the requests in flight that other daemons reported.
+	peerRequests int
+	// peerPrefill is the number of their prompt tokens waiting for prefill.
+	peerPrefill int
+	// peerFreedAt is when another daemon's slot, or those of a new or reassigned
+	// target, last became free; ownFreedAt is when a slot of this daemon did.
+	peerFreedAt, ownFreedAt time.Time
+	// knownSince is when the target was first seen. takenOverAt is when it was
+	// reassigned to this daemon from others that may still have requests there.
+	knownSince, takenOverAt time.Time
+	// peersReported is true once other daemons have reported.
+	peersReported bool
+	// reportedRequests is the target's own count of its requests less this
+	// daemon's, received at reportedAt.
+	reportedRequests int
+	reportedAt       time.Time
+	// unassigned is true for a target that only other daemons dispatch to.
+	unassigned bool
+	// leaving is true if the target itself signalled that it takes no more
+	// requests.
 	leaving bool
-	// failing is the part of work that failed lately.
-	failing float64
-	// pause is how long the target was last kept out; until is the end of that.
-	pause time.Duration
-	until time.Time
-	// probing is true while one request decides whether the target is back.
+	// failureRate is the moving average of the fraction of requests that failed.
+	failureRate float64
+	// ejection is the length of the last ejection, ejectedUntil its end.
+	ejection     time.Duration
+	ejectedUntil time.Time
+	// probing is true while a single request decides whether the target has
+	// recovered.
 	probing bool
 }
 
-// SetTargets replaces the targets and keeps what was learned of those that stay.
-// One that started again under its name is a new target: what was in flight to
-// the life before, and what was learned of it, does not count for it.
+// SetTargets replaces the targets and keeps the state of those that stay. A target
+// that restarted under its name is a new target: requests in flight to the earlier
+// incarnation and its statistics do not count.
 //
-// A new target is seen by all daemons at once, with all its places free: they
-// take turns at it as at a place that became free.
-func (s *Sched) SetTargets(now time.Time, targets []fireflypath.Target) {
+// All daemons see a new target at once, with all its slots free, so they take turns
+// at it as at a slot that became free.
+func (s *Scheduler) SetTargets(now time.Time, targets []fireflypath.Target) {
 	next := make(map[string]*target, len(targets))
 	for _, t := range targets {
-		known := s.targets[t.Name]
-		if known == nil || known.Addr != t.Addr || known.Incarnation != t.Incarnation {
-			known = &target{id: t.Identity(), hash: xxhash.Sum64String(t.Name), freed: now, since: now}
+		entry := s.targets[t.Name]
+		if entry == nil || entry.Addr != t.Addr || entry.Incarnation != t.Incarnation {
+			entry = &target{id: t.Identity(), nameHash: xxhash.Sum64String(t.Name), peerFreedAt: now, knownSince: now}
 		}
-		known.Target = t
-		s.serve(now, known)
-		next[t.Name] = known
+		entry.Target = t
+		s.updateAssignment(now, entry)
+		next[t.Name] = entry
 	}
 	s.targets = next
-	s.order = s.order[:0]
+	s.ordered = s.ordered[:0]
 	for _, t := range next {
-		s.order = append(s.order, t)
+		s.ordered = append(s.ordered, t)
 	}
-	slices.SortFunc(s.order, func(a, b *target) int { return strings.Compare(a.Name, b.Name) })
-	s.fast, s.best = 0, nil
-	for _, t := range s.order {
-		s.learned(t)
+	slices.SortFunc(s.ordered, func(a, b *target) int { return strings.Compare(a.Name, b.Name) })
+	s.maxPrefillRate, s.fastest = 0, nil
+	for _, t := range s.ordered {
+		s.updateFastest(t)
 	}
 }
 
+// slots returns the number of slots of the target.
 func (t *target) slots() int {
 	if t.Slots > 0 {
 		return t.Slots
@@ -108,82 +114,86 @@
 	return defaultSlots
 }
 
-// others is how many requests of other daemons are at the target.
-func (s *Sched) others(now time.Time, t *target) int {
+// otherRequests returns the number of requests of other daemons at the target.
+func (s *Scheduler) otherRequests(now time.Time, t *target) int {
 	n := 0
-	if t.told {
-		n = t.elsewhere
+	if t.peersReported {
+		n = t.peerRequests
 	}
-	unheard := !t.told || s.share.Mixed || s.tune.Reports
-	if unheard && now.Sub(t.heard) <= reportLife {
-		n = max(n, t.report)
+	useReport := !t.peersReported || s.share.Mixed || s.tuning.Reports
+	if useReport && now.Sub(t.reportedAt) <= reportTTL {
+		n = max(n, t.reportedRequests)
 	}
-	return n + t.left(now)
+	return n + t.previousRequests(now)
 }
 
-// left is how much work of those who had the target before may still be there: it
-// ends one by one.
-func (t *target) left(now time.Time) int {
-	age := now.Sub(t.inherited)
-	if t.inherited.IsZero() || age >= inheritTime {
+// previousRequests returns the assumed number of requests that the target's
+// previous daemons still have there. They end one by one over takeoverPeriod.
+func (t *target) previousRequests(now time.Time) int {
+	age := now.Sub(t.takenOverAt)
+	if t.takenOverAt.IsZero() || age >= takeoverPeriod {
 		return 0
 	}
-	return int(math.Ceil(float64(t.slots()) * float64(inheritTime-age) / float64(inheritTime)))
+	return int(math.Ceil(float64(t.slots()) * float64(takeoverPeriod-age) / float64(takeoverPeriod)))
 }
 
-// taken is how many requests of all daemons are at the target.
-func (s *Sched) taken(now time.Time, t *target) int {
-	return t.requests + s.others(now, t)
+// occupied returns the number of requests of all daemons at the target.
+func (s *Scheduler) occupied(now time.Time, t *target) int {
+	return t.requests + s.otherRequests(now, t)
 }
 
-// extra is how many requests of the rank may stand before a full target.
-func (s *Sched) extra(rank int) int {
-	return min(max(s.lowest-rank, 0), s.tune.Extra)
+// allowedExtra returns how many requests beyond its slots a target may have when
+// one of the rank is sent.
+func (s *Scheduler) allowedExtra(rank int) int {
+	return min(max(s.lowestRank-rank, 0), s.tuning.Extra)
 }
 
-// skip says why the target takes no work, or nothing if it does; extra is how
-// many requests may be there beyond its slots.
-func (s *Sched) skip(now time.Time, t *target, extra int) string {
+// skipReason returns why the target accepts no request, or "" if it does. extra is
+// the number of requests allowed beyond its slots.
+func (s *Scheduler) skipReason(now time.Time, t *target, extra int) string {
 	switch {
-	case t.foreign:
+	case t.unassigned:
 		return "foreign"
 	case t.Drained, t.leaving:
 		return "leaving"
-	case now.Before(t.until):
+	case now.Before(t.ejectedUntil):
 		return "ejected"
 	case t.probing:
 		return "probing"
-	case s.taken(now, t) >= t.slots()+extra:
+	case s.occupied(now, t) >= t.slots()+extra:
 		return "full"
 	default:
 		return ""
 	}
 }
 
-func (s *Sched) takes(now time.Time, t *target, extra int) bool {
-	return s.skip(now, t, extra) == ""
+// accepts reports whether the target accepts a request.
+func (s *Scheduler) accepts(now time.Time, t *target, extra int) bool {
+	return s.skipReason(now, t, extra) == ""
 }
 
-// sent lets one request decide about a target that had failed.
-func (t *target) sent(now time.Time) {
-	if t.pause > 0 && !now.Before(t.until) {
+// markProbe makes the request just sent the probe of a target whose ejection has
+// ended.
+func (t *target) markProbe(now time.Time) {
+	if t.ejection > 0 && !now.Before(t.ejectedUntil) {
 		t.probing = true
 	}
 }
 
-// good ends a target's ejection.
-func (t *target) good() {
-	t.failing *= 1 - failWeight
-	t.pause, t.until, t.probing = 0, time.Time{}, false
+// recordSuccess counts a success and ends the target's ejection.
+func (t *target) recordSuccess() {
+	t.failureRate *= 1 - failureWeight
+	t.ejection, t.ejectedUntil, t.probing = 0, time.Time{}, false
 }
 
-// bad counts a failure; eject keeps the target out for a while.
-func (t *target) bad(now time.Time, eject bool) {
-	t.failing += failWeight * (1 - t.failing)
+// recordFailure counts a failure and, if eject is set, ejects the target for some
+// time.
+func (t *target) recordFailure(now time.Time, eject bool) {
+	t.failureRate += failureWeight * (1 - t.failureRate)
 	t.probing = false
-	t.own = time.Time{}
+	t.ownFreedAt = time.Time{}
 	if eject {
-		t.pause = min(max(2*t.pause, firstPause), longestPause)
-		t.until = now.Add(t.pause)
+		t.ejection = min(max(2*t.ejection, minEjection), maxEjection)
+		t.ejectedUntil = now.Add(t.ejection)
 	}
 }
--- a/internal/decide/slots/views.go
+++ b/internal/decide/slots/views.go
@@ -6,24 +6,24 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// consider lists the targets as they looked.
-func (s *Sched) consider(now time.Time, w *fireflypath.Work, out []fireflypath.Candidate) []fireflypath.Candidate {
-	for _, t := range s.order {
-		if t.foreign {
+// candidates appends the targets as they were when a request was dispatched.
+func (s *Scheduler) candidates(now time.Time, w *fireflypath.Work, out []fireflypath.Candidate) []fireflypath.Candidate {
+	for _, t := range s.ordered {
+		if t.unassigned {
 			continue
 		}
 		c := fireflypath.Candidate{
-			Target: t.Name, Held: t.prefill, Reported: s.others(now, t), Age: now.Sub(t.heard),
-			Window: t.slots(), Score: s.score(now, t, w), Skip: s.skip(now, t, s.extra(w.Rank)),
+			Target: t.Name, Held: t.pendingPrefill, Reported: s.otherRequests(now, t), Age: now.Sub(t.reportedAt),
+			Window: t.slots(), Score: s.score(now, t, w), Skip: s.skipReason(now, t, s.allowedExtra(w.Rank)),
 		}
 		out = append(out, c)
 	}
 	return out
 }
 
-// Demand summarises waiting and running work for the other daemons.
-func (s *Sched) Demand(time.Time) fireflypath.Demand {
-	n := s.lowest + 1
+// Demand summarizes waiting and running requests for the other daemons.
+func (s *Scheduler) Demand(time.Time) fireflypath.Demand {
+	n := s.lowestRank + 1
 	d := fireflypath.Demand{
 		Pool: s.pool.Name, Waiting: make([]int, n), Running: make([]int, n),
 		Requests: make([]int, n), Busy: make([]int, n),
@@ -32,29 +32,29 @@
 		d.Waiting[w.Rank] += w.Cost.Tokens()
 		d.Requests[w.Rank]++
 	}
-	for w := range s.flights {
+	for w := range s.inFlight {
 		if w.Rank < n {
 			d.Running[w.Rank] += w.Cost.Tokens()
 			d.Busy[w.Rank]++
 		}
 	}
-	for _, t := range s.order {
+	for _, t := range s.ordered {
 		d.Slots += t.slots()
 	}
 	return d
 }
 
-// Views appends what is known of each target, for operators.
-func (s *Sched) Views(now time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
-	for _, t := range s.order {
-		state := s.skip(now, t, 0)
+// Views appends the state of each target, for operators.
+func (s *Scheduler) Views(now time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
+	for _, t := range s.ordered {
+		state := s.skipReason(now, t, 0)
 		if state == "" {
 			state = "ready"
 		}
 		out = append(out, fireflypath.TargetView{
 			Target: t.Name, Pool: s.pool.Name, State: state, Window: t.slots(), Part: 1,
-			Held: t.prefill, Requests: t.requests,
-			PrefillRate: t.speed.Prefill(), DecodeRate: t.speed.Decode(), Age: now.Sub(t.heard),
+			Held: t.pendingPrefill, Requests: t.requests,
+			PrefillRate: t.speed.Prefill(), DecodeRate: t.speed.Decode(), Age: now.Sub(t.reportedAt),
 		})
 	}
 	return out
