--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,4 +1,4 @@
-// Package usage tells the other daemons what this one has in flight at the targets and uses of the teams' quotas, and hears the same of them.
+// Package usage exchanges in-flight work at the targets and usage of the team quotas between daemons.
 package usage
 
 import (
@@ -17,21 +17,22 @@
 )
 
 const (
-	// tellEvery is the time between two beats that carry changes. A slot that was
-	// freed here is seen by the others that much later.
-	tellEvery = 30 * time.Millisecond
-	// wholeEvery is how often everything is told, not only changes: two
-	// connections to a peer may deliver in another order than they were told.
-	wholeEvery = 2 * time.Second
-	// staleAfter is how long a silent peer's flights count. Its connection is
-	// found dead in about that time; its work at the targets is over or cut.
-	staleAfter = 2500 * time.Millisecond
-	// lookEvery is how often peers that fell silent and daemons that came or went are
-	// looked for when nothing is heard.
-	lookEvery = 250 * time.Millisecond
+	// sendInterval is the time between two heartbeats that carry changes. The other
+	// daemons see a slot that is freed here up to that much later.
+	sendInterval = 30 * time.Millisecond
+	// fullInterval is how often the full state is sent instead of changes: two
+	// connections to a peer may deliver messages out of order.
+	fullInterval = 2 * time.Second
+	// peerTimeout is how long the in-flight work of a silent peer counts. Its
+	// connection is found dead in about that time. By then its work at the targets is
+	// finished or cut off.
+	peerTimeout = 2500 * time.Millisecond
+	// refreshInterval is how often peers that fell silent and daemons that joined or
+	// left are checked for while no messages arrive.
+	refreshInterval = 250 * time.Millisecond
 )
 
-// Peers is what the exchange needs of the endpoint.
+// Peers sends and receives heartbeats.
 type Peers interface {
 	AddSource(peer.Source)
 	AddSink(peer.Sink)
@@ -39,27 +40,27 @@
 	FlushTo(names []string)
 }
 
-// Fleet tells which daemons there are.
+// Fleet lists the daemons of the fleet.
 type Fleet interface {
-	// Live lists the daemons by name.
+	// Live lists the live daemons by name.
 	Live() []fireflypath.Member
-	// Missing is the number of daemons that died lately.
+	// Missing is the number of daemons that died recently.
 	Missing() int
 	// Layout tells which daemons send work to the same targets.
 	Layout() *cell.Layout
 }
 
-// Pools hold the work in flight.
+// Pools holds the in-flight work of this daemon.
 type Pools interface {
-	// Moves changes whenever what Report tells may have changed.
+	// Moves returns a number that differs whenever the result of Report may differ.
 	Moves() uint64
-	// Report is what this daemon has in flight and waiting.
+	// Report returns the in-flight and waiting work of this daemon.
 	Report() fireflypath.Mate
-	// Hear takes in what the other daemons have.
+	// Hear sets the in-flight and waiting work of the other daemons.
 	Hear([]fireflypath.Mate)
 }
 
-// Limits hold the quotas.
+// Limits holds the quotas.
 type Limits interface {
 	Used() map[string]float64
 	Levels(now time.Time) map[string]float64
@@ -69,60 +70,63 @@
 	SetDaemons(daemons int)
 }
 
-// Usage exchanges with the peers.
+// Usage sends this daemon's state to its peers and receives theirs.
 type Usage struct {
-	self   string
-	peers  Peers
-	fleet  Fleet
-	pools  Pools
-	limits Limits
-	clock  clockwork.Clock
-	told   tally.Counter
-	heard  tally.Counter
-
-	// life is drawn at each start: the time of day may jump back between two.
-	life uint64
-
-	mu     sync.Mutex
-	number uint64
-	// now holds what this daemon has in flight and used.
-	flights map[string]int
-	prompts map[string]int
-	waits   map[string]int
-	speeds  map[string]fireflypath.Speed
-	apart   bool
-	used    map[string]int64
-	// sent is what each peer was told.
-	sent map[string]*sent
-	// mates is what each peer told.
-	mates map[string]*mate
-	// moves is what the last report was made at, reports their number.
-	moves, reports uint64
-	// news is true if peers told something that is not in force yet; applied is when
-	// what they told was last put in force.
-	news    bool
-	applied time.Time
+	self     string
+	peers    Peers
+	fleet    Fleet
+	pools    Pools
+	limits   Limits
+	clock    clockwork.Clock
+	sent     tally.Counter
+	received tally.Counter
+
+	// epoch identifies this run of the process. It is random, because the time of day
+	// may be set back between two starts.
+	epoch uint64
+
+	mu       sync.Mutex
+	sequence uint64
+	// The state of this daemon, as read last.
+	inFlight       map[string]int
+	pendingPrompts map[string]int
+	waitingRanks   map[string]int
+	speeds         map[string]fireflypath.Speed
+	partialView    bool
+	used           map[string]int64
+	// sentTo is the state that each peer was sent.
+	sentTo map[string]*sentState
+	// peerStates is the state that each peer sent.
+	peerStates map[string]*peerState
+	// version is the value of Pools.Moves at the last report, reports the number of
+	// reports.
+	version, reports uint64
+	// pending is true if peer states were received and not applied yet. appliedAt is when
+	// they were last applied.
+	pending   bool
+	appliedAt time.Time
 }
 
-// New connects the exchange to the endpoint before that serves.
+// New registers the exchange with the endpoint. It must be called before the endpoint
+// serves.
 func New(self string, peers Peers, fleet Fleet, pools Pools, limits Limits, clock clockwork.Clock, scope tally.Scope) *Usage {
 	scope = scope.SubScope("usage")
 	u := &Usage{
 		self: self, peers: peers, fleet: fleet, pools: pools, limits: limits, clock: clock,
-		told: scope.Counter("told"), heard: scope.Counter("heard"),
-		life:    rand.Uint64(),
-		flights: map[string]int{}, prompts: map[string]int{}, waits: map[string]int{}, used: map[string]int64{},
-		sent: map[string]*sent{}, mates: map[string]*mate{},
+		sent: scope.Counter("told"), received: scope.Counter("heard"),
+		epoch:    rand.Uint64(),
+		inFlight: map[string]int{}, pendingPrompts: map[string]int{}, waitingRanks: map[string]int{}, used: map[string]int64{},
+		sentTo: map[string]*sentState{}, peerStates: map[string]*peerState{},
 	}
-	peers.AddSource(u.tell)
-	peers.AddSink(u.hear)
-	peers.AddUp(u.met)
+	peers.AddSource(u.fillBeat)
+	peers.AddSink(u.receive)
+	peers.AddUp(u.resetPeer)
 	return u
 }
 
-// Run exchanges until the context ends.
+// Run exchanges state until the context ends.
 func (u *Usage) Run(ctx context.Context) error {
-	t := u.clock.NewTicker(tellEvery)
+	t := u.clock.NewTicker(sendInterval)
 	defer t.Stop()
 	for {
 		u.Step()
@@ -134,35 +138,35 @@
 	}
 }
 
-// Step reads what changed here, tells it, and puts what was heard in force. It runs
-// so often that it does nothing where nothing happened.
+// Step sends local changes and applies received ones. It runs so often that it does no
+// work when nothing changed.
 func (u *Usage) Step() {
 	layout := u.fleet.Layout()
-	if u.look(layout) {
+	if u.readLocal(layout) {
 		u.peers.FlushTo(layout.Mates(u.self))
 	}
 	now := u.clock.Now()
 	u.mu.Lock()
-	due := u.news || u.applied.IsZero() || now.Sub(u.applied) >= lookEvery
+	due := u.pending || u.appliedAt.IsZero() || now.Sub(u.appliedAt) >= refreshInterval
 	u.mu.Unlock()
 	if due {
 		u.apply(now, layout)
 	}
 }
 
-// look reads what this daemon has in flight and uses, and reports whether that is
-// another than before.
-func (u *Usage) look(layout *cell.Layout) bool {
-	moves := u.pools.Moves()
+// readLocal reads this daemon's in-flight work and quota usage and reports whether they
+// changed.
+func (u *Usage) readLocal(layout *cell.Layout) bool {
+	version := u.pools.Moves()
 	u.mu.Lock()
-	moved := moves != u.moves || u.reports == 0
+	stale := version != u.version || u.reports == 0
 	u.mu.Unlock()
 	changed := false
-	if moved {
-		changed = u.report(moves)
+	if stale {
+		changed = u.readPools(version)
 	}
 	if layout.Cells() > 1 {
-		return changed // the teams' keepers are told what they use
+		return changed // the quota coordinators receive the usage instead
 	}
 	used := u.limits.Used()
 	u.mu.Lock()
@@ -175,27 +179,27 @@
 	return changed
 }
 
-// report reads what is in flight.
-func (u *Usage) report(moves uint64) bool {
+// readPools reads the in-flight work of the pools and reports whether it changed.
+func (u *Usage) readPools(version uint64) bool {
 	r := u.pools.Report()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.reports++
-	u.moves = moves
-	changed := !maps.Equal(r.Flights, u.flights) || !maps.Equal(r.Prompts, u.prompts) || !maps.Equal(r.Waits, u.waits) ||
-		r.Apart != u.apart
-	u.flights, u.prompts, u.waits, u.speeds, u.apart = r.Flights, r.Prompts, r.Waits, r.Speeds, r.Apart
+	u.version = version
+	changed := !maps.Equal(r.Flights, u.inFlight) || !maps.Equal(r.Prompts, u.pendingPrompts) || !maps.Equal(r.Waits, u.waitingRanks) ||
+		r.Apart != u.partialView
+	u.inFlight, u.pendingPrompts, u.waitingRanks, u.speeds, u.partialView = r.Flights, r.Prompts, r.Waits, r.Speeds, r.Apart
 	return changed
 }
 
-// apply puts the flights of the daemons that send work to the same targets, and the
-// size of the fleet, in force.
+// apply applies the size of the fleet and the in-flight work of the daemons that send
+// work to the same targets.
 func (u *Usage) apply(now time.Time, layout *cell.Layout) {
 	live := u.fleet.Live()
-	mates := u.heardOf(now, live, layout.Mates(u.self))
+	mates := u.activePeers(now, live, layout.Mates(u.self))
 	u.pools.Hear(mates)
 	if len(mates) == 0 && len(live) == 1 {
-		return // not joined yet; the parts that were set at the start hold
+		return // not joined yet: the fractions set at the start stay in force
 	}
 	all := len(live) + u.fleet.Missing()
 	if layout.Cells() > 1 {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -17,27 +17,29 @@
 	"github.com/fireflypath/fireflypath/internal/usage"
 )
 
-// daemon is one Usage with what it is connected to.
+// daemon is a Usage and a fake of everything it depends on.
 type daemon struct {
 	name   string
-	u      *usage.Usage
+	usage  *usage.Usage
 	source peer.Source
 	sink   peer.Sink
 	up     func(fireflypath.Member)
 
 	report  fireflypath.Mate
 	used    map[string]float64
-	mates   []fireflypath.Mate
+	peers   []fireflypath.Mate
 	heard   map[string]float64
 	part    float64
 	adopted map[string]float64
 	live    []fireflypath.Member
 	missing int
-	// moves grows with each look, so that each report is read, unless nothing moves.
-	moves                   uint64
-	still                   bool
+	// version grows with each call of Moves, so that each report is read, unless idle is
+	// set.
+	version uint64
+	idle    bool
+	// The number of calls of FlushTo, Report and Hear.
 	flushed, reports, hears int
-	// layout is worked out anew if it is nil.
+	// layout is computed from live if it is nil.
 	layout *cell.Layout
 }
 
@@ -48,16 +50,16 @@
 func (d *daemon) Live() []fireflypath.Member          { return d.live }
 func (d *daemon) Missing() int                        { return d.missing }
 func (d *daemon) Report() fireflypath.Mate            { d.reports++; return d.report }
-func (d *daemon) Hear(ms []fireflypath.Mate)          { d.mates = ms; d.hears++ }
+func (d *daemon) Hear(ms []fireflypath.Mate)          { d.peers = ms; d.hears++ }
 func (d *daemon) Used() map[string]float64            { return d.used }
 func (d *daemon) SetDaemons(int)                      {}
 func (d *daemon) Levels(time.Time) map[string]float64 { return map[string]float64{"red": 7} }
 
 func (d *daemon) Moves() uint64 {
-	if !d.still {
-		d.moves++
+	if !d.idle {
+		d.version++
 	}
-	return d.moves
+	return d.version
 }
 
 func (d *daemon) Adopt(_ time.Time, levels map[string]float64) {
@@ -89,105 +91,105 @@
 	for i := range 2 {
 		d := &daemon{name: fmt.Sprint("d", i), live: live, used: map[string]float64{}, heard: map[string]float64{}}
 		d.report = fireflypath.Mate{Flights: map[string]int{}, Waits: map[string]int{}}
-		d.u = usage.New(d.name, d, d, d, d, clock, tally.NoopScope)
+		d.usage = usage.New(d.name, d, d, d, d, clock, tally.NoopScope)
 		out = append(out, d)
 	}
 	return out, clock
 }
 
-// tell sends a beat from one to the other.
-func tell(from, to *daemon) {
-	from.u.Step()
+// exchange sends a heartbeat from one daemon to the other.
+func exchange(from, to *daemon) {
+	from.usage.Step()
 	var b peer.Beat
 	from.source(to.name, &b)
 	to.sink(from.name, &b)
-	to.u.Step()
+	to.usage.Step()
 }
 
-func TestFlightsAreHeard(t *testing.T) {
+func TestInFlightWorkIsReceived(t *testing.T) {
 	is := is.New(t)
 	ds, _ := pair()
 	a, b := ds[0], ds[1]
 	a.report.Flights = map[string]int{"t1": 3}
 	a.report.Waits = map[string]int{"p": 2}
-	tell(a, b)
-	is.Equal(b.mates[0].Flights, map[string]int{"t1": 3})
-	is.Equal(b.mates[0].Waits, map[string]int{"p": 2})
+	exchange(a, b)
+	is.Equal(b.peers[0].Flights, map[string]int{"t1": 3})
+	is.Equal(b.peers[0].Waits, map[string]int{"p": 2})
 	a.report.Flights = map[string]int{"t2": 1}
 	a.report.Waits = map[string]int{}
-	tell(a, b)
-	is.Equal(b.mates[0].Flights["t1"], 0)
-	is.Equal(b.mates[0].Flights["t2"], 1)
-	is.Equal(len(b.mates[0].Waits), 0)
+	exchange(a, b)
+	is.Equal(b.peers[0].Flights["t1"], 0)
+	is.Equal(b.peers[0].Flights["t2"], 1)
+	is.Equal(len(b.peers[0].Waits), 0)
 }
 
-// A daemon dies without a word. What it had at the targets is over; counted on,
-// its places would stay empty for good.
-func TestSilentDaemonsFlightsEnd(t *testing.T) {
+// A daemon dies without notice. If its in-flight work still counted, the slots it used
+// would stay empty for good.
+func TestInFlightWorkOfSilentDaemonExpires(t *testing.T) {
 	is := is.New(t)
 	ds, clock := pair()
 	a, b := ds[0], ds[1]
 	a.report.Flights = map[string]int{"t1": 3}
-	tell(a, b)
-	is.Equal(len(b.mates), 1)
+	exchange(a, b)
+	is.Equal(len(b.peers), 1)
 	is.Equal(b.part, 1.0)
 	clock.Advance(3 * time.Second)
-	b.u.Step()
-	is.Equal(len(b.mates), 0)
-	is.Equal(b.part, 0.5) // half of the quotas may be used where nobody hears of it
+	b.usage.Step()
+	is.Equal(len(b.peers), 0)
+	is.Equal(b.part, 0.5) // the other half of the quotas may be used by the silent daemon
 }
 
-// A daemon restarts. Its sums begin again at zero, and what it uses from then on
-// must count.
-func TestRestartedDaemonsUseCounts(t *testing.T) {
+// A daemon restarts, and its usage sums start again at zero. Its usage from then on must
+// count.
+func TestUsageAfterRestartCounts(t *testing.T) {
 	is := is.New(t)
 	ds, clock := pair()
 	a, b := ds[0], ds[1]
 	a.used["red"] = 100
-	tell(a, b)
-	is.Equal(b.heard["red"], 0.0) // used before b first heard of it
+	exchange(a, b)
+	is.Equal(b.heard["red"], 0.0) // used before b first received its sums
 	a.used["red"] = 150
-	tell(a, b)
+	exchange(a, b)
 	is.Equal(b.heard["red"], 50.0)
 	clock.Advance(time.Second)
-	again := &daemon{name: "d0", live: a.live, used: map[string]float64{"red": 30}, heard: map[string]float64{}, report: a.report}
-	again.u = usage.New("d0", again, again, again, again, clock, tally.NoopScope)
+	restarted := &daemon{name: "d0", live: a.live, used: map[string]float64{"red": 30}, heard: map[string]float64{}, report: a.report}
+	restarted.usage = usage.New("d0", restarted, restarted, restarted, restarted, clock, tally.NoopScope)
 	b.up(fireflypath.Member{Name: "d0", Incarnation: 2})
-	tell(again, b)
+	exchange(restarted, b)
 	is.Equal(b.heard["red"], 80.0)
 	a.used["red"] = 500
-	tell(a, b) // a message of the earlier life, late
+	exchange(a, b) // a late message from before the restart
 	is.Equal(b.heard["red"], 80.0)
 }
 
-// A daemon that starts takes over what the others' buckets hold.
-func TestLevelsAreTakenOver(t *testing.T) {
+// A daemon that starts adopts the bucket levels of the others.
+func TestLevelsAreAdopted(t *testing.T) {
 	is := is.New(t)
 	ds, _ := pair()
-	tell(ds[0], ds[1])
+	exchange(ds[0], ds[1])
 	is.Equal(ds[1].adopted, map[string]float64{"red": 7})
 }
 
-// An older message on another connection comes late: it changes nothing.
+// An older message arrives late on another connection. It must change nothing.
 func TestOlderMessageIsIgnored(t *testing.T) {
 	is := is.New(t)
 	ds, _ := pair()
 	a, b := ds[0], ds[1]
 	a.report.Flights = map[string]int{"t1": 3}
-	a.u.Step()
+	a.usage.Step()
 	var old peer.Beat
 	a.source("d1", &old)
 	a.report.Flights = map[string]int{"t1": 1}
-	tell(a, b)
+	exchange(a, b)
 	b.sink("d0", &old)
-	b.u.Step()
-	is.Equal(b.mates[0].Flights["t1"], 1)
+	b.usage.Step()
+	is.Equal(b.peers[0].Flights["t1"], 1)
 }
 
-// Hundreds of daemons have connections to one that watches the store for them. They
-// send work to other targets: counted over all targets thirty times a second, their
-// silence took most of that daemon's processor.
-func TestOnlyMatesAreCounted(t *testing.T) {
+// Hundreds of daemons are connected to one that watches the store for them, but send work
+// to other targets. Iterating over them and all targets thirty times a second took most
+// of that daemon's CPU time, although they sent nothing.
+func TestOnlyPeersWithSameTargetsAreApplied(t *testing.T) {
 	is := is.New(t)
 	ds, _ := pair()
 	d := ds[0]
@@ -200,36 +202,36 @@
 			d.sink(m.Name, &peer.Beat{})
 		}
 	}
-	d.u.Step()
-	mates := d.Layout().Mates(d.name)
-	is.True(len(mates) < 20)
-	is.Equal(len(d.mates), len(mates)-1)
+	d.usage.Step()
+	names := d.Layout().Mates(d.name)
+	is.True(len(names) < 20)
+	is.Equal(len(d.peers), len(names)-1)
 }
 
-// Nothing happens at a daemon and nothing is heard. It neither reads its pools nor
-// counts over the targets, and tells nobody anything.
+// Nothing changes at a daemon and it receives nothing. It must not read its pools, update
+// them or send anything.
 func TestIdleDaemonDoesNothing(t *testing.T) {
 	is := is.New(t)
 	ds, clock := pair()
 	a, b := ds[0], ds[1]
-	tell(b, a)
-	a.still = true
-	a.u.Step()
+	exchange(b, a)
+	a.idle = true
+	a.usage.Step()
 	reports, hears, flushed := a.reports, a.hears, a.flushed
 	for range 5 {
 		clock.Advance(30 * time.Millisecond)
-		a.u.Step()
+		a.usage.Step()
 	}
 	is.Equal(a.reports, reports)
 	is.Equal(a.hears, hears)
 	is.Equal(a.flushed, flushed)
-	a.still = false
+	a.idle = false
 	a.report.Flights = map[string]int{"t1": 1}
-	a.u.Step()
+	a.usage.Step()
 	is.Equal(a.flushed, flushed+1)
 	b.report.Flights = map[string]int{"t1": 1}
-	tell(b, a)
-	is.Equal(a.mates[0].Flights["t1"], 1)
+	exchange(b, a)
+	is.Equal(a.peers[0].Flights["t1"], 1)
 }
 
 func BenchmarkStep(b *testing.B) {
@@ -242,9 +244,9 @@
 				d.live = append(d.live, fireflypath.Member{Name: fmt.Sprintf("d%03d", i), Incarnation: 1})
 			}
 			d.layout = d.Layout()
-			d.still = true
+			d.idle = true
 			for b.Loop() {
-				d.u.Step()
+				d.usage.Step()
 			}
 		})
 	}
