--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -52,11 +52,11 @@
 
 // Pools holds the in-flight work of this daemon.
 type Pools interface {
-	// Moves returns a number that differs whenever the result of Report may differ.
+	// Version returns a number that differs whenever the result of Report may differ.
 	Moves() uint64
 	// Report returns the in-flight and waiting work of this daemon.
 	Report() fireflypath.Mate
-	// Hear sets the in-flight and waiting work of the other daemons.
+	// UpdatePeers sets the in-flight and waiting work of the other daemons.
 	Hear([]fireflypath.Mate)
 }
 
@@ -98,7 +98,7 @@
 	sentTo map[string]*sentState
 	// peerStates is the state that each peer sent.
 	peerStates map[string]*peerState
-	// version is the value of Pools.Moves at the last report, reports the number of
+	// version is the value of Pools.Version at the last report, reports the number of
 	// reports.
 	version, reports uint64
 	// pending is true if peer states were received and not applied yet. appliedAt is when
@@ -196,9 +196,9 @@
 // work to the same targets.
 func (u *Usage) apply(now time.Time, layout *cell.Layout) {
 	live := u.fleet.Live()
-	mates := u.activePeers(now, live, layout.Mates(u.self))
-	u.pools.Hear(mates)
-	if len(mates) == 0 && len(live) == 1 {
+	peers := u.activePeers(now, live, layout.Mates(u.self))
+	u.pools.Hear(peers)
+	if len(peers) == 0 && len(live) == 1 {
 		return // not joined yet: the fractions set at the start stay in force
 	}
 	all := len(live) + u.fleet.Missing()
@@ -206,5 +206,5 @@
 		u.limits.SetLargeFleet(all)
 		return
 	}
-	u.limits.SetFleet(now, all, float64(len(mates)+1)/float64(all))
+	u.limits.SetFleet(now, all, float64(len(peers)+1)/float64(all))
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -33,12 +33,12 @@
 	adopted map[string]float64
 	live    []fireflypath.Member
 	missing int
-	// version grows with each call of Moves, so that each report is read, unless idle is
+	// version grows with each call of Version, so that each report is read, unless idle is
 	// set.
 	version uint64
 	idle    bool
-	// The number of calls of FlushTo, Report and Hear.
-	flushed, reports, hears int
+	// The number of calls of FlushTo, Report and UpdatePeers.
+	flushed, reports, updates int
 	// layout is computed from live if it is nil.
 	layout *cell.Layout
 }
@@ -50,7 +50,7 @@
 func (d *daemon) Live() []fireflypath.Member          { return d.live }
 func (d *daemon) Missing() int                        { return d.missing }
 func (d *daemon) Report() fireflypath.Mate            { d.reports++; return d.report }
-func (d *daemon) Hear(ms []fireflypath.Mate)          { d.peers = ms; d.hears++ }
+func (d *daemon) Hear(ms []fireflypath.Mate)          { d.peers = ms; d.updates++ }
 func (d *daemon) Used() map[string]float64            { return d.used }
 func (d *daemon) SetLargeFleet(int)                   {}
 func (d *daemon) Levels(time.Time) map[string]float64 { return map[string]float64{"red": 7} }
@@ -217,13 +217,13 @@
 	exchange(b, a)
 	a.idle = true
 	a.usage.Step()
-	reports, hears, flushed := a.reports, a.hears, a.flushed
+	reports, updates, flushed := a.reports, a.updates, a.flushed
 	for range 5 {
 		clock.Advance(30 * time.Millisecond)
 		a.usage.Step()
 	}
 	is.Equal(a.reports, reports)
-	is.Equal(a.hears, hears)
+	is.Equal(a.updates, updates)
 	is.Equal(a.flushed, flushed)
 	a.idle = false
 	a.report.Flights = map[string]int{"t1": 1}
