--- a/internal/decide/sched/bench_test.go
+++ b/internal/decide/sched/bench_test.go
@@ -9,30 +9,31 @@
 	"github.com/fireflypath/fireflypath/internal/decide/place"
 )
 
-// bench is a scheduler in steady state: every team has work waiting, and each
-// step takes one request in, dispatches one and ends the oldest in flight.
-type bench struct {
-	s      *Scheduler
-	now    time.Time
-	free   []*fireflypath.Work
-	flight []*fireflypath.Work
-	target []string
-	head   int
-	next   int
-	place  fireflypath.Placement
-	sheds  []fireflypath.Shed
-	teams  []string
-	// prompts are the block hashes of the texts that prompts begin with.
-	prompts [][]uint64
+// steadyState drives a scheduler with a constant backlog: every team has work
+// waiting, and each step offers one request, dispatches one and completes the
+// oldest in flight.
+type steadyState struct {
+	scheduler       *Scheduler
+	now             time.Time
+	freeWorks       []*fireflypath.Work
+	inFlight        []*fireflypath.Work
+	inFlightTargets []string
+	oldest          int
+	offered         int
+	placement       fireflypath.Placement
+	sheds           []fireflypath.Shed
+	teams           []string
+	// prefixes are the block hashes of the texts that prompts begin with.
+	prefixes [][]uint64
 }
 
-func newBench(targets, teams int) *bench {
-	b := &bench{now: t0}
+func newSteadyState(targets, teams int) *steadyState {
+	b := &steadyState{now: startTime}
 	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Requests: 1 << 20, Bytes: 1 << 40}, LowestRank: 2, Seed: 1}
 	for i := range targets {
 		cfg.Targets = append(cfg.Targets, fireflypath.Target{Name: fmt.Sprintf("m%04d", i), Pool: "llm"})
 	}
-	b.s = New(cfg)
+	b.scheduler = New(cfg)
 	for i := range teams {
 		b.teams = append(b.teams, fmt.Sprintf("team%05d", i))
 	}
@@ -41,11 +42,11 @@
 		for j := range hashes {
 			hashes[j] = place.Mix(uint64(i*len(hashes) + j + 1))
 		}
-		b.prompts = append(b.prompts, hashes)
+		b.prefixes = append(b.prefixes, hashes)
 	}
 	works := make([]fireflypath.Work, teams+64*targets)
 	for i := range works {
-		b.free = append(b.free, &works[i])
+		b.freeWorks = append(b.freeWorks, &works[i])
 	}
 	for range teams + 8*targets {
 		b.offer()
@@ -59,62 +60,62 @@
 	return b
 }
 
-func (b *bench) offer() {
-	if len(b.free) == 0 {
+func (b *steadyState) offer() {
+	if len(b.freeWorks) == 0 {
 		return
 	}
-	w := b.free[len(b.free)-1]
-	b.free = b.free[:len(b.free)-1]
+	w := b.freeWorks[len(b.freeWorks)-1]
+	b.freeWorks = b.freeWorks[:len(b.freeWorks)-1]
 	*w = fireflypath.Work{
-		ID: "d.1", Team: b.teams[b.next%len(b.teams)], Weight: 1, Rank: b.next % 3, Pool: "llm",
+		ID: "d.1", Team: b.teams[b.offered%len(b.teams)], Weight: 1, Rank: b.offered % 3, Pool: "llm",
 		Arrived: b.now, Deadline: b.now.Add(24 * time.Hour),
-		Cost: fireflypath.Cost{Prompt: 200 + b.next%1000, Output: 50}, Bytes: 1000,
-		Prefix: b.prompts[b.next%len(b.prompts)][:(200+b.next%1000)/block],
+		Cost: fireflypath.Cost{Prompt: 200 + b.offered%1000, Output: 50}, Bytes: 1000,
+		Prefix: b.prefixes[b.offered%len(b.prefixes)][:(200+b.offered%1000)/blockTokens],
 	}
-	b.next++
-	b.sheds = b.s.Offer(b.now, w, b.sheds[:0])
+	b.offered++
+	b.sheds = b.scheduler.Offer(b.now, w, b.sheds[:0])
 }
 
-func (b *bench) dispatch() {
-	if !b.s.Next(b.now, &b.place) {
+func (b *steadyState) dispatch() {
+	if !b.scheduler.Next(b.now, &b.placement) {
 		return
 	}
-	b.place.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
-	b.flight = append(b.flight, b.place.Work)
-	b.target = append(b.target, b.place.Target)
+	b.placement.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
+	b.inFlight = append(b.inFlight, b.placement.Work)
+	b.inFlightTargets = append(b.inFlightTargets, b.placement.Target)
 }
 
-// end lets the oldest flight end.
-func (b *bench) end() {
-	if b.head == len(b.flight) {
+// completeOldest completes the request that has been in flight longest.
+func (b *steadyState) completeOldest() {
+	if b.oldest == len(b.inFlight) {
 		return
 	}
-	w, t := b.flight[b.head], b.target[b.head]
-	b.head++
-	b.s.Observe(b.now, fireflypath.Event{Kind: fireflypath.EventFirst, Target: t, Work: w, Cached: 0})
-	b.s.Observe(b.now, fireflypath.Event{Kind: fireflypath.EventDone, Target: t, Work: w, Tokens: 25})
-	b.free = append(b.free, w)
-	if b.head > 1<<16 {
-		b.flight = append(b.flight[:0], b.flight[b.head:]...)
-		b.target = append(b.target[:0], b.target[b.head:]...)
-		b.head = 0
+	w, t := b.inFlight[b.oldest], b.inFlightTargets[b.oldest]
+	b.oldest++
+	b.scheduler.Observe(b.now, fireflypath.Event{Kind: fireflypath.EventFirst, Target: t, Work: w, Cached: 0})
+	b.scheduler.Observe(b.now, fireflypath.Event{Kind: fireflypath.EventDone, Target: t, Work: w, Tokens: 25})
+	b.freeWorks = append(b.freeWorks, w)
+	if b.oldest > 1<<16 {
+		b.inFlight = append(b.inFlight[:0], b.inFlight[b.oldest:]...)
+		b.inFlightTargets = append(b.inFlightTargets[:0], b.inFlightTargets[b.oldest:]...)
+		b.oldest = 0
 	}
 }
 
-func (b *bench) step() {
+func (b *steadyState) step() {
 	b.now = b.now.Add(time.Millisecond)
 	b.offer()
 	b.dispatch()
-	b.end()
+	b.completeOldest()
 }
 
-// sizes runs a benchmark at today's size, at that of the letter's daemons, and
-// at that of its targets and teams.
-func sizes(b *testing.B, fn func(b *testing.B, x *bench)) {
+// runSizes runs a benchmark at the present size, at the specified number of
+// daemons, and at the specified number of targets and teams.
+func runSizes(b *testing.B, fn func(b *testing.B, x *steadyState)) {
 	for _, targets := range []int{15, 385, 2700} {
 		for _, teams := range []int{5, 1000, 29000} {
 			b.Run(fmt.Sprintf("targets=%d/teams=%d", targets, teams), func(b *testing.B) {
-				x := newBench(targets, teams)
+				x := newSteadyState(targets, teams)
 				b.ReportAllocs()
 				b.ResetTimer()
 				fn(b, x)
@@ -123,10 +124,10 @@
 	}
 }
 
-// BenchmarkDecision is the way of a request until it is dispatched: enqueue,
-// pick, place. The answers are learned from off the clock, 16 at a time.
+// BenchmarkDecision measures queuing, selection and placement of a request.
+// Answers are processed 16 at a time while the timer is stopped.
 func BenchmarkDecision(b *testing.B) {
-	sizes(b, func(b *testing.B, x *bench) {
+	runSizes(b, func(b *testing.B, x *steadyState) {
 		for i := range b.N {
 			x.now = x.now.Add(time.Millisecond)
 			x.offer()
@@ -136,16 +137,17 @@
 			}
 			b.StopTimer()
 			for range 16 {
-				x.end()
+				x.completeOldest()
 			}
 			b.StartTimer()
 		}
 	})
 }
 
-// BenchmarkRequest is the whole way of a request, its answer included.
+// BenchmarkRequest measures all scheduler calls for a request, including those
+// for its answer.
 func BenchmarkRequest(b *testing.B) {
-	sizes(b, func(b *testing.B, x *bench) {
+	runSizes(b, func(b *testing.B, x *steadyState) {
 		for range b.N {
 			x.step()
 		}
--- a/internal/decide/sched/choose.go
+++ b/internal/decide/sched/choose.go
@@ -9,23 +9,25 @@
 	"github.com/fireflypath/fireflypath/internal/decide/slow"
 )
 
-// sample is how many targets are weighed for one decision. Up to this
-// number all are; of more, a random sample and the holders of the prefix, so
-// that a decision costs the same at 2,700 targets as at 12. The best of 12
-// random ones is among the best sixth in nine of ten decisions.
-const sample = 12
+// sampleSize is the number of targets compared per decision. Up to this number
+// all are compared; of more, a random sample and the targets that hold the
+// prefix, so that a decision costs the same with 2,700 targets as with 12. The
+// best of 12 random targets is among the best sixth in nine of ten decisions.
+const sampleSize = 12
 
-// slowPenalty makes a slow target the last choice, but better than none.
+// slowPenalty multiplies the score of a slow target, so that it is chosen only
+// when there is no other.
 const slowPenalty = 3
 
-// choose finds the target for work. It reports false if the work would end too
-// late at every open target, or is long and has to wait for its turn.
+// choose selects the target for work. It returns false if the work would miss
+// its deadline at every available target, or if it is a long prefill that must
+// wait for others to end.
 func (s *Scheduler) choose(now time.Time, slot int32, p *fireflypath.Placement) bool {
 	it := &s.items[slot]
 	w := it.work
-	s.weigh(now, w, p)
+	s.collectOptions(now, w, p)
 	if len(s.options) == 0 {
-		s.exceed(now, slot, p)
+		s.addOverLimitOptions(now, slot, p)
 	}
 	if len(s.options) == 0 {
 		return false
@@ -34,71 +36,75 @@
 	if len(w.Prefix) > 0 {
 		key = w.Prefix[0]
 	}
-	s.pick = s.options[s.chosen.Choose(key, s.options)]
+	s.choice = s.options[s.chooser.Choose(key, s.options)]
 	factor := s.margin.Factor()
-	if s.urgent(now, it) && s.risky(w) {
+	if s.urgent(now, it) && s.riskAllowed(w) {
 		factor = s.margin.Tight()
 	}
-	if s.last(now, it) {
+	if s.critical(now, it) {
 		factor = 1
 	}
-	if s.targets[s.pick.Target].known() && deadline.Latest(w.Deadline, s.expected(), factor).Before(now) {
+	if s.targets[s.choice.Target].hasSpeeds() && deadline.Latest(w.Deadline, s.expectedDuration(), factor).Before(now) {
 		return false
 	}
-	return !s.long.Long(s.prefill(w)) || s.long.Open(s.parts, w.Team)
+	return !s.longGate.Long(s.prefillSeconds(w)) || s.longGate.Open(s.totalParts, w.Team)
 }
 
-// expected is how long the work chosen for last takes.
-func (s *Scheduler) expected() time.Duration {
-	return time.Duration(s.pick.Score * float64(time.Second))
+// expectedDuration returns how long the work takes at the target in s.choice.
+func (s *Scheduler) expectedDuration() time.Duration {
+	return time.Duration(s.choice.Score * float64(time.Second))
 }
 
-// prefill is how long the prefill of the work chosen for last takes, in seconds.
-func (s *Scheduler) prefill(w *fireflypath.Work) float64 {
-	t := s.pick.Target
-	return float64(max(w.Cost.Prompt-s.hit(t), 0)) / s.prefillRate(&s.targets[t])
+// prefillSeconds returns how long the work's prefill takes at the target in
+// s.choice.
+func (s *Scheduler) prefillSeconds(w *fireflypath.Work) float64 {
+	t := s.choice.Target
+	return float64(max(w.Cost.Prompt-s.cachedTokens(t), 0)) / s.prefillRate(&s.targets[t])
 }
 
-// weigh fills the options and the candidates: the holders found last, and all
-// open targets or a random sample of many.
-func (s *Scheduler) weigh(now time.Time, w *fireflypath.Work, p *fireflypath.Placement) {
+// collectOptions fills s.options and p.Considered with the available prefix
+// holders and with all available targets, or a random sample of them if there
+// are many.
+func (s *Scheduler) collectOptions(now time.Time, w *fireflypath.Work, p *fireflypath.Placement) {
 	s.options = s.options[:0]
 	p.Considered = p.Considered[:0]
-	for _, i := range s.holders {
-		if s.targets[i].at != none {
-			s.consider(now, i, w, p)
+	for _, i := range s.prefixHolders {
+		if s.targets[i].availablePos != none {
+			s.addOption(now, i, w, p)
 		}
 	}
-	n := len(s.open)
-	if n <= sample {
-		for _, i := range s.open {
-			if s.hit(i) == 0 {
-				s.consider(now, i, w, p)
+	n := len(s.available)
+	if n <= sampleSize {
+		for _, i := range s.available {
+			if s.cachedTokens(i) == 0 {
+				s.addOption(now, i, w, p)
 			}
 		}
 		return
 	}
-	at := s.rnd.IntN(n)
-	step := 1 + s.rnd.IntN(n-1)
-	for range sample {
-		if i := s.open[at]; s.hit(i) == 0 {
-			s.consider(now, i, w, p)
+	pos := s.rng.IntN(n)
+	step := 1 + s.rng.IntN(n-1)
+	for range sampleSize {
+		if i := s.available[pos]; s.cachedTokens(i) == 0 {
+			s.addOption(now, i, w, p)
 		}
-		at = (at + step) % n
+		pos = (pos + step) % n
 	}
 }
 
-func (s *Scheduler) consider(now time.Time, i int32, w *fireflypath.Work, p *fireflypath.Placement) {
+// addOption scores a target for the work and adds it to the options, unless the
+// target is reserved for higher tiers.
+func (s *Scheduler) addOption(now time.Time, i int32, w *fireflypath.Work, p *fireflypath.Placement) {
 	t := &s.targets[i]
-	if s.keep && s.fast(t) {
+	if s.fastReserved && s.isFast(t) {
 		return
 	}
-	hit := s.hit(i)
-	score := s.expect(now, t, w, hit)
-	if t.slow.State() == slow.Slow || (t.filling > 0 && now.After(t.due)) {
+	hit := s.cachedTokens(i)
+	score := s.expectedSeconds(now, t, w, hit)
+	if t.slow.State() == slow.Slow || (t.prefilling > 0 && now.After(t.firstTokenDue)) {
 		score *= slowPenalty
 	}
-	s.options = append(s.options, place.Option{Target: i, Hash: t.hash, Requests: t.requests, Score: score})
+	s.options = append(s.options, place.Option{Target: i, Hash: t.nameHash, Requests: t.requests, Score: score})
 	p.Considered = append(p.Considered, fireflypath.Candidate{
 		Target:   t.Name,
 		Held:     t.tokens,
@@ -110,12 +116,12 @@
 	})
 }
 
-// hit is the number of prompt tokens expected in the cache of a target, for the
-// work weighed last.
-func (s *Scheduler) hit(i int32) int {
-	for k, h := range s.holders {
+// cachedTokens returns how many tokens of the current prompt are expected to be
+// in the target's cache. The prompt is that of the last findHolders call.
+func (s *Scheduler) cachedTokens(i int32) int {
+	for k, h := range s.prefixHolders {
 		if h == i {
-			return s.depths[k] * block
+			return s.prefixDepths[k] * blockTokens
 		}
 	}
 	return 0
--- a/internal/decide/sched/expire.go
+++ b/internal/decide/sched/expire.go
@@ -8,96 +8,97 @@
 )
 
 const (
-	// again is how long after a relief round work past its time is returned once
-	// more, if the owner has not decided by then: a peer that does not answer is
-	// out of the membership after seconds, and each return starts a round.
-	again = 250 * time.Millisecond
-	// press is how long after a relief round lower work is not let in to wait: a
-	// few round trips, until the daemon that asked has decided.
-	press = 50 * time.Millisecond
+	// expiredReliefInterval is the time after which expired work is returned
+	// again if its owner has not decided after a relief round. Each return
+	// starts another round; a peer that does not answer leaves the membership
+	// within seconds.
+	expiredReliefInterval = 250 * time.Millisecond
+	// reliefBlock is how long after a relief round no lower-tier work is
+	// queued: a few round trips, until the daemon that asked has decided.
+	reliefBlock = 50 * time.Millisecond
 )
 
-// Expire appends the waiting work that can no longer end in time.
+// Expire appends to out the waiting work that can no longer meet its deadline.
 func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
-	s.drain.Pass(now, s.queue.Len() > 0)
-	for len(s.latest) > 0 && !s.items[s.latest[0]].latest.After(now) {
-		slot := s.latest[0]
-		latest := s.latestOf(s.items[slot].work)
+	s.drainRate.Pass(now, s.queue.Len() > 0)
+	for len(s.startHeap) > 0 && !s.items[s.startHeap[0]].latestStart.After(now) {
+		slot := s.startHeap[0]
+		latest := s.latestStart(s.items[slot].work)
 		if latest.After(now) {
-			s.unschedule(slot)
-			s.schedule(slot, latest)
+			s.removeStart(slot)
+			s.pushStart(slot, latest)
 			continue
 		}
-		s.doom(slot)
+		s.markExpired(slot)
 	}
-	kept := s.doomed[:0]
-	for _, slot := range s.doomed {
-		keep := false
-		if out, keep = s.expire(now, slot, out); keep {
-			kept = append(kept, slot)
+	pending := s.expired[:0]
+	for _, slot := range s.expired {
+		keepItem := false
+		if out, keepItem = s.refuseExpired(now, slot, out); keepItem {
+			pending = append(pending, slot)
 		}
 	}
-	s.doomed = kept
+	s.expired = pending
 	return out
 }
 
-// doom sets work aside for Expire, which returns it.
-func (s *Scheduler) doom(slot int32) {
-	s.unqueue(slot)
-	s.items[slot].phase = phaseDoomed
-	s.doomed = append(s.doomed, slot)
+// markExpired moves an item from the queue to the list that Expire returns.
+func (s *Scheduler) markExpired(slot int32) {
+	s.removeWaiting(slot)
+	s.items[slot].phase = phaseExpired
+	s.expired = append(s.expired, slot)
 }
 
-// expire refuses work whose latest start has passed. If lower work may wait
-// here or at peers it has to go first: a caller of a higher tier must not be
-// refused while lower work holds a place. While peers are asked the work is
-// kept, for the owner to withdraw; it reports true then.
-func (s *Scheduler) expire(now time.Time, slot int32, out []fireflypath.Shed) ([]fireflypath.Shed, bool) {
+// refuseExpired sheds work whose latest start has passed. A caller of a higher
+// tier must not be refused while lower-tier work waits here or at peers, so
+// peers are asked first to shed theirs. Meanwhile the item is kept for its
+// owner to withdraw, and refuseExpired returns true.
+func (s *Scheduler) refuseExpired(now time.Time, slot int32, out []fireflypath.Shed) ([]fireflypath.Shed, bool) {
 	it := &s.items[slot]
 	w := it.work
-	if it.phase != phaseDoomed || w.Life.State() != fireflypath.StateWaiting {
-		s.release(slot)
+	if it.phase != phaseExpired || w.Life.State() != fireflypath.StateWaiting {
+		s.freeSlot(slot)
 		return out, false
 	}
-	if now.Sub(it.asked) < again {
+	if now.Sub(it.reliefAsked) < expiredReliefInterval {
 		return out, true
 	}
-	sh := s.lateShed(now, w)
-	sh.Detail = fmt.Sprintf("waited %v and can no longer end in time", now.Sub(w.Arrived).Round(time.Millisecond))
-	s.items[slot].asked = now
-	if !sh.Relief {
-		s.release(slot)
+	shed := s.lateShed(now, w)
+	shed.Detail = fmt.Sprintf("waited %v and can no longer end in time", now.Sub(w.Arrived).Round(time.Millisecond))
+	s.items[slot].reliefAsked = now
+	if !shed.Relief {
+		s.freeSlot(slot)
 	}
-	return append(out, sh), sh.Relief
+	return append(out, shed), shed.Relief
 }
 
-// Relieve gives up waiting work of lower tiers than rank, lowest first, until
-// tokens are freed.
+// Relieve sheds waiting work ranked below rank, the lowest tier first, until
+// the given number of tokens is freed.
 func (s *Scheduler) Relieve(now time.Time, rank, tokens int, out []fireflypath.Shed) []fireflypath.Shed {
-	if now.Before(s.pressed) {
-		// another round's work may be of a higher tier than this one's
-		s.pressure = min(s.pressure, rank)
+	if now.Before(s.reliefUntil) {
+		// Keep the block of an earlier round for a higher tier.
+		s.reliefRank = min(s.reliefRank, rank)
 	} else {
-		s.pressure = rank
+		s.reliefRank = rank
 	}
-	s.pressed = now.Add(press)
+	s.reliefUntil = now.Add(reliefBlock)
 	freed := 0
 	for freed < tokens {
-		r := s.lower(rank)
+		r := s.lowestWaiting(rank)
 		if r < 0 {
 			break
 		}
 		slot := s.queue.Victim(r)
 		w := s.items[slot].work
 		freed += max(w.Cost.Tokens(), 1)
-		s.unqueue(slot)
+		s.removeWaiting(slot)
 		out = append(out, fireflypath.Shed{
 			Work:       w,
 			Reason:     fireflypath.ReasonFull,
 			RetryAfter: s.retryAfter(now, w, freed),
 			Detail:     fmt.Sprintf("gave way to work of rank %d", rank),
 		})
-		s.release(slot)
+		s.freeSlot(slot)
 	}
 	return out
 }
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -8,155 +8,168 @@
 )
 
 const (
-	// blend weighs one answer in the pool's averages: about fifty answers.
-	blend = 0.02
-	// decay lets the fastest known speed fade by an eighth in a hundred answers,
-	// so that the loss of the fastest target is noticed.
-	decay = 0.9987
-	// failed is the slowness that an answer that was cut stands for.
-	failed = 10
-	// brief is the shortest expectation that an answer is compared with; below
-	// it the network's and the step's jitter make ratios meaningless.
-	brief = 100 * time.Millisecond
-	// spared is the part of the targets that may be ejected for slowness. With
-	// more, those that are left would drown and look slow in their turn.
-	spared = 3
+	// averageWeight is the weight of one answer in the pool's moving averages,
+	// which thus cover about fifty answers.
+	averageWeight = 0.02
+	// maxRateDecay reduces the highest known speeds by an eighth per hundred
+	// answers, so that the loss of the fastest target is noticed.
+	maxRateDecay = 0.9987
+	// failedSlowness is the slowness ratio recorded for a failed answer, and
+	// the limit for those of others in the average.
+	failedSlowness = 10
+	// minCompared is the shortest time used in slowness ratios. Below it, the
+	// jitter of the network and of decode steps makes the ratio meaningless.
+	minCompared = 100 * time.Millisecond
+	// ejectedDivisor limits the targets ejected for slowness to a third of all
+	// targets. If more were ejected, the remaining ones would be overloaded and
+	// look slow in turn.
+	ejectedDivisor = 3
 )
 
-// Observe learns from an event at a target.
+// Observe updates the scheduler's state from an event at a target.
 func (s *Scheduler) Observe(now time.Time, e fireflypath.Event) {
-	i, ok := s.names[e.Target]
+	i, ok := s.targetIndex[e.Target]
 	if !ok {
 		return
 	}
 	switch e.Kind {
 	case fireflypath.EventFirst:
-		s.first(now, i, e)
+		s.observeFirst(now, i, e)
 	case fireflypath.EventDone:
-		s.done(now, i, e)
+		s.observeDone(now, i, e)
 	case fireflypath.EventUnsent:
-		s.unsent(now, i, e)
+		s.observeUnsent(now, i, e)
 	case fireflypath.EventFailed, fireflypath.EventRefused:
-		s.lost(now, i, e)
+		s.observeFailure(now, i, e)
 	case fireflypath.EventReport:
 		s.targets[i].report = e.Report
 		s.targets[i].window.Report(e.Report)
 	case fireflypath.EventCache:
 		if e.Dropped {
-			s.index.Drop(i, e.Blocks)
+			s.prefixIndex.Drop(i, e.Blocks)
 		} else {
-			s.index.Store(i, e.Blocks)
+			s.prefixIndex.Store(i, e.Blocks)
 		}
 	case fireflypath.EventLeaving:
 		s.targets[i].leaving = true
 	case fireflypath.EventBack:
-		s.back(i)
+		s.observeBack(i)
 	}
-	s.refresh(i)
+	s.updateAvailability(i)
 }
 
-// flight is the slot of work in flight at a target.
-func (s *Scheduler) flight(i int32, w *fireflypath.Work) (int32, bool) {
-	slot, ok := s.slots[w]
-	if !ok || s.items[slot].phase != phaseFlight || s.items[slot].target != i {
+// inFlightSlot returns the slot of work in flight at target i, and false if it
+// is not in flight there.
+func (s *Scheduler) inFlightSlot(i int32, w *fireflypath.Work) (int32, bool) {
+	slot, ok := s.slotOf[w]
+	if !ok || s.items[slot].phase != phaseInFlight || s.items[slot].target != i {
 		return none, false
 	}
 	return slot, true
 }
 
-func (s *Scheduler) first(now time.Time, i int32, e fireflypath.Event) {
-	slot, ok := s.flight(i, e.Work)
-	if !ok || !s.items[slot].first.IsZero() {
+// observeFirst learns the prefill speed from the first token of an answer.
+func (s *Scheduler) observeFirst(now time.Time, i int32, e fireflypath.Event) {
+	slot, ok := s.inFlightSlot(i, e.Work)
+	if !ok || !s.items[slot].firstTokenAt.IsZero() {
 		return
 	}
 	it, t := &s.items[slot], &s.targets[i]
-	it.first = now
-	s.filled(now, it, t)
-	fresh := it.fresh
+	it.firstTokenAt = now
+	s.endPrefill(now, it, t)
+	uncached := it.uncached
 	if e.Cached >= 0 {
-		fresh = max(it.work.Cost.Prompt-e.Cached, 0)
+		uncached = max(it.work.Cost.Prompt-e.Cached, 0)
 	}
-	took := now.Sub(it.sent)
+	took := now.Sub(it.dispatchedAt)
 	if t.speed.Prefill() > 0 {
-		want := t.speed.Delay(now).Seconds() + float64(it.before+fresh)/t.speed.Prefill()
-		s.sample(now, t, took.Seconds(), want)
+		expected := t.speed.Delay(now).Seconds() + float64(it.prefillAhead+uncached)/t.speed.Prefill()
+		s.recordSlowness(now, t, took.Seconds(), expected)
 	}
-	t.speed.First(now, it.before+fresh, took)
-	s.fastPrefill = max(s.fastPrefill*decay, t.speed.Prefill())
+	t.speed.First(now, it.prefillAhead+uncached, took)
+	s.maxPrefillRate = max(s.maxPrefillRate*maxRateDecay, t.speed.Prefill())
 }
 
-func (s *Scheduler) done(now time.Time, i int32, e fireflypath.Event) {
-	slot, ok := s.flight(i, e.Work)
+// observeDone learns the decode speed and the accuracy of the estimate from a
+// complete answer, and frees the item.
+func (s *Scheduler) observeDone(now time.Time, i int32, e fireflypath.Event) {
+	slot, ok := s.inFlightSlot(i, e.Work)
 	if !ok {
 		return
 	}
-	if s.items[slot].first.IsZero() {
-		s.first(now, i, e)
+	if s.items[slot].firstTokenAt.IsZero() {
+		s.observeFirst(now, i, e)
 	}
 	it, t := &s.items[slot], &s.targets[i]
-	took := now.Sub(it.first)
+	took := now.Sub(it.firstTokenAt)
 	if t.speed.Decode() > 0 && e.Tokens > 1 {
-		s.sample(now, t, took.Seconds(), float64(e.Tokens-1)/t.speed.Decode())
+		s.recordSlowness(now, t, took.Seconds(), float64(e.Tokens-1)/t.speed.Decode())
 	}
 	t.speed.Done(e.Tokens, took)
-	s.fastDecode = max(s.fastDecode*decay, t.speed.Decode())
+	s.maxDecodeRate = max(s.maxDecodeRate*maxRateDecay, t.speed.Decode())
 	if out := it.work.Cost.Output; out > 0 {
-		s.output += blend * (min(float64(e.Tokens)/float64(out), 1) - s.output)
+		s.outputRatio += averageWeight * (min(float64(e.Tokens)/float64(out), 1) - s.outputRatio)
 	}
-	s.margin.Sample(now.Sub(it.sent), it.expected)
+	s.margin.Sample(now.Sub(it.dispatchedAt), it.expected)
 	t.window.Done()
-	s.land(now, slot)
-	s.release(slot)
+	s.endFlight(now, slot)
+	s.freeSlot(slot)
 }
 
-// sample compares an answer's time with what was expected of this target.
-func (s *Scheduler) sample(now time.Time, t *target, took, want float64) {
-	want = max(want, brief.Seconds())
-	ratio := max(took, brief.Seconds()) / want
-	s.pace += blend * (min(ratio, failed) - s.pace)
-	t.slow.Sample(now, ratio, s.pace)
-	s.forgive(t)
+// recordSlowness records the ratio of an answer's actual to expected time in
+// seconds for the target's slowness detection.
+func (s *Scheduler) recordSlowness(now time.Time, t *target, took, expected float64) {
+	expected = max(expected, minCompared.Seconds())
+	ratio := max(took, minCompared.Seconds()) / expected
+	s.avgSlowness += averageWeight * (min(ratio, failedSlowness) - s.avgSlowness)
+	t.slow.Sample(now, ratio, s.avgSlowness)
+	s.limitEjections(t)
 }
 
-// forgive takes an ejection for slowness back if too many targets are ejected.
-func (s *Scheduler) forgive(t *target) {
-	if t.slow.State() == slow.Ejected && spared*(len(s.sick)+1) > len(s.targets) {
+// limitEjections revokes an ejection for slowness if too many targets are
+// ejected.
+func (s *Scheduler) limitEjections(t *target) {
+	if t.slow.State() == slow.Ejected && ejectedDivisor*(len(s.ejected)+1) > len(s.targets) {
 		t.slow.Spare()
 	}
 }
 
-func (s *Scheduler) unsent(now time.Time, i int32, e fireflypath.Event) {
-	slot, ok := s.flight(i, e.Work)
+// observeUnsent puts work that was not sent back at the front of the queue.
+func (s *Scheduler) observeUnsent(now time.Time, i int32, e fireflypath.Event) {
+	slot, ok := s.inFlightSlot(i, e.Work)
 	if !ok {
 		return
 	}
 	s.targets[i].slow.Fail(now)
-	s.land(now, slot)
+	s.endFlight(now, slot)
 	w := e.Work
 	if w.Life.State() != fireflypath.StateWaiting {
-		s.release(slot)
+		s.freeSlot(slot)
 		return
 	}
 	s.items[slot].phase = phaseWaiting
 	s.queue.Return(slot, w)
-	s.schedule(slot, s.latestOf(w))
+	s.pushStart(slot, s.latestStart(w))
 }
 
-func (s *Scheduler) lost(now time.Time, i int32, e fireflypath.Event) {
+// observeFailure handles a failed or refused request.
+func (s *Scheduler) observeFailure(now time.Time, i int32, e fireflypath.Event) {
 	t := &s.targets[i]
 	if e.Kind == fireflypath.EventRefused {
 		t.slow.Fail(now)
 	} else {
-		t.slow.Sample(now, failed, s.pace)
-		s.forgive(t)
+		t.slow.Sample(now, failedSlowness, s.avgSlowness)
+		s.limitEjections(t)
 	}
-	if slot, ok := s.flight(i, e.Work); ok {
-		s.land(now, slot)
-		s.release(slot)
+	if slot, ok := s.inFlightSlot(i, e.Work); ok {
+		s.endFlight(now, slot)
+		s.freeSlot(slot)
 	}
 }
 
-func (s *Scheduler) back(i int32) {
+// observeBack discards what was learned about a target's window and slowness
+// when it returns to service.
+func (s *Scheduler) observeBack(i int32) {
 	t := &s.targets[i]
 	t.leaving = false
 	t.window.Reset()
--- a/internal/decide/sched/property_test.go
+++ b/internal/decide/sched/property_test.go
@@ -10,30 +10,30 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// model drives a Sched as its owner does and keeps its own books.
+// model drives a Scheduler as its owner does and tracks the expected state.
 type model struct {
-	s       *Scheduler
-	now     time.Time
-	seq     int
-	waiting map[*fireflypath.Work]bool
-	// asked is work that waits for a relief round.
-	asked  map[*fireflypath.Work]bool
-	flight map[*fireflypath.Work]string
-	order  []*fireflypath.Work
+	scheduler *Scheduler
+	now       time.Time
+	seq       int
+	waiting   map[*fireflypath.Work]bool
+	// awaitingRelief holds work that waits for the end of a relief round.
+	awaitingRelief map[*fireflypath.Work]bool
+	inFlight       map[*fireflypath.Work]string
+	offered        []*fireflypath.Work
 }
 
-const modelBound = 20
+const modelMaxRequests = 20
 
 func newModel(targets int) *model {
-	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Requests: modelBound}, LowestRank: 2, Seed: 3}
+	cfg := Config{Pool: fireflypath.Pool{Name: "llm", Requests: modelMaxRequests}, LowestRank: 2, Seed: 3}
 	for i := range targets {
 		cfg.Targets = append(cfg.Targets, fireflypath.Target{Name: fmt.Sprint("m", i), Pool: "llm"})
 	}
 	return &model{
-		s: New(cfg), now: t0,
-		waiting: make(map[*fireflypath.Work]bool),
-		asked:   make(map[*fireflypath.Work]bool),
-		flight:  make(map[*fireflypath.Work]string),
+		scheduler: New(cfg), now: startTime,
+		waiting:        make(map[*fireflypath.Work]bool),
+		awaitingRelief: make(map[*fireflypath.Work]bool),
+		inFlight:       make(map[*fireflypath.Work]string),
 	}
 }
 
@@ -49,22 +49,22 @@
 		},
 	}
 	m.waiting[w] = true
-	m.order = append(m.order, w)
-	m.handle(t, m.s.Offer(m.now, w, nil))
+	m.offered = append(m.offered, w)
+	m.handleSheds(t, m.scheduler.Offer(m.now, w, nil))
 }
 
-// handle does what the owner does with sheds, alone in its cluster.
-func (m *model) handle(t *rapid.T, sheds []fireflypath.Shed) {
+// handleSheds handles shed work like an owner without peers.
+func (m *model) handleSheds(t *rapid.T, sheds []fireflypath.Shed) {
 	for _, s := range sheds {
 		if !m.waiting[s.Work] {
-			t.Fatalf("request %s given up, but it does not wait", s.Work.ID)
+			t.Fatalf("request %s shed, but it was not waiting", s.Work.ID)
 		}
 		if s.Relief {
-			m.asked[s.Work] = true
+			m.awaitingRelief[s.Work] = true
 			continue
 		}
-		if s.RetryAfter > 0 && s.Work.Rank < m.s.cfg.LowestRank && m.s.lower(s.Work.Rank) >= 0 && s.Reason != fireflypath.ReasonFull {
-			t.Fatalf("rank %d refused while lower work waits", s.Work.Rank)
+		if s.RetryAfter > 0 && s.Work.Rank < m.scheduler.cfg.LowestRank && m.scheduler.lowestWaiting(s.Work.Rank) >= 0 && s.Reason != fireflypath.ReasonFull {
+			t.Fatalf("rank %d refused while lower-tier work waits", s.Work.Rank)
 		}
 		m.refuse(t, s.Work)
 	}
@@ -75,66 +75,66 @@
 		t.Fatalf("request %s refused in state %v", w.ID, w.Life.State())
 	}
 	delete(m.waiting, w)
-	delete(m.asked, w)
+	delete(m.awaitingRelief, w)
 }
 
-// settle ends the relief rounds: peers have answered none.
-func (m *model) settle(t *rapid.T) {
-	for _, w := range m.order {
-		if !m.asked[w] || !m.waiting[w] {
+// endReliefRounds ends all relief rounds as if no peer had freed anything.
+func (m *model) endReliefRounds(t *rapid.T) {
+	for _, w := range m.offered {
+		if !m.awaitingRelief[w] || !m.waiting[w] {
 			continue
 		}
-		m.handle(t, m.s.Relieve(m.now, w.Rank, everything, nil))
-		if m.s.lower(w.Rank) >= 0 {
-			t.Fatalf("rank %d refused while lower work waits", w.Rank)
+		m.handleSheds(t, m.scheduler.Relieve(m.now, w.Rank, relieveAll, nil))
+		if m.scheduler.lowestWaiting(w.Rank) >= 0 {
+			t.Fatalf("rank %d refused while lower-tier work waits", w.Rank)
 		}
 		m.refuse(t, w)
-		m.s.Withdraw(m.now, w)
+		m.scheduler.Withdraw(m.now, w)
 	}
 }
 
-func (m *model) next(t *rapid.T) {
+func (m *model) dispatch(t *rapid.T) {
 	var p fireflypath.Placement
-	if !m.s.Next(m.now, &p) {
+	if !m.scheduler.Next(m.now, &p) {
 		return
 	}
 	if !m.waiting[p.Work] {
-		t.Fatalf("request %s dispatched, but it does not wait", p.Work.ID)
+		t.Fatalf("request %s dispatched, but it was not waiting", p.Work.ID)
 	}
 	if !p.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched) {
 		t.Fatalf("request %s dispatched in state %v", p.Work.ID, p.Work.Life.State())
 	}
 	delete(m.waiting, p.Work)
-	delete(m.asked, p.Work)
-	m.flight[p.Work] = p.Target
+	delete(m.awaitingRelief, p.Work)
+	m.inFlight[p.Work] = p.Target
 }
 
-// oldest is the oldest request in flight, or nil.
-func (m *model) oldest() *fireflypath.Work {
-	for _, w := range m.order {
-		if _, ok := m.flight[w]; ok {
+// oldestInFlight returns the oldest request in flight, or nil.
+func (m *model) oldestInFlight() *fireflypath.Work {
+	for _, w := range m.offered {
+		if _, ok := m.inFlight[w]; ok {
 			return w
 		}
 	}
 	return nil
 }
 
-func (m *model) end(kind fireflypath.EventKind) {
-	w := m.oldest()
+func (m *model) endOldest(kind fireflypath.EventKind) {
+	w := m.oldestInFlight()
 	if w == nil {
 		return
 	}
-	target := m.flight[w]
-	delete(m.flight, w)
+	target := m.inFlight[w]
+	delete(m.inFlight, w)
 	if kind == fireflypath.EventUnsent {
 		w.Life = fireflypath.Life{}
 		m.waiting[w] = true
 	}
-	m.s.Observe(m.now, fireflypath.Event{Kind: kind, Target: target, Work: w, Tokens: w.Cost.Output, Cached: -1})
+	m.scheduler.Observe(m.now, fireflypath.Event{Kind: kind, Target: target, Work: w, Tokens: w.Cost.Output, Cached: -1})
 }
 
-func (m *model) check(t *rapid.T) {
-	d := m.s.Demand(m.now)
+func (m *model) checkInvariants(t *rapid.T) {
+	d := m.scheduler.Demand(m.now)
 	waiting, running := 0, 0
 	for r := range d.Waiting {
 		waiting += d.Waiting[r]
@@ -142,81 +142,82 @@
 	}
 	requests := 0
 	for w := range m.waiting {
-		if s := m.s.items[m.s.slots[w]]; s.phase == phaseWaiting {
+		if s := m.scheduler.items[m.scheduler.slotOf[w]]; s.phase == phaseWaiting {
 			waiting -= w.Cost.Tokens()
 		}
 		requests++
 	}
-	for w := range m.flight {
+	for w := range m.inFlight {
 		running -= w.Cost.Tokens()
 	}
 	if waiting != 0 || running != 0 {
-		t.Fatalf("books differ by %d waiting and %d running tokens", waiting, running)
+		t.Fatalf("scheduler and model differ by %d waiting and %d running tokens", waiting, running)
 	}
-	if n := len(m.s.slots); n != requests+len(m.flight) {
-		t.Fatalf("holds %d requests, want %d", n, requests+len(m.flight))
+	if n := len(m.scheduler.slotOf); n != requests+len(m.inFlight) {
+		t.Fatalf("scheduler holds %d requests, want %d", n, requests+len(m.inFlight))
 	}
-	if free := requests - len(m.asked); free > modelBound {
-		t.Fatalf("%d requests wait of at most %d", free, modelBound)
+	if free := requests - len(m.awaitingRelief); free > modelMaxRequests {
+		t.Fatalf("%d requests are waiting, the limit is %d", free, modelMaxRequests)
 	}
 }
 
-// Whatever happens, no request is dispatched while it does not wait, none is
-// lost, none refused while lower work waits here, and memory stays bounded.
-func TestSchedKeepsItsPromises(t *testing.T) {
+// In any sequence of calls and events, only waiting requests are dispatched, no
+// request is lost, none is refused while lower-tier work waits here, and the
+// number of waiting requests stays limited.
+func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.IntRange(1, 4).Draw(t, "targets"))
 		t.Repeat(map[string]func(*rapid.T){
 			"offer":  m.offer,
 			"offer2": m.offer,
-			"next":   m.next,
-			"next2":  m.next,
-			"done":   func(*rapid.T) { m.end(fireflypath.EventDone) },
-			"failed": func(*rapid.T) { m.end(fireflypath.EventFailed) },
-			"unsent": func(*rapid.T) { m.end(fireflypath.EventUnsent) },
-			"expire": func(t *rapid.T) { m.handle(t, m.s.Expire(m.now, nil)) },
-			"settle": m.settle,
+			"next":   m.dispatch,
+			"next2":  m.dispatch,
+			"done":   func(*rapid.T) { m.endOldest(fireflypath.EventDone) },
+			"failed": func(*rapid.T) { m.endOldest(fireflypath.EventFailed) },
+			"unsent": func(*rapid.T) { m.endOldest(fireflypath.EventUnsent) },
+			"expire": func(t *rapid.T) { m.handleSheds(t, m.scheduler.Expire(m.now, nil)) },
+			"settle": m.endReliefRounds,
 			"pass": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"relieve": func(t *rapid.T) {
-				m.handle(t, m.s.Relieve(m.now, rapid.IntRange(0, 1).Draw(t, "rank"), 1000, nil))
+				m.handleSheds(t, m.scheduler.Relieve(m.now, rapid.IntRange(0, 1).Draw(t, "rank"), 1000, nil))
 			},
 			"withdraw": func(t *rapid.T) {
-				for _, w := range m.order {
+				for _, w := range m.offered {
 					if m.waiting[w] {
-						if !m.s.Withdraw(m.now, w) {
-							t.Fatalf("request %s waits, but cannot be withdrawn", w.ID)
+						if !m.scheduler.Withdraw(m.now, w) {
+							t.Fatalf("request %s is waiting, but cannot be withdrawn", w.ID)
 						}
 						delete(m.waiting, w)
-						delete(m.asked, w)
+						delete(m.awaitingRelief, w)
 						return
 					}
 				}
 			},
-			"": m.check,
+			"": m.checkInvariants,
 		})
 	})
 }
 
-// Work waits and targets have answered all they had. As long as time and
-// answers go on, every request must be dispatched or given up in the end.
-func TestSchedLeavesNothingWaiting(t *testing.T) {
+// With a small share of the targets, every waiting request must be dispatched
+// or shed eventually, as long as targets answer and time passes.
+func TestWaitingWorkIsEventuallyDispatchedOrShed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.IntRange(1, 3).Draw(t, "targets"))
-		m.s.SetShare(m.now, fireflypath.Share{Default: 1.0 / 370})
+		m.scheduler.SetShare(m.now, fireflypath.Share{Default: 1.0 / 370})
 		for range rapid.IntRange(1, 30).Draw(t, "requests") {
 			m.offer(t)
 		}
 		for range 200 {
-			m.next(t)
-			m.end(fireflypath.EventDone)
-			m.handle(t, m.s.Expire(m.now, nil))
-			m.settle(t)
+			m.dispatch(t)
+			m.endOldest(fireflypath.EventDone)
+			m.handleSheds(t, m.scheduler.Expire(m.now, nil))
+			m.endReliefRounds(t)
 			m.now = m.now.Add(time.Second)
 		}
 		if len(m.waiting) != 0 {
-			t.Fatalf("%d requests still wait", len(m.waiting))
+			t.Fatalf("%d requests are still waiting", len(m.waiting))
 		}
 	})
 }
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -1,4 +1,5 @@
-// Package sched composes the decision modules into the scheduler of one pool at one daemon.
+// Package sched implements the scheduler of one pool on one daemon on top of the
+// decision modules.
 package sched
 
 import (
@@ -19,188 +20,207 @@
 )
 
 const (
-	// defaultRequests bounds waiting requests: at 57 requests a second and
-	// daemon (the letter's peak) it holds more than a minute of arrivals, longer
-	// than interactive callers wait.
-	defaultRequests = 4096
-	// defaultBytes bounds the memory of waiting requests.
-	defaultBytes = 64 << 20
-	// horizon is the time over which drain and arrival rates are measured: long
-	// against a request's run, short against a burst.
-	horizon = 10 * time.Second
-	none    = int32(-1)
+	// defaultMaxRequests limits the number of waiting requests. At the
+	// specified peak of 57 requests per second and daemon it holds more than a
+	// minute of arrivals, which is longer than interactive callers wait.
+	defaultMaxRequests = 4096
+	// defaultMaxBytes limits the memory held by waiting requests.
+	defaultMaxBytes = 64 << 20
+	// rateHorizon is the averaging time of drain and arrival rates. It is long
+	// compared with the run time of a request and short compared with a burst.
+	rateHorizon = 10 * time.Second
+	// none marks a missing slot, target or position.
+	none = int32(-1)
 )
 
-// Config is what a Sched is made from.
+// Config configures a Scheduler.
 type Config struct {
-	// Pool is the pool that is decided for.
+	// Pool is the pool to schedule for.
 	Pool fireflypath.Pool
-	// Targets are the pool's targets at first.
+	// Targets are the initial targets of the pool.
 	Targets []fireflypath.Target
-	// LowestRank is the rank of the lowest configured tier. Work of a higher tier is
-	// refused for want of room only after peers were asked for lower work.
+	// LowestRank is the rank of the lowest configured tier. Work of a higher
+	// tier is refused for lack of capacity only after peers were asked to shed
+	// lower-tier work.
 	LowestRank int
-	// Seed breaks ties; it differs between daemons, so that equal views do not
-	// give equal choices.
+	// Seed initializes the random choices. It differs between daemons so that
+	// daemons with the same view do not all choose the same target.
 	Seed uint64
-	// Placement is how targets are chosen; the zero value is the shipped way.
+	// Placement selects the placement strategy; the zero value is the default
+	// one.
 	Placement place.Kind
 }
 
 // Scheduler implements fireflypath.Scheduler.
 type Scheduler struct {
-	cfg    Config
-	queue  *fair.Queue
-	chosen *place.Chooser
-	index  *prefix.Index
-	damper *retry.Damper
-	margin deadline.Margin
-	rnd    *rand.Rand
-
-	items []item
-	spare []int32
-	slots map[*fireflypath.Work]int32
-	// latest is a heap of waiting items by the time they must start.
-	latest []int32
-	// doomed is work found too late at dispatch, for Expire to return.
-	doomed []int32
-
-	targets []target
-	names   map[string]int32
-	// open lists the targets that have room; sick those that are ejected.
-	open, sick []int32
-	share      fireflypath.Share
-	flights    int
-	running    [fair.Ranks]int
-	flying     [fair.Ranks]int
+	cfg         Config
+	queue       *fair.Queue
+	chooser     *place.Chooser
+	prefixIndex *prefix.Index
+	damper      *retry.Damper
+	margin      deadline.Margin
+	rng         *rand.Rand
+
+	items     []item
+	freeSlots []int32
+	slotOf    map[*fireflypath.Work]int32
+	// startHeap is a min-heap of waiting items, ordered by latest start time.
+	startHeap []int32
+	// expired lists work that passed its latest start; Expire returns it.
+	expired []int32
+
+	targets     []target
+	targetIndex map[string]int32
+	// available lists the targets that can take another request, ejected the
+	// targets ejected by slowness detection.
+	available, ejected []int32
+	share              fireflypath.Share
+	// inFlight counts the requests in flight; inFlightTokens and inFlightByRank
+	// hold their estimated tokens and their number by rank.
+	inFlight       int
+	inFlightTokens [fair.Ranks]int
+	inFlightByRank [fair.Ranks]int
 
 	reserve *reserve.Reserve
-	// capacity is the sum of the limits of usable fast targets, busy what is in
-	// flight there.
-	capacity, busy int
-	drain          rate.Meter
-	arrivals       [fair.Ranks]rate.Meter
-	// output is the learned part of the allowed output that is generated.
-	output float64
-	// fastPrefill and fastDecode are the best known speeds, 0 before any answer.
-	fastPrefill, fastDecode float64
-	// prompt is the average prompt to prefill, in tokens.
-	prompt float64
-	// pace is the average over targets of how long answers take against expected.
-	pace float64
-
-	// pressed is until when work of ranks below pressure may not wait.
-	pressed  time.Time
-	pressure int
-	long     *long.Gate
-	// parts is the sum of this daemon's parts of the usable targets.
-	parts float64
-	// keep is true while fast targets are kept for tiers above the one in turn.
-	keep    bool
-	options []place.Option
-	// pick is the option chosen last.
-	pick place.Option
-	// holders and depths are the targets found for a prefix and the blocks there.
-	holders []int32
-	depths  []int
-	parked  []int32
+	// fastSlots is the total request limit of the usable fast targets, fastBusy
+	// the number of requests in flight there.
+	fastSlots, fastBusy int
+	drainRate           rate.Meter
+	arrivalRates        [fair.Ranks]rate.Meter
+	// outputRatio is the learned ratio of generated to allowed output tokens.
+	outputRatio float64
+	// maxPrefillRate and maxDecodeRate are the highest known speeds in tokens
+	// per second, 0 before the first answer.
+	maxPrefillRate, maxDecodeRate float64
+	// avgUncached is the average number of prompt tokens to prefill.
+	avgUncached float64
+	// avgSlowness is the average ratio of actual to expected answer time over
+	// all targets.
+	avgSlowness float64
+
+	// reliefUntil is the time until which new work ranked below reliefRank may
+	// not wait.
+	reliefUntil time.Time
+	reliefRank  int
+	longGate    *long.Gate
+	// totalParts is the sum of this daemon's parts of the usable targets.
+	totalParts float64
+	// fastReserved is true while fast targets are reserved for tiers above the
+	// one being dispatched.
+	fastReserved bool
+	options      []place.Option
+	// choice is the most recently chosen option.
+	choice place.Option
+	// prefixHolders are the targets with part of the current prompt in their
+	// cache; prefixDepths holds the number of cached blocks for each.
+	prefixHolders []int32
+	prefixDepths  []int
+	// deferred lists items taken out of the queue until the end of the current
+	// decision.
+	deferred []int32
 }
 
 var _ fireflypath.Scheduler = (*Scheduler)(nil)
 
-// phase is where an item is.
+// phase is the stage of an item's processing.
 type phase int8
 
 const (
 	phaseFree phase = iota
 	phaseWaiting
-	phaseDoomed
-	phaseFlight
+	phaseExpired
+	phaseInFlight
 )
 
-// item is one request that waits or is in flight.
+// item is a request that waits or is in flight.
 type item struct {
 	work  *fireflypath.Work
 	phase phase
-	// pos is the position in the heap of latest starts, or -1.
-	pos    int32
-	latest time.Time
-	ahead  int
-	// aside is when it first let others pass for a target with a cached prompt.
-	aside time.Time
-	// asked is when peers were last asked to make room for it.
-	asked time.Time
-	// target, sent, first, fresh, before and expected describe the flight:
-	// fresh is the prompt to prefill, before what stood before it from here.
-	target int32
-	sent   time.Time
-	first  time.Time
-	fresh  int
-	before int
-	// long is true if the prefill counts as long.
-	long     bool
-	expected time.Duration
+	// heapPos is the position in startHeap, or -1.
+	heapPos       int32
+	latestStart   time.Time
+	requestsAhead int
+	// deferredSince is when the item was first deferred to wait for a target
+	// that has its prompt cached.
+	deferredSince time.Time
+	// reliefAsked is when peers were last asked to shed work in favor of this
+	// item.
+	reliefAsked time.Time
+	// target, dispatchedAt, firstTokenAt, uncached, prefillAhead and expected
+	// describe the dispatched request: uncached is the number of prompt tokens
+	// to prefill, prefillAhead the number of prompt tokens of this daemon that
+	// were queued at the target before it.
+	target       int32
+	dispatchedAt time.Time
+	firstTokenAt time.Time
+	uncached     int
+	prefillAhead int
+	// longPrefill is true if the prefill counts as long (see package long).
+	longPrefill bool
+	expected    time.Duration
 }
 
-// New makes a Sched.
+// New returns a Scheduler for the pool and targets in cfg.
 func New(cfg Config) *Scheduler {
-	cfg.Pool = bounded(cfg.Pool)
+	cfg.Pool = withDefaultLimits(cfg.Pool)
 	s := &Scheduler{
-		cfg:     cfg,
-		queue:   fair.New(),
-		chosen:  place.New(cfg.Placement, cfg.Seed),
-		index:   prefix.New(),
-		damper:  retry.New(),
-		reserve: reserve.New(),
-		long:    long.New(),
-		rnd:     rand.New(rand.NewPCG(cfg.Seed, 2)),
-		slots:   make(map[*fireflypath.Work]int32),
-		names:   make(map[string]int32),
-		share:   fireflypath.Share{Default: 1},
-		drain:   rate.Meter{Horizon: horizon},
-		output:  1,
-		pace:    1,
+		cfg:         cfg,
+		queue:       fair.New(),
+		chooser:     place.New(cfg.Placement, cfg.Seed),
+		prefixIndex: prefix.New(),
+		damper:      retry.New(),
+		reserve:     reserve.New(),
+		longGate:    long.New(),
+		rng:         rand.New(rand.NewPCG(cfg.Seed, 2)),
+		slotOf:      make(map[*fireflypath.Work]int32),
+		targetIndex: make(map[string]int32),
+		share:       fireflypath.Share{Default: 1},
+		drainRate:   rate.Meter{Horizon: rateHorizon},
+		outputRatio: 1,
+		avgSlowness: 1,
 	}
-	for i := range s.arrivals {
-		s.arrivals[i].Horizon = horizon
+	for i := range s.arrivalRates {
+		s.arrivalRates[i].Horizon = rateHorizon
 	}
 	s.SetTargets(time.Time{}, cfg.Targets)
 	return s
 }
 
-// alloc takes a slot for work.
-func (s *Scheduler) alloc(w *fireflypath.Work) int32 {
+// allocSlot allocates an item for work and returns its slot.
+func (s *Scheduler) allocSlot(w *fireflypath.Work) int32 {
 	var slot int32
-	if n := len(s.spare); n > 0 {
-		slot = s.spare[n-1]
-		s.spare = s.spare[:n-1]
+	if n := len(s.freeSlots); n > 0 {
+		slot = s.freeSlots[n-1]
+		s.freeSlots = s.freeSlots[:n-1]
 	} else {
 		s.items = append(s.items, item{})
 		slot = int32(len(s.items) - 1)
 	}
-	s.items[slot] = item{work: w, pos: none, target: none}
-	s.slots[w] = slot
+	s.items[slot] = item{work: w, heapPos: none, target: none}
+	s.slotOf[w] = slot
 	return slot
 }
 
-// release gives a slot back.
-func (s *Scheduler) release(slot int32) {
-	delete(s.slots, s.items[slot].work)
+// freeSlot frees an item's slot for reuse.
+func (s *Scheduler) freeSlot(slot int32) {
+	delete(s.slotOf, s.items[slot].work)
 	s.items[slot] = item{}
-	s.spare = append(s.spare, slot)
+	s.freeSlots = append(s.freeSlots, slot)
 }
 
-// unqueue takes a waiting item out of the queue and the heap.
-func (s *Scheduler) unqueue(slot int32) {
+// removeWaiting removes a waiting item from the queue and the start heap.
+func (s *Scheduler) removeWaiting(slot int32) {
 	s.queue.Remove(slot)
-	s.unschedule(slot)
+	s.removeStart(slot)
 }
 
-func rank(w *fireflypath.Work) int {
+// rankOf returns the work's rank, limited to the ranks that the queue has.
+func rankOf(w *fireflypath.Work) int {
 	return min(max(w.Rank, 0), fair.Ranks-1)
 }
 
-// noise is a number between 0 and 1 that differs between daemons for a target.
-func (s *Scheduler) noise(name string) float64 {
+// ditherOf returns a pseudo-random number in [0, 1) for a target, which differs
+// between daemons.
+func (s *Scheduler) ditherOf(name string) float64 {
 	return float64(place.Mix(xxhash.Sum64String(name)^place.Mix(s.cfg.Seed+1))>>11) / (1 << 53)
 }
--- a/internal/decide/sched/target.go
+++ b/internal/decide/sched/target.go
@@ -12,95 +12,100 @@
 )
 
 const (
-	// guessPrefill and guessDecode are the speeds in tokens a second assumed
-	// before any answer. 27 tokens a second are the letter's 37 ms between
-	// tokens; a prompt of 2,000 tokens in its 0.49 s to the first token needs
-	// about 5,000.
-	guessPrefill = 5000
-	guessDecode  = 27
-	// quick is how many times slower than the fastest a fast target may be. Of
-	// five generations with speeds five times apart it takes the upper three.
-	quick = 2.5
-	// block is the size of a cache block in tokens (docs/PROTOCOLS.md).
-	block = 64
+	// defaultPrefillRate and defaultDecodeRate are the speeds in tokens per
+	// second assumed before any answer. 27 tokens per second correspond to the
+	// specified 37 ms between tokens; a prompt of 2,000 tokens within the
+	// specified 0.49 s to the first token requires about 5,000.
+	defaultPrefillRate = 5000
+	defaultDecodeRate  = 27
+	// fastFactor is how many times slower than the fastest target a fast target
+	// may be. Of five hardware generations whose speeds span a factor of five,
+	// it selects the upper three.
+	fastFactor = 2.5
+	// blockTokens is the size of a cache block in tokens (docs/PROTOCOLS.md).
+	blockTokens = 64
 )
 
-// target is what is known of one target.
+// target holds the state of one target as known to this daemon.
 type target struct {
 	fireflypath.Target
-	gone    bool
+	removed bool
 	leaving bool
 	window  window.Window
 	speed   speed.Speed
 	slow    slow.Detector
-	// part is this daemon's fraction of the window, dither what rounds it.
+	// part is this daemon's fraction of the target's window; dither is the
+	// offset used to round it to whole requests.
 	part, dither float64
-	// hash is of the name, the same at all daemons.
-	hash uint64
-	// requests and tokens are in flight from here; prefill is the prompt part
-	// before the first token.
-	requests int
-	tokens   int
-	prefill  int
-	// filling is the number of requests before their first token.
-	filling int
-	report  fireflypath.Report
-	// slots and busy are what the target counts for in the sums of slots and of
-	// busy slots of fast targets.
-	slots, busy int
-	// counted is what the target counts for in the sum of parts.
-	counted float64
-	// due is when the next first token is overdue.
-	due time.Time
-	// at is the position in the list of open targets, or -1.
-	at int32
+	// nameHash is the hash of the name, equal on all daemons.
+	nameHash uint64
+	// requests and tokens are this daemon's work in flight; prefillTokens
+	// counts the uncached prompt tokens of the requests without a first token.
+	requests      int
+	tokens        int
+	prefillTokens int
+	// prefilling is the number of requests without a first token.
+	prefilling int
+	report     fireflypath.Report
+	// countedSlots and countedBusy are the target's contributions to
+	// Scheduler.fastSlots and fastBusy.
+	countedSlots, countedBusy int
+	// countedPart is the target's contribution to Scheduler.totalParts.
+	countedPart float64
+	// firstTokenDue is the time after which the next first token is overdue.
+	firstTokenDue time.Time
+	// availablePos is the position in Scheduler.available, or -1.
+	availablePos int32
 }
 
-// SetTargets replaces the targets and keeps what was learned of those that stay.
+// SetTargets replaces the targets. The state of targets that remain is kept.
 func (s *Scheduler) SetTargets(_ time.Time, targets []fireflypath.Target) {
 	for i := range s.targets {
-		s.targets[i].gone = true
+		s.targets[i].removed = true
 	}
 	for _, t := range targets {
-		s.setTarget(t)
+		s.putTarget(t)
 	}
 	for i := range s.targets {
-		s.refresh(int32(i))
+		s.updateAvailability(int32(i))
 	}
 }
 
-func (s *Scheduler) setTarget(t fireflypath.Target) {
-	if i, ok := s.names[t.Name]; ok {
+// putTarget adds or updates a target. A changed address resets what was learned
+// about its window, slowness and cache.
+func (s *Scheduler) putTarget(t fireflypath.Target) {
+	if i, ok := s.targetIndex[t.Name]; ok {
 		old := &s.targets[i]
-		old.gone = false
+		old.removed = false
 		if old.Addr != t.Addr {
 			old.window.Reset()
 			old.slow.Reset()
 			old.leaving = false
-			s.index.Forget(i)
+			s.prefixIndex.Forget(i)
 		}
 		old.Target = t
 		return
 	}
-	i := s.vacant()
+	i := s.allocTarget()
 	s.targets[i] = target{
-		Target: t,
-		window: window.New(t.Window),
-		part:   s.partOf(t.Name),
-		dither: s.noise(t.Name),
-		hash:   xxhash.Sum64String(t.Name),
-		at:     none,
+		Target:       t,
+		window:       window.New(t.Window),
+		part:         s.partOf(t.Name),
+		dither:       s.ditherOf(t.Name),
+		nameHash:     xxhash.Sum64String(t.Name),
+		availablePos: none,
 	}
-	s.names[t.Name] = i
+	s.targetIndex[t.Name] = i
 }
 
-// vacant is the number of a target that is gone and holds no work, or a new one.
-func (s *Scheduler) vacant() int32 {
+// allocTarget returns the index of a removed target without work in flight, or
+// of a new one.
+func (s *Scheduler) allocTarget() int32 {
 	for i := range s.targets {
 		t := &s.targets[i]
-		if t.gone && t.requests == 0 && t.at == none {
-			delete(s.names, t.Name)
-			s.index.Forget(int32(i))
+		if t.removed && t.requests == 0 && t.availablePos == none {
+			delete(s.targetIndex, t.Name)
+			s.prefixIndex.Forget(int32(i))
 			return int32(i)
 		}
 	}
@@ -113,7 +118,7 @@
 	s.share = share
 	for i := range s.targets {
 		s.targets[i].part = s.partOf(s.targets[i].Name)
-		s.refresh(int32(i))
+		s.updateAvailability(int32(i))
 	}
 }
 
@@ -124,163 +129,175 @@
 	return s.share.Default
 }
 
-// usable is true if the target may get work at all.
+// usable reports whether the target may receive work at all.
 func (t *target) usable() bool {
-	return !t.gone && !t.leaving && !t.Drained && t.part > 0
+	return !t.removed && !t.leaving && !t.Drained && t.part > 0
 }
 
-// limit is how many requests this daemon may have there. Parts of a window are
-// fractions of a request; rounding them by a number that differs between
-// daemons makes their sum the window, where rounding up would overfill every
-// target and rounding down would leave small windows unused.
-func (t *target) limit() int {
+// maxRequests returns how many requests this daemon may have in flight at the
+// target. A part of a window may be a fractional number of requests; dithering
+// the rounding with an offset that differs between daemons makes the sum over
+// all daemons match the window. Rounding up would overload every target, and
+// rounding down would leave small windows unused.
+func (t *target) maxRequests() int {
 	return int(t.part*t.window.Requests() + t.dither)
 }
 
-// room is true if one more request may be sent. Whatever is below its limits
-// takes one request of any size: a part of a window can be smaller than one
-// long request, which would otherwise wait for ever. So a daemon exceeds its
-// part by less than one request.
-func (s *Scheduler) room(t *target) bool {
+// hasRoom reports whether one more request may be sent to the target. A target
+// below its limits takes one request of any size, so a daemon may exceed its
+// part by less than one request. Otherwise a long request that is larger than
+// the daemon's part of the window would wait forever. The request limit does
+// not apply while nothing is in flight anywhere.
+func (s *Scheduler) hasRoom(t *target) bool {
 	if !t.usable() {
 		return false
 	}
 	if t.slow.State() == slow.Probing {
 		return false
 	}
-	if s.flights > 0 && t.requests >= t.limit() {
+	if s.inFlight > 0 && t.requests >= t.maxRequests() {
 		return false
 	}
-	return t.prefill == 0 || t.prefill < int(t.part*float64(t.window.Tokens(s.prefillRate(t))))
+	return t.prefillTokens == 0 || t.prefillTokens < int(t.part*float64(t.window.Tokens(s.prefillRate(t))))
 }
 
-// refresh moves a target in or out of the list of open ones.
-func (s *Scheduler) refresh(i int32) {
+// updateAvailability adds a target to the list of available ones or removes it.
+func (s *Scheduler) updateAvailability(i int32) {
 	t := &s.targets[i]
-	s.count(t)
+	s.updateTotals(t)
 	if t.slow.State() == slow.Ejected {
-		s.close(i)
-		s.quarantine(i)
+		s.removeAvailable(i)
+		s.addEjected(i)
 		return
 	}
-	if s.room(t) {
-		if t.at == none {
-			t.at = int32(len(s.open))
-			s.open = append(s.open, i)
+	if s.hasRoom(t) {
+		if t.availablePos == none {
+			t.availablePos = int32(len(s.available))
+			s.available = append(s.available, i)
 		}
 		return
 	}
-	s.close(i)
+	s.removeAvailable(i)
 }
 
-// count keeps the sums over targets.
-func (s *Scheduler) count(t *target) {
+// updateTotals updates the target's contributions to the totals over all
+// targets.
+func (s *Scheduler) updateTotals(t *target) {
 	part := 0.0
 	if t.usable() && t.slow.State() != slow.Ejected {
 		part = t.part
 	}
-	s.parts += part - t.counted
-	t.counted = part
+	s.totalParts += part - t.countedPart
+	t.countedPart = part
 	slots, busy := 0, 0
-	if t.usable() && t.slow.State() == slow.Ready && s.fast(t) {
-		slots, busy = t.limit(), t.requests
+	if t.usable() && t.slow.State() == slow.Ready && s.isFast(t) {
+		slots, busy = t.maxRequests(), t.requests
 	}
-	s.capacity += slots - t.slots
-	s.busy += busy - t.busy
-	t.slots, t.busy = slots, busy
+	s.fastSlots += slots - t.countedSlots
+	s.fastBusy += busy - t.countedBusy
+	t.countedSlots, t.countedBusy = slots, busy
 }
 
-// fast is true for a target that work with a tight deadline can use.
-func (s *Scheduler) fast(t *target) bool {
-	return quick*s.decodeRate(t) >= s.fastDecode
+// isFast reports whether the target is fast enough for work with a tight
+// deadline.
+func (s *Scheduler) isFast(t *target) bool {
+	return fastFactor*s.decodeRate(t) >= s.maxDecodeRate
 }
 
-func (s *Scheduler) close(i int32) {
+func (s *Scheduler) removeAvailable(i int32) {
 	t := &s.targets[i]
-	if t.at == none {
+	if t.availablePos == none {
 		return
 	}
-	n := len(s.open) - 1
-	last := s.open[n]
-	s.open[t.at] = last
-	s.targets[last].at = t.at
-	s.open = s.open[:n]
-	t.at = none
+	n := len(s.available) - 1
+	last := s.available[n]
+	s.available[t.availablePos] = last
+	s.targets[last].availablePos = t.availablePos
+	s.available = s.available[:n]
+	t.availablePos = none
 }
 
-func (s *Scheduler) quarantine(i int32) {
-	for _, j := range s.sick {
+func (s *Scheduler) addEjected(i int32) {
+	for _, j := range s.ejected {
 		if i == j {
 			return
 		}
 	}
-	s.sick = append(s.sick, i)
+	s.ejected = append(s.ejected, i)
 }
 
-// probe opens ejected targets whose pause is over for one request.
-func (s *Scheduler) probe(now time.Time) {
-	for k := 0; k < len(s.sick); k++ {
-		i := s.sick[k]
+// openForProbing makes ejected targets whose ejection time has passed available
+// for one request each.
+func (s *Scheduler) openForProbing(now time.Time) {
+	for k := 0; k < len(s.ejected); k++ {
+		i := s.ejected[k]
 		t := &s.targets[i]
 		ejected := t.slow.State() == slow.Ejected
 		if ejected && (now.Before(t.slow.Due()) || !t.usable() || t.requests > 0) {
 			continue
 		}
-		s.sick[k] = s.sick[len(s.sick)-1]
-		s.sick = s.sick[:len(s.sick)-1]
+		s.ejected[k] = s.ejected[len(s.ejected)-1]
+		s.ejected = s.ejected[:len(s.ejected)-1]
 		k--
-		if ejected && t.at == none {
-			t.at = int32(len(s.open))
-			s.open = append(s.open, i)
+		if ejected && t.availablePos == none {
+			t.availablePos = int32(len(s.available))
+			s.available = append(s.available, i)
 		}
 	}
 }
 
-// known is true if the target's speeds were learned from answers.
-func (t *target) known() bool {
+// hasSpeeds reports whether the target's speeds were learned from answers.
+func (t *target) hasSpeeds() bool {
 	return t.speed.Prefill() > 0 && t.speed.Decode() > 0
 }
 
+// prefillRate returns the target's prefill speed. While it is unknown, half the
+// highest known speed is assumed.
 func (s *Scheduler) prefillRate(t *target) float64 {
 	if r := t.speed.Prefill(); r > 0 {
 		return r
 	}
-	if s.fastPrefill > 0 {
-		return s.fastPrefill / 2
+	if s.maxPrefillRate > 0 {
+		return s.maxPrefillRate / 2
 	}
-	return guessPrefill
+	return defaultPrefillRate
 }
 
+// decodeRate returns the target's decode speed. While it is unknown, half the
+// highest known speed is assumed.
 func (s *Scheduler) decodeRate(t *target) float64 {
 	if r := t.speed.Decode(); r > 0 {
 		return r
 	}
-	if s.fastDecode > 0 {
-		return s.fastDecode / 2
+	if s.maxDecodeRate > 0 {
+		return s.maxDecodeRate / 2
 	}
-	return guessDecode
+	return defaultDecodeRate
 }
 
-// expect is how long work takes at a target in seconds: own prefill ahead, the
-// delay that others cause, what is not cached, and the output.
-func (s *Scheduler) expect(now time.Time, t *target, w *fireflypath.Work, hit int) float64 {
-	fresh := max(w.Cost.Prompt-hit, 0)
-	wait := max(t.speed.Delay(now).Seconds(), s.queued(now, t))
-	prefill := float64(t.prefill+fresh) / s.prefillRate(t)
-	decode := s.outputOf(w) / s.decodeRate(t)
-	return wait + prefill + decode
+// expectedSeconds returns how long work takes at a target: the queueing delay
+// caused by other daemons, this daemon's prefills ahead of it, its own uncached
+// prompt and its output.
+func (s *Scheduler) expectedSeconds(now time.Time, t *target, w *fireflypath.Work, hit int) float64 {
+	uncached := max(w.Cost.Prompt-hit, 0)
+	queueing := max(t.speed.Delay(now).Seconds(), s.othersQueueSeconds(now, t))
+	prefill := float64(t.prefillTokens+uncached) / s.prefillRate(t)
+	decode := s.expectedOutput(w) / s.decodeRate(t)
+	return queueing + prefill + decode
 }
 
-// queued is the time that the work of other daemons waiting in the target takes
-// to prefill, in seconds, as last reported, less what has passed since.
-func (s *Scheduler) queued(now time.Time, t *target) float64 {
-	others := float64(t.report.Waiting - t.filling)
-	if others <= 0 {
+// othersQueueSeconds returns how long the target takes to prefill the queued
+// work of other daemons, according to its last report and less the time since
+// then.
+func (s *Scheduler) othersQueueSeconds(now time.Time, t *target) float64 {
+	othersWaiting := float64(t.report.Waiting - t.prefilling)
+	if othersWaiting <= 0 {
 		return 0
 	}
-	return max(others*s.prompt/s.prefillRate(t)-now.Sub(t.report.Measured).Seconds(), 0)
+	return max(othersWaiting*s.avgUncached/s.prefillRate(t)-now.Sub(t.report.Measured).Seconds(), 0)
 }
 
-func (s *Scheduler) outputOf(w *fireflypath.Work) float64 {
-	return float64(w.Cost.Output) * s.output
+// expectedOutput returns the expected number of output tokens.
+func (s *Scheduler) expectedOutput(w *fireflypath.Work) float64 {
+	return float64(w.Cost.Output) * s.outputRatio
 }
--- a/internal/decide/sched/view.go
+++ b/internal/decide/sched/views.go
@@ -8,7 +8,7 @@
 	"github.com/fireflypath/fireflypath/internal/decide/slow"
 )
 
-// Demand summarises waiting and running work for the other daemons.
+// Demand summarizes the waiting and running work for other daemons.
 func (s *Scheduler) Demand(_ time.Time) fireflypath.Demand {
 	n := min(s.cfg.LowestRank+1, fair.Ranks)
 	d := fireflypath.Demand{
@@ -20,9 +20,9 @@
 	}
 	for r := range n {
 		d.Waiting[r] = s.queue.Tokens(r)
-		d.Running[r] = s.running[r]
+		d.Running[r] = s.inFlightTokens[r]
 		d.Requests[r] = s.queue.Requests(r)
-		d.Busy[r] = s.flying[r]
+		d.Busy[r] = s.inFlightByRank[r]
 	}
 	for i := range s.targets {
 		if t := &s.targets[i]; t.usable() {
@@ -32,11 +32,11 @@
 	return d
 }
 
-// Views appends what is known of each target, for operators.
+// Views appends the state of each target, for operators.
 func (s *Scheduler) Views(now time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
 	for i := range s.targets {
 		t := &s.targets[i]
-		if t.gone {
+		if t.removed {
 			continue
 		}
 		out = append(out, fireflypath.TargetView{
--- a/internal/decide/sched/burst_test.go
+++ b/internal/decide/sched/wait_test.go
@@ -9,40 +9,41 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Higher work comes at ten times the usual rate for two seconds and the queue
-// fills. A caller of the lowest tier with two minutes to spare must not be refused
-// as if the burst went on for ever: what waits is done long before its deadline.
-func TestBurstOfHigherWorkLeavesRoomForPatientWork(t *testing.T) {
+// A burst at ten times the usual rate from a higher tier fills the queue for
+// two seconds. Work of the lowest tier with a deadline in two minutes must not
+// be refused as if the burst lasted: the backlog is served long before.
+func TestShortBurstOfHigherTierDoesNotRefusePatientWork(t *testing.T) {
 	is := is.New(t)
-	s := newSched(1)
-	s.Offer(t0, work(2, "spare"), nil) // the queue is never empty: the drain is measured
-	now := t0
+	s := newScheduler(1)
+	s.Offer(startTime, newWork(2, "spare"), nil) // keeps the queue non-empty, so that the drain rate is measured
+	now := startTime
 	for range 50 {
 		now = now.Add(100 * time.Millisecond)
-		turn(s, now, 1)
+		offerAndComplete(s, now, 1)
 	}
 	for range 20 {
 		now = now.Add(100 * time.Millisecond)
-		turn(s, now, 10)
+		offerAndComplete(s, now, 10)
 	}
 	waiting := s.queue.Requests(0)
 	is.True(waiting > 100)
-	patient := work(2, "patient")
+	patient := newWork(2, "patient")
 	patient.Arrived, patient.Deadline = now, now.Add(2*time.Minute)
 	for _, sh := range s.Offer(now, patient, nil) {
 		is.True(sh.Work != patient)
 	}
 	for served := 0; served < waiting; served++ {
 		now = now.Add(100 * time.Millisecond)
-		turn(s, now, 0)
+		offerAndComplete(s, now, 0)
 	}
 	is.True(now.Before(patient.Deadline))
 }
 
-// turn offers work of the highest tier, and ends one request at the target.
-func turn(s *Scheduler, now time.Time, offers int) {
+// offerAndComplete offers work of the highest tier and completes one request at
+// the target.
+func offerAndComplete(s *Scheduler, now time.Time, offers int) {
 	for range offers {
-		w := work(0, "burst")
+		w := newWork(0, "burst")
 		w.Arrived, w.Deadline = now, now.Add(time.Hour)
 		s.Offer(now, w, nil)
 	}
