--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -1,14 +1,15 @@
-// Package quarantine decides which requests end the targets that run them.
+// Package quarantine detects poison requests: requests that crash every target that runs
+// them.
 //
-// It answers one request that comes again and again and ends each target that begins
-// to run it: a query of death, or poison request. Limits by target, pool or team do not
-// see it, as each time it is a new request at another target, and without a memory of
-// its own it takes down a pool with the work of all other callers there.
+// A poison request, also called a query of death, is repeated by its caller and crashes
+// each target that starts it. Limits per target, pool or team do not catch it, because
+// each attempt is a new request on another target. Unless crashes are remembered per
+// request, it takes down a whole pool with all other requests running there.
 //
-// Each target that ends breaks healthy work too, so that having been there is no proof.
-// What counts is to have been there again and again, one run after the other, more often
-// than by chance and than anything else that ran there, and never to have been answered
-// whole by any target.
+// A crashing target also breaks the healthy requests on it, so running there is no proof.
+// A request is held if it was running at crash after crash, in runs one after the other,
+// more often than by chance and than any other request there, and if no target ever
+// completed it.
 package quarantine
 
 import (
@@ -20,61 +21,63 @@
 )
 
 const (
-	// suspectCrashes is how many runs in a row have to end targets for a suspect.
+	// suspectCrashes is how many consecutive crashes make a request a suspect.
 	suspectCrashes = 2
-	// maxChance is how likely it may be at most that the runs of healthy work have met so
-	// many ends of targets. With it one in some tens of thousands that are hit as often
-	// is taken for deadly.
+	// maxChance is the highest probability, for a healthy request, of meeting as many
+	// crashes at which a request is still held. With it, one in some tens of thousands of
+	// healthy requests that meet as many crashes is held by mistake.
 	maxChance = 1e-5
-	// extraCrashes is how many runs more than the least number make extraCrashesChance enough: work
-	// that runs for long before it ends its target meets more by chance, too.
+	// extraCrashes is how many crashes beyond Config.MinCrashes make extraCrashesChance
+	// sufficient: a request that runs for long before it crashes its target also meets
+	// more crashes by chance.
 	extraCrashes       = 2
 	extraCrashesChance = 1e-3
-	// repeatChance is for work that was held before.
+	// repeatChance applies to requests that were held before.
 	repeatChance = 0.05
-	// clockSkew is by how much the times of two daemons may differ.
+	// clockSkew is the largest expected difference between the clocks of two daemons.
 	clockSkew = 25 * time.Millisecond
-	// retention is how long a target's end is held against what ran there.
+	// retention is how long a crash counts against the requests that ran on the target.
 	retention = 30 * time.Minute
-	// maxRequests and maxCrashedTargets bound what is remembered: many times what runs in a failure
-	// domain that is lost as a whole.
+	// maxRequests and maxCrashedTargets bound the memory used: many times what runs in one
+	// failure domain.
 	maxRequests, maxCrashedTargets = 4096, 4096
 	pruneInterval                  = time.Minute
 	maxPastCrashes                 = 64
-	// maxDoublings bounds how long a request is refused: sixteen times the first time.
+	// maxDoublings limits a hold to 16 times Config.HoldTime.
 	maxDoublings = 4
 )
 
-// Config sets when a request is refused, and for how long.
+// Config sets when a request is held, and for how long.
 type Config struct {
-	// MinCrashes is how many targets have to end under a request, one after the other; at
-	// least 2.
+	// MinCrashes is how many targets, at least 2, must crash under a request in
+	// consecutive runs.
 	MinCrashes int
-	// HoldTime is how long it is refused then; twice as long each time after.
+	// HoldTime is the length of the first hold; each further hold is twice as long.
 	HoldTime time.Duration
 }
 
-// Crash is a target that ended while it ran a request.
+// Crash reports that a target crashed while it ran a request.
 type Crash struct {
 	Digest digest.Digest
 	Pool   string
-	// Target names one life of the target, one of so many of its pool.
+	// Target identifies one incarnation of the target; PoolSize is the number of targets
+	// in its pool.
 	Target   string
 	PoolSize int
-	// Started is when the request was sent there, Ended when the connection broke.
+	// Started is when the request was sent, Ended when the connection broke.
 	Started, Ended time.Time
 }
 
-// State is what is known of a request.
+// State is the state of a request in the quarantine.
 type State string
 
 // The states of a request.
 const (
-	// Suspect is a request that may end targets; it is served as any other.
+	// Suspect is a request that may crash targets; it is still served normally.
 	Suspect State = "suspect"
 	// Held is a request that is refused.
 	Held State = "held"
-	// Cleared is a request that was one of the others and is known to be healthy now.
+	// Cleared is a request that was suspect or held and has turned out to be healthy.
 	Cleared State = "free"
 )
 
@@ -83,13 +86,13 @@
 	Digest digest.Digest
 	Pool   string
 	State  State
-	// Until is when a request that is held may run again.
+	// Until is when a held request may run again.
 	Until time.Time
-	// Crashes is how many targets have ended under it, Times how often it was held.
+	// Crashes is how many targets crashed under the request, Holds how often it was held.
 	Crashes, Holds int
 }
 
-// crashedTarget is a target that ended.
+// crashedTarget is a target incarnation that crashed.
 type crashedTarget struct {
 	pool      string
 	crashedAt time.Time
@@ -97,158 +100,158 @@
 	requests []digest.Digest
 }
 
-// Detector holds what daemons report. It is not safe for concurrent use.
+// Detector collects crash reports from daemons. It is not safe for concurrent use.
 type Detector struct {
 	cfg      Config
 	requests map[digest.Digest]*request
-	// crashedTargets holds the targets that ended, whatever ran there.
+	// crashedTargets is keyed by target, whatever requests ran there.
 	crashedTargets map[string]*crashedTarget
-	// lastPruned is when what is old was last forgotten.
+	// lastPruned is when old data was last removed.
 	lastPruned time.Time
 }
 
-// New returns an empty ledger.
+// New returns a detector without reports.
 func New(cfg Config) *Detector {
 	return &Detector{cfg: cfg, requests: map[digest.Digest]*request{}, crashedTargets: map[string]*crashedTarget{}}
 }
 
-// RecordCrash takes in a target's end. The same one may be told any number of times.
-func (l *Detector) RecordCrash(now time.Time, loss Crash) {
-	l.recordTarget(loss)
-	w := l.requests[loss.Digest]
-	if w == nil {
-		w = &request{pool: loss.Pool}
-		l.requests[loss.Digest] = w
-	}
-	w.lastReport = now
-	w.poolSize = loss.PoolSize
-	if w.crashed(loss.Target) {
+// RecordCrash adds a crash report. The same crash may be reported repeatedly.
+func (det *Detector) RecordCrash(now time.Time, c Crash) {
+	det.recordTarget(c)
+	r := det.requests[c.Digest]
+	if r == nil {
+		r = &request{pool: c.Pool}
+		det.requests[c.Digest] = r
+	}
+	r.lastReport = now
+	r.poolSize = c.PoolSize
+	if r.crashed(c.Target) {
 		return
 	}
-	if now.Before(w.heldUntil) {
-		w.pastCrashes = append(w.pastCrashes, loss) // it was on its way when the work was held
+	if now.Before(r.heldUntil) {
+		r.pastCrashes = append(r.pastCrashes, c) // sent before the hold took effect
 		return
 	}
-	w.crashes = append(w.crashes, loss)
-	slices.SortFunc(w.crashes, func(a, b Crash) int { return cmp.Compare(a.Ended.UnixNano(), b.Ended.UnixNano()) })
-	if now.Sub(l.lastPruned) > pruneInterval || len(l.requests) > maxRequests || len(l.crashedTargets) > maxCrashedTargets {
-		l.lastPruned = now
-		l.prune(now)
+	r.crashes = append(r.crashes, c)
+	slices.SortFunc(r.crashes, func(a, b Crash) int { return cmp.Compare(a.Ended.UnixNano(), b.Ended.UnixNano()) })
+	if now.Sub(det.lastPruned) > pruneInterval || len(det.requests) > maxRequests || len(det.crashedTargets) > maxCrashedTargets {
+		det.lastPruned = now
+		det.prune(now)
 	}
 }
 
-// recordTarget books what ran on a target that ended.
-func (l *Detector) recordTarget(loss Crash) {
-	o := l.crashedTargets[loss.Target]
-	if o == nil {
-		o = &crashedTarget{pool: loss.Pool}
-		l.crashedTargets[loss.Target] = o
+// recordTarget notes that the request ran on a target that crashed.
+func (det *Detector) recordTarget(c Crash) {
+	t := det.crashedTargets[c.Target]
+	if t == nil {
+		t = &crashedTarget{pool: c.Pool}
+		det.crashedTargets[c.Target] = t
 	}
-	o.crashedAt = loss.Ended
-	if !slices.Contains(o.requests, loss.Digest) {
-		o.requests = append(o.requests, loss.Digest)
+	t.crashedAt = c.Ended
+	if !slices.Contains(t.requests, c.Digest) {
+		t.requests = append(t.requests, c.Digest)
 	}
 }
 
-// RetractCrash takes back that a target has ended: it has answered since.
-func (l *Detector) RetractCrash(target string) {
-	delete(l.crashedTargets, target)
-	for d, w := range l.requests {
-		is := func(o Crash) bool { return o.Target == target }
-		w.crashes, w.pastCrashes = slices.DeleteFunc(w.crashes, is), slices.DeleteFunc(w.pastCrashes, is)
-		if len(w.crashes) == 0 && w.holds == 0 && w.suspectSince.IsZero() {
-			delete(l.requests, d)
+// RetractCrash removes the crash of a target that has answered since.
+func (det *Detector) RetractCrash(target string) {
+	delete(det.crashedTargets, target)
+	for d, r := range det.requests {
+		onTarget := func(c Crash) bool { return c.Target == target }
+		r.crashes, r.pastCrashes = slices.DeleteFunc(r.crashes, onTarget), slices.DeleteFunc(r.pastCrashes, onTarget)
+		if len(r.crashes) == 0 && r.holds == 0 && r.suspectSince.IsZero() {
+			delete(det.requests, d)
 		}
 	}
 }
 
-// RecordSuccess takes in that a request was answered whole, and tells if that changes what the
-// daemons were told of it.
-func (l *Detector) RecordSuccess(now time.Time, d digest.Digest) (Verdict, bool) {
-	w := l.requests[d]
-	if w == nil {
+// RecordSuccess notes that a request was completed, which clears it. It reports whether
+// this changes the state that daemons were told.
+func (det *Detector) RecordSuccess(now time.Time, d digest.Digest) (Verdict, bool) {
+	r := det.requests[d]
+	if r == nil {
 		return Verdict{}, false
 	}
-	delete(l.requests, d)
-	known := !w.suspectSince.IsZero() || now.Before(w.heldUntil)
-	return Verdict{Digest: d, Pool: w.pool, State: Cleared, Crashes: len(w.crashes), Holds: w.holds}, known
+	delete(det.requests, d)
+	known := !r.suspectSince.IsZero() || now.Before(r.heldUntil)
+	return Verdict{Digest: d, Pool: r.pool, State: Cleared, Crashes: len(r.crashes), Holds: r.holds}, known
 }
 
-// ApplyVerdict takes in what another daemon decided.
-func (l *Detector) ApplyVerdict(now time.Time, v Verdict) {
+// ApplyVerdict applies a verdict of another daemon.
+func (det *Detector) ApplyVerdict(now time.Time, v Verdict) {
 	if v.State == Cleared {
-		delete(l.requests, v.Digest)
+		delete(det.requests, v.Digest)
 		return
 	}
-	w := l.requests[v.Digest]
-	if w == nil {
-		w = &request{pool: v.Pool}
-		l.requests[v.Digest] = w
+	r := det.requests[v.Digest]
+	if r == nil {
+		r = &request{pool: v.Pool}
+		det.requests[v.Digest] = r
 	}
-	w.lastReport = now
-	if w.suspectSince.IsZero() {
-		w.suspectSince = now
+	r.lastReport = now
+	if r.suspectSince.IsZero() {
+		r.suspectSince = now
 	}
 	if v.State == Held {
-		w.hold(v.Until, max(v.Holds, 1))
+		r.hold(v.Until, max(v.Holds, 1))
 	}
 }
 
-// Evaluate appends what is newly known. A request is a suspect for the time of the hearing
-// before it is held: all daemons hear of suspects and tell if one of them was answered.
-// Judge has to be called again after a while as long as it reports that a hearing goes on.
-func (l *Detector) Evaluate(now time.Time, hearing time.Duration, out []Verdict) (verdicts []Verdict, hearings bool) {
-	for d, w := range l.requests {
-		least := l.suspectThreshold(w)
-		if len(w.crashes) < least || now.Before(w.heldUntil) || len(consecutive(w.crashes)) < least {
+// Evaluate appends new verdicts to out. A request stays a suspect for the confirmation
+// period before it is held: all daemons learn of suspects and report if one of them was
+// completed. Evaluate must be called again later while pending is true.
+func (det *Detector) Evaluate(now time.Time, confirmation time.Duration, out []Verdict) (verdicts []Verdict, pending bool) {
+	for d, r := range det.requests {
+		threshold := det.suspectThreshold(r)
+		if len(r.crashes) < threshold || now.Before(r.heldUntil) || len(consecutive(r.crashes)) < threshold {
 			continue
 		}
-		if w.suspectSince.IsZero() {
-			w.suspectSince = now
-			out = append(out, Verdict{Digest: d, Pool: w.pool, State: Suspect, Crashes: len(w.crashes), Holds: w.holds})
+		if r.suspectSince.IsZero() {
+			r.suspectSince = now
+			out = append(out, Verdict{Digest: d, Pool: r.pool, State: Suspect, Crashes: len(r.crashes), Holds: r.holds})
 		}
-		if !l.isPoison(w) {
+		if !det.isPoison(r) {
 			continue
 		}
-		if now.Sub(w.suspectSince) < hearing {
-			hearings = true
+		if now.Sub(r.suspectSince) < confirmation {
+			pending = true
 			continue
 		}
-		targets := len(w.crashes)
-		w.hold(now.Add(l.cfg.HoldTime<<min(w.holds, maxDoublings)), w.holds+1)
-		out = append(out, Verdict{Digest: d, Pool: w.pool, State: Held, Until: w.heldUntil, Crashes: targets, Holds: w.holds})
+		crashes := len(r.crashes)
+		r.hold(now.Add(det.cfg.HoldTime<<min(r.holds, maxDoublings)), r.holds+1)
+		out = append(out, Verdict{Digest: d, Pool: r.pool, State: Held, Until: r.heldUntil, Crashes: crashes, Holds: r.holds})
 	}
-	return out, hearings
+	return out, pending
 }
 
-// suspectThreshold is how many runs make the work a suspect. One that was held before is one
-// again with its next run.
-func (l *Detector) suspectThreshold(w *request) int {
-	if w.holds > 0 {
+// suspectThreshold is the number of consecutive crashes that make the request a suspect. A
+// single one is enough for a request that was held before.
+func (det *Detector) suspectThreshold(r *request) int {
+	if r.holds > 0 {
 		return 1
 	}
-	return min(suspectCrashes, l.cfg.MinCrashes)
+	return min(suspectCrashes, det.cfg.MinCrashes)
 }
 
-// prune forgets what is old, and the oldest if there is too much.
-func (l *Detector) prune(now time.Time) {
-	for d, w := range l.requests {
-		if now.Sub(w.lastReport) > retention && now.After(w.heldUntil) {
-			delete(l.requests, d)
+// prune removes old data, and requests beyond maxRequests oldest first.
+func (det *Detector) prune(now time.Time) {
+	for d, r := range det.requests {
+		if now.Sub(r.lastReport) > retention && now.After(r.heldUntil) {
+			delete(det.requests, d)
 		}
 	}
-	for len(l.requests) > maxRequests {
+	for len(det.requests) > maxRequests {
 		var oldest digest.Digest
-		for d, w := range l.requests {
-			if o := l.requests[oldest]; o == nil || w.lastReport.Before(o.lastReport) {
+		for d, r := range det.requests {
+			if t := det.requests[oldest]; t == nil || r.lastReport.Before(t.lastReport) {
 				oldest = d
 			}
 		}
-		delete(l.requests, oldest)
+		delete(det.requests, oldest)
 	}
-	for target, o := range l.crashedTargets {
-		if now.Sub(o.crashedAt) > retention || len(l.crashedTargets) > maxCrashedTargets {
-			delete(l.crashedTargets, target)
+	for name, t := range det.crashedTargets {
+		if now.Sub(t.crashedAt) > retention || len(det.crashedTargets) > maxCrashedTargets {
+			delete(det.crashedTargets, name)
 		}
 	}
 }
