--- a/cmd/fireflypath/simulate.go
+++ b/cmd/fireflypath/simulate.go
@@ -126,15 +126,15 @@
 
 // equip sets the schedulers of the policy.
 func (s *simulated) equip(o *sim.Options) error {
-	alone, shared := slots.Alone(), slots.Shared()
+	alone, shared := slots.StandaloneTuning(), slots.DispatcherTuning()
 	object, err := tuningObject(s.Set)
 	if err != nil {
 		return err
 	}
-	if alone, err = alone.Set(object); err != nil {
+	if alone, err = alone.Apply(object); err != nil {
 		return err
 	}
-	if shared, err = shared.Set(object); err != nil {
+	if shared, err = shared.Apply(object); err != nil {
 		return err
 	}
 	o.Make = func(p fireflypath.Pool, seed uint64) fireflypath.Scheduler { return slots.New(p, seed, alone) }
--- a/internal/daemon/gated.go
+++ b/internal/daemon/gated.go
@@ -156,17 +156,17 @@
 // daemon for all of a group; plain services are quick, so that what one daemon sees
 // of them is enough.
 func (d *Daemon) gatedScheduler(p fireflypath.Pool) fireflypath.Scheduler {
-	seed, tune := xxhash.Sum64String(d.cfg.Name+"/"+p.Name), slots.Alone()
+	seed, tune := xxhash.Sum64String(d.cfg.Name+"/"+p.Name), slots.StandaloneTuning()
 	if p.Kind != fireflypath.KindEngine || d.members == nil {
 		return slots.New(p, seed, tune)
 	}
-	tune.Reports = true
+	tune.UseTargetReports = true
 	return remote.New(slots.New(p, seed, tune))
 }
 
 // shared decides for all daemons of a group.
 func (d *Daemon) shared(p fireflypath.Pool) dispatcher.Scheduler {
-	return slots.New(p, xxhash.Sum64String(p.Name), slots.Shared())
+	return slots.New(p, xxhash.Sum64String(p.Name), slots.DispatcherTuning())
 }
 
 // place has the dispatcher place the work of pools that have one.
--- a/internal/decide/dispatcher/dispatcher_test.go
+++ b/internal/decide/dispatcher/dispatcher_test.go
@@ -17,7 +17,7 @@
 // queue is a dispatcher before so many targets of three slots each.
 func queue(targets int) *dispatcher.Dispatcher {
 	p := fireflypath.Pool{Name: "p", Stride: 3}
-	d := dispatcher.New("p", slots.New(p, 7, slots.Shared()))
+	d := dispatcher.New("p", slots.New(p, 7, slots.DispatcherTuning()))
 	var list []fireflypath.Target
 	for i := range targets {
 		list = append(list, fireflypath.Target{
--- a/internal/decide/remote/remote_test.go
+++ b/internal/decide/remote/remote_test.go
@@ -24,7 +24,7 @@
 }
 
 func scheduler(n int) *remote.Scheduler {
-	s := remote.New(slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.Alone()))
+	s := remote.New(slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.StandaloneTuning()))
 	s.SetTargets(start, targets(n))
 	return s
 }
--- a/internal/decide/slots/choose.go
+++ b/internal/decide/slots/choose.go
@@ -50,14 +50,14 @@
 	if s.maxPrefillRate == 0 || !t.speedKnown() {
 		return true
 	}
-	if s.expectedDuration(t, w) > s.tuning.Hurry*w.Deadline.Sub(now).Seconds() && s.expectedDuration(s.fastest, w) < s.expectedDuration(t, w) {
+	if s.expectedDuration(t, w) > s.tuning.MaxDurationFraction*w.Deadline.Sub(now).Seconds() && s.expectedDuration(s.fastest, w) < s.expectedDuration(t, w) {
 		return false
 	}
-	if w.Gap <= 0 || s.occupied(now, t) == 0 || s.prefillRate(t) > s.tuning.MuchSlower*s.maxPrefillRate {
+	if w.Gap <= 0 || s.occupied(now, t) == 0 || s.prefillRate(t) > s.tuning.SlowPrefillRatio*s.maxPrefillRate {
 		return true
 	}
 	stall := float64(min(w.Cost.Prompt, s.tokensPerEvent()*prefillChunk)) / s.prefillRate(t)
-	return stall <= s.tuning.GapPart*w.Gap.Seconds() || now.After(w.Goal)
+	return stall <= s.tuning.MaxStallFraction*w.Gap.Seconds() || now.After(w.Goal)
 }
 
 // tokensPerEvent returns the number of tokens in one event of a stream.
@@ -89,12 +89,12 @@
 func (s *Scheduler) score(now time.Time, t *target, w *fireflypath.Work) float64 {
 	sec := float64(t.pendingPrefill+t.peerPrefill+w.Cost.Prompt)/s.prefillRate(t) + t.speed.Delay(now).Seconds() + 1e-3
 	occupancy := float64(s.occupied(now, t)) / float64(t.slots())
-	sec *= 1 + s.tuning.SlotCost*occupancy*float64(t.slots())
+	sec *= 1 + s.tuning.SlotPenalty*occupancy*float64(t.slots())
 	if over := s.occupied(now, t) + 1 - t.slots(); over > 0 {
 		sec += float64(over) * t.slotTime / float64(t.slots())
 	}
-	sec *= 1 + s.tuning.FailCost*t.failureRate
-	return sec * (1 + s.tuning.Spread*s.noise(t))
+	sec *= 1 + s.tuning.FailurePenalty*t.failureRate
+	return sec * (1 + s.tuning.ScoreNoise*s.noise(t))
 }
 
 // noise returns a pseudo-random number in [0, 1) that is fixed for a target and
--- a/internal/decide/slots/refuse.go
+++ b/internal/decide/slots/refuse.go
@@ -23,7 +23,7 @@
 	if w.Leaves.IsZero() {
 		return w.Deadline.Add(-expiryMargin)
 	}
-	return w.Arrived.Add(time.Duration(s.tuning.Hopeless * float64(leavesAt(w).Sub(w.Arrived))))
+	return w.Arrived.Add(time.Duration(s.tuning.MaxWaitFraction * float64(leavesAt(w).Sub(w.Arrived))))
 }
 
 // expectedWait returns how long the request would wait, if it can be estimated.
--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -89,7 +89,7 @@
 	s := &Scheduler{
 		pool: pool, seed: seed, tuning: tuning, share: fireflypath.Share{Default: 1},
 		targets: map[string]*target{}, inFlight: map[*fireflypath.Work]dispatched{},
-		completions: rate.Meter{Horizon: rateHorizon}, floor: floor.New(tuning.Floor),
+		completions: rate.Meter{Horizon: rateHorizon}, floor: floor.New(tuning.MinServedRatio),
 	}
 	for i := range s.arrivals {
 		s.arrivals[i].Horizon = rateHorizon
@@ -104,7 +104,7 @@
 	s.floor.Ask(now, w.Rank)
 	s.completions.Pass(now, len(s.waiting) > 0)
 	wait, known := s.expectedWait(now, w)
-	if known && wait > time.Duration(s.tuning.Hopeless*float64(leavesAt(w).Sub(now))) && !s.admitStarved(now, w) {
+	if known && wait > time.Duration(s.tuning.MaxWaitFraction*float64(leavesAt(w).Sub(now))) && !s.admitStarved(now, w) {
 		return append(out, s.shed(now, w, fmt.Sprintf("turn expected in %v", wait.Round(time.Millisecond))))
 	}
 	s.waiting = append(s.waiting, w)
@@ -120,7 +120,7 @@
 	if ra != rb {
 		return ra < rb
 	}
-	if s.tuning.Newest && ra%2 == 0 {
+	if s.tuning.LatestGoalFirst && ra%2 == 0 {
 		return a.Goal.After(b.Goal)
 	}
 	return a.Goal.Before(b.Goal)
@@ -139,10 +139,10 @@
 
 // isLate reports whether the request can no longer begin in time.
 func (s *Scheduler) isLate(now time.Time, w *fireflypath.Work) bool {
-	if !s.tuning.Punctual || s.maxPrefillRate == 0 {
+	if !s.tuning.PredictLateness || s.maxPrefillRate == 0 {
 		return now.After(w.Goal)
 	}
-	minSeconds := float64(w.Cost.Prompt)/s.maxPrefillRate + s.tuning.Margin
+	minSeconds := float64(w.Cost.Prompt)/s.maxPrefillRate + s.tuning.LatenessMargin
 	return now.After(w.Goal.Add(-time.Duration(minSeconds * float64(time.Second))))
 }
 
@@ -187,7 +187,7 @@
 
 func (s *Scheduler) anyTargetAccepts(now time.Time) bool {
 	for _, t := range s.ordered {
-		if s.accepts(now, t, s.tuning.Extra) {
+		if s.accepts(now, t, s.tuning.MaxTargetQueue) {
 			return true
 		}
 	}
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -23,7 +23,7 @@
 }
 
 func newScheduler(n int) *slots.Scheduler {
-	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.Alone())
+	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.StandaloneTuning())
 	s.SetTargets(start, newTargets(n))
 	return s
 }
@@ -364,7 +364,7 @@
 	const daemons = 8
 	var all []*slots.Scheduler
 	for d := range daemons {
-		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.Alone())
+		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.StandaloneTuning())
 		for i := range 20 {
 			s.Offer(start, newWork(fmt.Sprint(d, "-", i), 0, start), nil)
 		}
@@ -397,7 +397,7 @@
 	var all []*slots.Scheduler
 	now := start
 	for d := range daemons {
-		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.Alone())
+		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.StandaloneTuning())
 		s.SetShare(now, fireflypath.Share{Part: map[string]float64{}})
 		s.SetTargets(now, newTargets(1))
 		all = append(all, s)
@@ -553,7 +553,7 @@
 // more than that.
 func TestLowerTierMinimumService(t *testing.T) {
 	is := is.New(t)
-	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.Shared())
+	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.DispatcherTuning())
 	s.SetTargets(start, newTargets(2))
 	type end struct {
 		at time.Time
--- a/internal/decide/slots/target.go
+++ b/internal/decide/slots/target.go
@@ -120,7 +120,7 @@
 	if t.peersReported {
 		n = t.peerRequests
 	}
-	useReport := !t.peersReported || s.share.Mixed || s.tuning.Reports
+	useReport := !t.peersReported || s.share.Mixed || s.tuning.UseTargetReports
 	if useReport && now.Sub(t.reportedAt) <= reportTTL {
 		n = max(n, t.reportedRequests)
 	}
@@ -145,7 +145,7 @@
 // allowedExtra returns how many requests beyond its slots a target may have when
 // one of the rank is sent.
 func (s *Scheduler) allowedExtra(rank int) int {
-	return min(max(s.lowestRank-rank, 0), s.tuning.Extra)
+	return min(max(s.lowestRank-rank, 0), s.tuning.MaxTargetQueue)
 }
 
 // skipReason returns why the target accepts no request, or "" if it does. extra is
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -118,11 +118,11 @@
 		d := &node{n: n, name: fmt.Sprintf("d%d", i), methods: map[string]peer.Method{}}
 		n.nodes[d.name] = d
 		d.d = dispatch.New(d.name, d, d, clock, tally.NoopScope, zap.NewNop(), func(p fireflypath.Pool) dispatcher.Scheduler {
-			return slots.New(p, 1, slots.Shared())
+			return slots.New(p, 1, slots.DispatcherTuning())
 		})
 	}
 	for _, d := range n.nodes {
-		sched := remote.New(slots.New(cfg, 1, slots.Alone()))
+		sched := remote.New(slots.New(cfg, 1, slots.StandaloneTuning()))
 		d.pool = pool.New("p", clock, sched, nil)
 		d.pool.SetTargets(all.Targets)
 		d.d.Apply(&all)
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -113,7 +113,7 @@
 		change(s.cfg)
 	}
 	clock := clockwork.NewRealClock()
-	ps := pools.New(clock, nil, func(p fireflypath.Pool) fireflypath.Scheduler { return slots.New(p, 1, slots.Alone()) })
+	ps := pools.New(clock, nil, func(p fireflypath.Pool) fireflypath.Scheduler { return slots.New(p, 1, slots.StandaloneTuning()) })
 	ps.Apply(s.cfg)
 	s.pools, s.client = ps, http1.New(clock, "T-Id")
 	g := gate.New(gate.Deps{
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -26,10 +26,12 @@
 		t.Fatal(err)
 	}
 	o := sim.Options{Fleet: f, Load: l, Seed: seed, Make: func(p fireflypath.Pool, seed uint64) fireflypath.Scheduler {
-		return slots.New(p, seed, slots.Alone())
+		return slots.New(p, seed, slots.StandaloneTuning())
 	}}
 	if dispatched {
-		o.Dispatch = func(p fireflypath.Pool, seed uint64) dispatcher.Scheduler { return slots.New(p, seed, slots.Shared()) }
+		o.Dispatch = func(p fireflypath.Pool, seed uint64) dispatcher.Scheduler {
+			return slots.New(p, seed, slots.DispatcherTuning())
+		}
 	}
 	return sim.Run(o)
 }
