--- a/internal/daemon/gated.go
+++ b/internal/daemon/gated.go
@@ -115,7 +115,7 @@
 	}
 	d.directory = directory.New(feed, d.deps.Codec, d.deps.Clock, boottime.System{}, d.scope, d.deps.Log)
 	if d.quarantine != nil {
-		d.directory.OnChange(quarantine.Prefix, d.quarantine.Learn)
+		d.directory.OnChange(quarantine.Prefix, d.quarantine.ApplyStoreEntry)
 	}
 	if relay != nil {
 		relay.Serve(d.directory)
@@ -156,17 +156,17 @@
 // daemon for all of a group; plain services are quick, so that what one daemon sees
 // of them is enough.
 func (d *Daemon) gatedScheduler(p fireflypath.Pool) fireflypath.Scheduler {
-	seed, tune := xxhash.Sum64String(d.cfg.Name+"/"+p.Name), slots.Alone()
+	seed, tune := xxhash.Sum64String(d.cfg.Name+"/"+p.Name), slots.StandaloneTuning()
 	if p.Kind != fireflypath.KindEngine || d.members == nil {
 		return slots.New(p, seed, tune)
 	}
-	tune.Reports = true
+	tune.UseTargetReports = true
 	return remote.New(slots.New(p, seed, tune))
 }
 
 // shared decides for all daemons of a group.
 func (d *Daemon) shared(p fireflypath.Pool) dispatcher.Scheduler {
-	return slots.New(p, xxhash.Sum64String(p.Name), slots.Shared())
+	return slots.New(p, xxhash.Sum64String(p.Name), slots.DispatcherTuning())
 }
 
 // place has the dispatcher place the work of pools that have one.
@@ -213,8 +213,8 @@
 		Clock: d.deps.Clock, Codec: d.deps.Codec, Configs: d.deps.Configs, Freshness: d.directory,
 		Pools: d.pools, Client: d.targets, Limits: d.limits, Recorder: d.deps.Recorder,
 		Scope: d.scope, Log: d.deps.Log,
-		Revoked: g.Revoked.Std() - viewMargin,
-		Unknown: time.Duration(forcePart * float64(g.Force)),
+		MaxKeyViewAge:      g.Revoked.Std() - viewMargin,
+		MaxNotFoundViewAge: time.Duration(forcePart * float64(g.Force)),
 	}
 	if d.quarantine != nil {
 		deps.Quarantine = d.quarantine
@@ -276,7 +276,7 @@
 
 func (gatedReadiness) Stop(_ context.Context, d *Daemon) error {
 	d.ready.Store(false)
-	d.gate.Leave()
+	d.gate.StartDraining()
 	if d.members != nil {
 		d.members.SetLeaving()
 	}
