--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -113,7 +113,7 @@
 		change(s.cfg)
 	}
 	clock := clockwork.NewRealClock()
-	ps := pools.New(clock, nil, func(p fireflypath.Pool) fireflypath.Scheduler { return slots.New(p, 1, slots.Alone()) })
+	ps := pools.New(clock, nil, func(p fireflypath.Pool) fireflypath.Scheduler { return slots.New(p, 1, slots.StandaloneTuning()) })
 	ps.Apply(s.cfg)
 	s.pools, s.client = ps, http1.New(clock, "T-Id")
 	g := gate.New(gate.Deps{
@@ -121,7 +121,7 @@
 		Client: s.client,
 		Limits: limits.New(limits.Config{Ratio: 10, Window: 10 * time.Second, Allowance: 100}, 1, 1),
 		Scope:  tally.NoopScope, Log: zap.NewNop(),
-		Revoked: time.Minute, Unknown: 30 * time.Second,
+		MaxKeyViewAge: time.Minute, MaxNotFoundViewAge: 30 * time.Second,
 	})
 	s.gateServer = httptest.NewServer(g)
 	t.Cleanup(s.gateServer.Close)
