--- a/internal/daemon/gatedmembers.go
+++ b/internal/daemon/gatedmembers.go
@@ -96,9 +96,9 @@
 	dispatch *dispatch.Dispatch
 }
 
-// Moves implements usage.Pools.
-func (h heard) Moves() uint64 {
-	n := 2 * h.Pools.Moves()
+// Version implements usage.Pools.
+func (h heard) Version() uint64 {
+	n := 2 * h.Pools.Version()
 	if h.dispatch.Partial() {
 		n++
 	}
@@ -112,8 +112,8 @@
 	return m
 }
 
-// Hear implements usage.Pools.
-func (h heard) Hear(mates []fireflypath.Mate) {
-	h.Pools.Hear(mates)
-	h.dispatch.Hear(mates)
+// UpdatePeers implements usage.Pools.
+func (h heard) UpdatePeers(mates []fireflypath.Mate) {
+	h.Pools.UpdatePeers(mates)
+	h.dispatch.UpdatePeers(mates)
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -266,9 +266,9 @@
 	})
 }
 
-// Hear takes in what daemons have in flight whose work is not placed here. This one may
+// UpdatePeers takes in what daemons have in flight whose work is not placed here. This one may
 // be among them, if it has chosen another dispatcher than those that it decides for.
-func (d *Dispatch) Hear(mates []fireflypath.Mate) {
+func (d *Dispatch) UpdatePeers(mates []fireflypath.Mate) {
 	d.mu.Lock()
 	desks, clients := slices.Collect(maps.Values(d.desks)), slices.Collect(maps.Values(d.clients))
 	d.mu.Unlock()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -161,7 +161,7 @@
 				}
 			}
 			d.pool.Hear(mates)
-			d.d.Hear(mates)
+			d.d.UpdatePeers(mates)
 		}
 	}
 }
--- a/internal/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -250,8 +250,8 @@
 	return out
 }
 
-// Moves changes whenever what Report tells may have changed.
-func (p *Pools) Moves() uint64 {
+// Version changes whenever what Report tells may have changed.
+func (p *Pools) Version() uint64 {
 	all := *p.byName.Load()
 	n := uint64(len(all))
 	for _, one := range all {
@@ -269,8 +269,8 @@
 	return m
 }
 
-// Hear takes in what the other daemons have in flight and waiting.
-func (p *Pools) Hear(mates []fireflypath.Mate) {
+// UpdatePeers takes in what the other daemons have in flight and waiting.
+func (p *Pools) UpdatePeers(mates []fireflypath.Mate) {
 	for _, n := range *p.byName.Load() {
 		n.Hear(mates)
 	}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -53,11 +53,11 @@
 // Pools holds the in-flight work of this daemon.
 type Pools interface {
 	// Version returns a number that differs whenever the result of Report may differ.
-	Moves() uint64
+	Version() uint64
 	// Report returns the in-flight and waiting work of this daemon.
 	Report() fireflypath.Mate
 	// UpdatePeers sets the in-flight and waiting work of the other daemons.
-	Hear([]fireflypath.Mate)
+	UpdatePeers([]fireflypath.Mate)
 }
 
 // Limits holds the quotas.
@@ -157,7 +157,7 @@
 // readLocal reads this daemon's in-flight work and quota usage and reports whether they
 // changed.
 func (u *Usage) readLocal(layout *cell.Layout) bool {
-	version := u.pools.Moves()
+	version := u.pools.Version()
 	u.mu.Lock()
 	stale := version != u.version || u.reports == 0
 	u.mu.Unlock()
@@ -197,7 +197,7 @@
 func (u *Usage) apply(now time.Time, layout *cell.Layout) {
 	live := u.fleet.Live()
 	peers := u.activePeers(now, live, layout.Mates(u.self))
-	u.pools.Hear(peers)
+	u.pools.UpdatePeers(peers)
 	if len(peers) == 0 && len(live) == 1 {
 		return // not joined yet: the fractions set at the start stay in force
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -50,12 +50,12 @@
 func (d *daemon) Live() []fireflypath.Member          { return d.live }
 func (d *daemon) Missing() int                        { return d.missing }
 func (d *daemon) Report() fireflypath.Mate            { d.reports++; return d.report }
-func (d *daemon) Hear(ms []fireflypath.Mate)          { d.peers = ms; d.updates++ }
+func (d *daemon) UpdatePeers(ms []fireflypath.Mate)   { d.peers = ms; d.updates++ }
 func (d *daemon) Used() map[string]float64            { return d.used }
 func (d *daemon) SetLargeFleet(int)                   {}
 func (d *daemon) Levels(time.Time) map[string]float64 { return map[string]float64{"red": 7} }
 
-func (d *daemon) Moves() uint64 {
+func (d *daemon) Version() uint64 {
 	if !d.idle {
 		d.version++
 	}
