--- a/internal/decide/fair/queue.go
+++ b/internal/decide/fair/queue.go
@@ -21,16 +21,16 @@
 const (
 	// Ranks is the number of tier ranks (Tier.Rank is at most 15).
 	Ranks = 16
-	// classes is the number of size classes of a team's work. Each spans a
+	// numClasses is the number of size classes of a team's work. Each spans a
 	// factor of four, so five cover lengths that vary by a factor of a hundred.
-	classes = 5
-	// smallest is the cost in tokens below which work is of the lowest class: a
+	numClasses = 5
+	// smallestClassCost is the cost in tokens below which work is of the lowest class: a
 	// short question with its answer.
-	smallest = 512
-	// sweep is how many idle teams are looked at per operation, so that idle
+	smallestClassCost = 512
+	// sweepBatch is how many idle teams are looked at per operation, so that idle
 	// teams are freed faster than one operation can add them.
-	sweep = 2
-	none  = int32(-1)
+	sweepBatch = 2
+	none       = int32(-1)
 )
 
 // Queue holds waiting work by slot, a small number chosen by its owner.
@@ -53,8 +53,8 @@
 	class      int8
 }
 
-// lane is one size class of one team, first-in first-out.
-type lane struct {
+// classQueue is one size class of one team, first-in first-out.
+type classQueue struct {
 	head, tail int32
 	tokens     int
 	// tag is the lane's virtual time within its team.
@@ -67,29 +67,29 @@
 	weight float64
 	// tag is the virtual start of the team's next request.
 	tag float64
-	// base is the virtual time of the team's lanes.
-	base     float64
-	tokens   int
-	requests int
-	lanes    [classes]lane
-	// turn and load are positions in the tier's heaps, or -1.
-	turn, load int32
-	// listed is true while the team is in its tier's idle list.
-	listed bool
+	// virtualTime is the virtual time of the team's lanes.
+	virtualTime float64
+	tokens      int
+	requests    int
+	classes     [numClasses]classQueue
+	// tagIndex and load are positions in the tier's heaps, or -1.
+	tagIndex, loadIndex int32
+	// inIdleList is true while the team is in its tier's idle list.
+	inIdleList bool
 }
 
 // tier is the waiting work of one rank.
 type tier struct {
-	names map[string]int32
-	// turn orders active teams by tag, load by tokens against weight, most first.
-	turn, load ranking
-	idle       []int32
-	// hand is the position in idle that is looked at next.
-	hand     int
-	virtual  float64
-	weight   float64
-	tokens   int
-	requests int
+	teamIndex map[string]int32
+	// byTag orders active teams by tag, load by tokens against weight, most first.
+	byTag, byLoad teamHeap
+	idle          []int32
+	// sweepPos is the position in idle that is looked at next.
+	sweepPos     int
+	virtualTime  float64
+	activeWeight float64
+	tokens       int
+	requests     int
 }
 
 // New makes an empty Queue.
@@ -102,9 +102,9 @@
 	q.insert(slot, w, false)
 }
 
-// Return puts work back before the other work of its lane, for an attempt of
+// Requeue puts work back before the other work of its lane, for an attempt of
 // which nothing was sent.
-func (q *Queue) Return(slot int32, w *fireflypath.Work) {
+func (q *Queue) Requeue(slot int32, w *fireflypath.Work) {
 	q.insert(slot, w, true)
 }
 
@@ -112,62 +112,62 @@
 	for int(slot) >= len(q.entries) {
 		q.entries = append(q.entries, entry{})
 	}
-	r := &q.tiers[rank(w)]
-	t := q.join(r, w)
+	r := &q.tiers[rankOf(w)]
+	t := q.activateTeam(r, w)
 	cost := max(w.Cost.Tokens(), 1)
 	class := classOf(cost)
 	q.entries[slot] = entry{work: w, cost: cost, prev: none, next: none, team: t, class: class}
-	q.link(slot, &q.teams[t].lanes[class], q.teams[t].base, front)
+	q.link(slot, &q.teams[t].classes[class], q.teams[t].virtualTime, front)
 	q.account(r, t, cost, w.Bytes, 1)
-	q.sweep(r)
+	q.sweepIdleTeams(r)
 }
 
 // Remove takes the work out of the queue without charging its team.
 func (q *Queue) Remove(slot int32) {
-	q.take(slot, false)
+	q.remove(slot, false)
 }
 
 // Serve takes the work out and charges its team and size class for it.
 func (q *Queue) Serve(slot int32) {
-	q.take(slot, true)
+	q.remove(slot, true)
 }
 
-func (q *Queue) take(slot int32, charge bool) {
+func (q *Queue) remove(slot int32, charge bool) {
 	e := &q.entries[slot]
-	r := &q.tiers[rank(e.work)]
+	r := &q.tiers[rankOf(e.work)]
 	t := &q.teams[e.team]
 	if charge {
-		r.virtual = max(r.virtual, t.tag)
+		r.virtualTime = max(r.virtualTime, t.tag)
 		t.tag += float64(e.cost) / t.weight
-		l := &t.lanes[e.class]
-		t.base = max(t.base, l.tag)
+		l := &t.classes[e.class]
+		t.virtualTime = max(t.virtualTime, l.tag)
 		l.tag += float64(e.cost)
-		r.turn.update(q.teams, t.turn, t.tag)
+		r.byTag.update(q.teams, t.tagIndex, t.tag)
 	}
 	q.unlink(slot)
 	q.account(r, e.team, -e.cost, -e.work.Bytes, -1)
 	*e = entry{team: none}
-	q.sweep(r)
+	q.sweepIdleTeams(r)
 }
 
 // Head is the slot whose turn it is in a tier, or -1.
 func (q *Queue) Head(rank int) int32 {
 	r := &q.tiers[rank]
-	if r.turn.len() == 0 {
+	if r.byTag.len() == 0 {
 		return none
 	}
-	t := &q.teams[r.turn.first()]
+	t := &q.teams[r.byTag.top()]
 	best := none
-	for i := range t.lanes {
-		l := &t.lanes[i]
+	for i := range t.classes {
+		l := &t.classes[i]
 		if l.head == none {
 			continue
 		}
-		if best == none || l.tag < t.lanes[best].tag {
+		if best == none || l.tag < t.classes[best].tag {
 			best = int32(i)
 		}
 	}
-	return t.lanes[best].head
+	return t.classes[best].head
 }
 
 // Victim is the slot that gives way first in a tier, or -1: the youngest of the
@@ -176,17 +176,17 @@
 // expected from it for the room it takes.
 func (q *Queue) Victim(rank int) int32 {
 	r := &q.tiers[rank]
-	if r.load.len() == 0 {
+	if r.byLoad.len() == 0 {
 		return none
 	}
-	t := &q.teams[r.load.first()]
+	t := &q.teams[r.byLoad.top()]
 	best := 0
-	for i := range t.lanes {
-		if t.lanes[i].tokens > t.lanes[best].tokens {
+	for i := range t.classes {
+		if t.classes[i].tokens > t.classes[best].tokens {
 			best = i
 		}
 	}
-	return t.lanes[best].tail
+	return t.classes[best].tail
 }
 
 // Work is the work under a slot.
@@ -209,16 +209,16 @@
 // Teams is the number of teams for which memory is held.
 func (q *Queue) Teams() int { return len(q.teams) - len(q.free) }
 
-// Ahead is the work in tokens of w's own tier that is due before w, were it
+// TokensAhead is the work in tokens of w's own tier that is due before w, were it
 // pushed now: what its team holds in w's class or below, and of other teams at
 // most as much again for each team's weight.
-func (q *Queue) Ahead(w *fireflypath.Work) int {
-	r := &q.tiers[rank(w)]
+func (q *Queue) TokensAhead(w *fireflypath.Work) int {
+	r := &q.tiers[rankOf(w)]
 	own, weight := 0.0, float64(max(w.Weight, 1))
-	active := r.weight + weight
-	if i, ok := r.names[w.Team]; ok {
+	active := r.activeWeight + weight
+	if i, ok := r.teamIndex[w.Team]; ok {
 		t := &q.teams[i]
-		own = t.due(classOf(max(w.Cost.Tokens(), 1)))
+		own = t.tokensAhead(classOf(max(w.Cost.Tokens(), 1)))
 		if t.requests > 0 {
 			active -= t.weight
 		}
@@ -227,44 +227,44 @@
 	return int(min(fair, float64(r.tokens)))
 }
 
-// due is what a new request of the class waits for within its team: lanes take
+// tokensAhead is what a new request of the class waits for within its team: lanes take
 // equal parts, so other classes pass at most as much as stands in its own.
-func (t *team) due(class int8) float64 {
-	own := float64(t.lanes[class].tokens)
+func (t *team) tokensAhead(class int8) float64 {
+	own := float64(t.classes[class].tokens)
 	sum := own
-	for i := range t.lanes {
+	for i := range t.classes {
 		if i != int(class) {
-			sum += min(float64(t.lanes[i].tokens), own+smallest)
+			sum += min(float64(t.classes[i].tokens), own+smallestClassCost)
 		}
 	}
 	return sum
 }
 
-func (q *Queue) join(r *tier, w *fireflypath.Work) int32 {
-	if r.names == nil {
-		r.names = make(map[string]int32)
-		r.load.load = true
+func (q *Queue) activateTeam(r *tier, w *fireflypath.Work) int32 {
+	if r.teamIndex == nil {
+		r.teamIndex = make(map[string]int32)
+		r.byLoad.byLoad = true
 	}
 	weight := float64(max(w.Weight, 1))
-	i, ok := r.names[w.Team]
+	i, ok := r.teamIndex[w.Team]
 	if !ok {
-		i = q.alloc()
+		i = q.allocTeam()
 		t := &q.teams[i]
-		t.name, t.tag, t.turn, t.load = w.Team, r.virtual, none, none
-		r.names[w.Team] = i
+		t.name, t.tag, t.tagIndex, t.loadIndex = w.Team, r.virtualTime, none, none
+		r.teamIndex[w.Team] = i
 	}
 	t := &q.teams[i]
 	if t.requests == 0 {
-		t.tag = max(t.tag, r.virtual)
+		t.tag = max(t.tag, r.virtualTime)
 		t.weight = weight
-		r.weight += weight
-		r.turn.push(q.teams, i, t.tag)
-		r.load.push(q.teams, i, 0)
+		r.activeWeight += weight
+		r.byTag.push(q.teams, i, t.tag)
+		r.byLoad.push(q.teams, i, 0)
 	}
 	return i
 }
 
-func (q *Queue) alloc() int32 {
+func (q *Queue) allocTeam() int32 {
 	var i int32
 	if n := len(q.free); n > 0 {
 		i = q.free[n-1]
@@ -274,8 +274,8 @@
 		i = int32(len(q.teams) - 1)
 	}
 	q.teams[i] = team{}
-	for c := range q.teams[i].lanes {
-		q.teams[i].lanes[c] = lane{head: none, tail: none}
+	for c := range q.teams[i].classes {
+		q.teams[i].classes[c] = classQueue{head: none, tail: none}
 	}
 	return i
 }
@@ -290,47 +290,47 @@
 	q.bytes += bytes
 	q.length += n
 	if t.requests > 0 {
-		r.load.update(q.teams, t.load, -float64(t.tokens)/t.weight)
+		r.byLoad.update(q.teams, t.loadIndex, -float64(t.tokens)/t.weight)
 		return
 	}
-	r.weight -= t.weight
-	r.turn.remove(q.teams, t.turn)
-	r.load.remove(q.teams, t.load)
-	t.turn, t.load = none, none
-	if !t.listed {
-		t.listed = true
+	r.activeWeight -= t.weight
+	r.byTag.remove(q.teams, t.tagIndex)
+	r.byLoad.remove(q.teams, t.loadIndex)
+	t.tagIndex, t.loadIndex = none, none
+	if !t.inIdleList {
+		t.inIdleList = true
 		r.idle = append(r.idle, i)
 	}
 }
 
-// sweep frees idle teams whose tag the tier's virtual time has passed. A team
+// sweepIdleTeams frees idle teams whose tag the tier's virtual time has passed. A team
 // freed before that would come back without what it was charged, and would be
 // served before others by going idle after each long request.
-func (q *Queue) sweep(r *tier) {
-	for range min(sweep, len(r.idle)) {
-		if r.hand >= len(r.idle) {
-			r.hand = 0
+func (q *Queue) sweepIdleTeams(r *tier) {
+	for range min(sweepBatch, len(r.idle)) {
+		if r.sweepPos >= len(r.idle) {
+			r.sweepPos = 0
 		}
-		i := r.idle[r.hand]
+		i := r.idle[r.sweepPos]
 		t := &q.teams[i]
-		if t.requests == 0 && t.tag > r.virtual && r.requests > 0 {
-			r.hand++
+		if t.requests == 0 && t.tag > r.virtualTime && r.requests > 0 {
+			r.sweepPos++
 			continue
 		}
 		n := len(r.idle) - 1
-		r.idle[r.hand] = r.idle[n]
+		r.idle[r.sweepPos] = r.idle[n]
 		r.idle = r.idle[:n]
-		t.listed = false
+		t.inIdleList = false
 		if t.requests > 0 {
 			continue
 		}
-		delete(r.names, t.name)
+		delete(r.teamIndex, t.name)
 		*t = team{}
 		q.free = append(q.free, i)
 	}
 }
 
-func (q *Queue) link(slot int32, l *lane, base float64, front bool) {
+func (q *Queue) link(slot int32, l *classQueue, base float64, front bool) {
 	e := &q.entries[slot]
 	l.tokens += e.cost
 	if l.head == none {
@@ -351,7 +351,7 @@
 
 func (q *Queue) unlink(slot int32) {
 	e := &q.entries[slot]
-	l := &q.teams[e.team].lanes[e.class]
+	l := &q.teams[e.team].classes[e.class]
 	l.tokens -= e.cost
 	if e.prev == none {
 		l.head = e.next
@@ -365,11 +365,11 @@
 	}
 }
 
-func rank(w *fireflypath.Work) int {
+func rankOf(w *fireflypath.Work) int {
 	return min(max(w.Rank, 0), Ranks-1)
 }
 
 func classOf(cost int) int8 {
-	c := bits.Len(uint(cost/smallest)) + 1
-	return int8(min(c/2, classes-1))
+	c := bits.Len(uint(cost/smallestClassCost)) + 1
+	return int8(min(c/2, numClasses-1))
 }
--- a/internal/decide/fair/queue_test.go
+++ b/internal/decide/fair/queue_test.go
@@ -19,7 +19,7 @@
 
 // Whatever is pushed comes out once, in the order of its size class within its
 // team, the sums stay exact, and teams without work are forgotten.
-func TestQueueKeepsWhatItHolds(t *testing.T) {
+func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
 		var waiting []int32
@@ -135,7 +135,7 @@
 
 // A prompt a hundred times longer stands first in its team's queue. The short
 // ones behind it must pass, and it must come to its turn all the same.
-func TestShortWorkPassesLongWorkOfItsTeam(t *testing.T) {
+func TestShortRequestsPassLongOnesOfTheirTeam(t *testing.T) {
 	is := is.New(t)
 	q := New()
 	for i := range int32(4) {
@@ -160,7 +160,7 @@
 
 // A team sends one long request, waits for its end and sends the next. Were it
 // forgotten in between, it would always stand first.
-func TestIdleTeamKeepsItsCharge(t *testing.T) {
+func TestIdleTeamKeepsItsTag(t *testing.T) {
 	is := is.New(t)
 	q := New()
 	slot := int32(100)
--- a/internal/decide/fair/ranking.go
+++ b/internal/decide/fair/ranking.go
@@ -1,12 +1,12 @@
 package fair
 
-// ranking is an indexed heap of teams: the lowest key is first. Keys stand in
+// teamHeap is an indexed heap of teams: the lowest key is first. Keys stand in
 // the heap itself, so that a comparison does not fetch two teams from memory.
-type ranking struct {
+type teamHeap struct {
 	nodes []node
-	// load is true for the ranking by load, whose positions teams keep in load;
+	// byLoad is true for the ranking by load, whose positions teams keep in load;
 	// those of the other they keep in turn.
-	load bool
+	byLoad bool
 }
 
 // node is a team with its key.
@@ -15,84 +15,84 @@
 	team int32
 }
 
-// before orders by key, and by number where keys are equal, so that the same
+// less orders by key, and by number where keys are equal, so that the same
 // calls give the same order.
-func (n node) before(m node) bool {
+func (n node) less(m node) bool {
 	if n.key != m.key {
 		return n.key < m.key
 	}
 	return n.team < m.team
 }
 
-func (r *ranking) len() int { return len(r.nodes) }
+func (r *teamHeap) len() int { return len(r.nodes) }
 
-func (r *ranking) first() int32 { return r.nodes[0].team }
+func (r *teamHeap) top() int32 { return r.nodes[0].team }
 
-// put stores a node and tells its team where.
-func (r *ranking) put(teams []team, at int, n node) {
+// set stores a node and tells its team where.
+func (r *teamHeap) set(teams []team, at int, n node) {
 	r.nodes[at] = n
-	if r.load {
-		teams[n.team].load = int32(at)
+	if r.byLoad {
+		teams[n.team].loadIndex = int32(at)
 		return
 	}
-	teams[n.team].turn = int32(at)
+	teams[n.team].tagIndex = int32(at)
 }
 
-func (r *ranking) push(teams []team, i int32, key float64) {
+func (r *teamHeap) push(teams []team, i int32, key float64) {
 	r.nodes = append(r.nodes, node{})
-	r.up(teams, len(r.nodes)-1, node{key: key, team: i})
+	r.siftUp(teams, len(r.nodes)-1, node{key: key, team: i})
 }
 
 // remove takes the node at a position out.
-func (r *ranking) remove(teams []team, at int32) {
+func (r *teamHeap) remove(teams []team, at int32) {
 	n := len(r.nodes) - 1
 	last := r.nodes[n]
 	r.nodes = r.nodes[:n]
 	if int(at) < n {
-		r.settle(teams, int(at), last)
+		r.fix(teams, int(at), last)
 	}
 }
 
 // update changes the key at a position.
-func (r *ranking) update(teams []team, at int32, key float64) {
-	r.settle(teams, int(at), node{key: key, team: r.nodes[at].team})
+func (r *teamHeap) update(teams []team, at int32, key float64) {
+	r.fix(teams, int(at), node{key: key, team: r.nodes[at].team})
 }
 
-// settle puts a node where it belongs, starting from a free position.
-func (r *ranking) settle(teams []team, at int, n node) {
-	if at > 0 && n.before(r.nodes[(at-1)/2]) {
-		r.up(teams, at, n)
+// fix puts a node where it belongs, starting from a free position.
+func (r *teamHeap) fix(teams []team, at int, n node) {
+	if at > 0 && n.less(r.nodes[(at-1)/2]) {
+		r.siftUp(teams, at, n)
 		return
 	}
-	r.down(teams, at, n)
+	r.siftDown(teams, at, n)
 }
 
-func (r *ranking) up(teams []team, at int, n node) {
+func (r *teamHeap) siftUp(teams []team, at int, n node) {
 	for at > 0 {
 		p := (at - 1) / 2
-		if !n.before(r.nodes[p]) {
+		if !n.less(r.nodes[p]) {
 			break
 		}
-		r.put(teams, at, r.nodes[p])
+		r.set(teams, at, r.nodes[p])
 		at = p
 	}
-	r.put(teams, at, n)
+	r.set(teams, at, n)
 }
 
-func (r *ranking) down(teams []team, at int, n node) {
+func (r *teamHeap) siftDown(teams []team, at int, n node) {
 	for {
 		c := 2*at + 1
 		if c >= len(r.nodes) {
 			break
 		}
-		if c+1 < len(r.nodes) && r.nodes[c+1].before(r.nodes[c]) {
+		if c+1 < len(r.nodes) && r.nodes[c+1].less(r.nodes[c]) {
 			c++
 		}
-		if !r.nodes[c].before(n) {
+		if !r.nodes[c].less(n) {
 			break
 		}
-		r.put(teams, at, r.nodes[c])
+		r.set(teams, at, r.nodes[c])
 		at = c
 	}
-	r.put(teams, at, n)
+	r.set(teams, at, n)
 }
--- a/internal/decide/sched/admit.go
+++ b/internal/decide/sched/admit.go
@@ -144,7 +144,7 @@
 		return 0, false
 	}
 	r := rankOf(w)
-	ahead, remaining := float64(s.queue.Ahead(w)+extraTokens), drain
+	ahead, remaining := float64(s.queue.TokensAhead(w)+extraTokens), drain
 	for i := range r {
 		ahead += float64(s.queue.Tokens(i))
 		remaining -= s.arrivalRates[i].Rate()
--- a/internal/decide/sched/dispatch.go
+++ b/internal/decide/sched/dispatch.go
@@ -88,7 +88,7 @@
 		found = true
 	}
 	for i := len(s.deferred) - 1; i >= 0; i-- {
-		s.queue.Return(s.deferred[i], s.items[s.deferred[i]].work)
+		s.queue.Requeue(s.deferred[i], s.items[s.deferred[i]].work)
 	}
 	if found || firstDeferred == none {
 		return found
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -148,7 +148,7 @@
 		return
 	}
 	s.items[slot].phase = phaseWaiting
-	s.queue.Return(slot, w)
+	s.queue.Requeue(slot, w)
 	s.pushStart(slot, s.latestStart(w))
 }
 
