--- a/internal/decide/fair/queue_test.go
+++ b/internal/decide/fair/queue_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Whatever is pushed comes out once, in the order of its size class within its
-// team, the sums stay exact, and teams without work are forgotten.
+// Every pushed request comes out exactly once, the totals stay exact, and teams without
+// requests are freed.
 func TestQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New()
@@ -93,8 +93,8 @@
 	})
 }
 
-// A hot team sends long requests without end. Each other team with work waiting
-// must still get its part in tokens, to within the largest single request.
+// A hot team keeps sending long requests. Every other team with waiting requests must
+// still get its share of tokens, to within the largest single request.
 func TestQueueIsFair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const largest = 20000
@@ -125,7 +125,7 @@
 			for a := range teams {
 				for b := range teams {
 					if d := served[a] - served[b]; d > largest/float64(weights[a])+largest/float64(weights[b]) {
-						t.Fatalf("team %d is %.0f tokens a weight ahead of team %d", a, d, b)
+						t.Fatalf("team %d is %.0f tokens per weight ahead of team %d", a, d, b)
 					}
 				}
 			}
@@ -133,8 +133,8 @@
 	})
 }
 
-// A prompt a hundred times longer stands first in its team's queue. The short
-// ones behind it must pass, and it must come to its turn all the same.
+// A prompt a hundred times longer than the others is first in its team's queue. The short
+// ones behind it must pass it, and it must still be served.
 func TestShortRequestsPassLongOnesOfTheirTeam(t *testing.T) {
 	is := is.New(t)
 	q := New()
@@ -154,12 +154,12 @@
 		}
 		q.Serve(slot)
 	}
-	is.True(short > 200) // lanes take equal tokens: 100 short ones for each long one
+	is.True(short > 200) // classes get equal tokens: 100 short requests per long one
 	is.True(long >= 2)
 }
 
-// A team sends one long request, waits for its end and sends the next. Were it
-// forgotten in between, it would always stand first.
+// A team sends one long request, waits until it is served and sends the next. If the team
+// were freed in between, it would always be served first.
 func TestIdleTeamKeepsItsTag(t *testing.T) {
 	is := is.New(t)
 	q := New()
@@ -167,19 +167,19 @@
 	for i := range int32(50) {
 		q.Push(i, work("steady", 0, 1, 1000))
 	}
-	sly, steady := 0, 0
-	q.Push(slot, work("sly", 0, 1, 10000))
+	bursty, steady := 0, 0
+	q.Push(slot, work("bursty", 0, 1, 10000))
 	for range 40 {
 		s := q.Head(0)
 		w := q.Work(s)
 		q.Serve(s)
-		if w.Team == "sly" {
-			sly += w.Cost.Prompt
+		if w.Team == "bursty" {
+			bursty += w.Cost.Prompt
 			slot++
-			q.Push(slot, work("sly", 0, 1, 10000))
+			q.Push(slot, work("bursty", 0, 1, 10000))
 		} else {
 			steady += w.Cost.Prompt
 		}
 	}
-	is.True(sly <= steady+10000)
+	is.True(bursty <= steady+10000)
 }
