--- a/internal/decide/place/chooser.go
+++ b/internal/decide/place/chooser.go
@@ -1,142 +1,148 @@
-// Package place chooses among the targets that have room.
+// Package place chooses among the targets that can take a request.
 //
-// It answers prefix reuse against load, and herds: reports are seconds old, so
-// daemons that all believe the same report send all their work to the target
-// that last looked idle. The shipped choice weighs expected seconds: own work in
-// flight, which is exact, the delay learned from own answers, what remains to
-// prefill after the expected hit, and the decode at the learned speed.
+// It balances reuse of cached prefixes against load, and prevents herding: load
+// reports are seconds old, so daemons that all trust the same report would send all
+// requests to the target that last looked idle. The default policy, Scored,
+// compares expected seconds: the daemon's own requests in flight, which are known
+// exactly, the delay learned from its own answers, the prefill that remains after
+// the expected cache hit, and the decode time at the learned rate.
 package place
 
 import (
 	"math/rand/v2"
 )
 
-// Kind names a way to choose. All but Scored are kept to be measured against.
+// Kind is a selection policy. All but Scored serve as baselines for comparison.
 type Kind int8
 
 const (
-	// Scored takes the least expected finish.
+	// Scored chooses among the targets with about the lowest expected time.
 	Scored Kind = iota
-	// RoundRobin takes the targets in turn.
+	// RoundRobin chooses the targets in turn.
 	RoundRobin
-	// Least takes the fewest own requests in flight.
+	// Least chooses the target with the fewest of this daemon's requests in flight.
 	Least
-	// Two takes the better of two random targets by own requests.
+	// Two chooses the better of two random targets by this daemon's requests in
+	// flight.
 	Two
-	// Hash takes the target that the prefix hashes to, or the next with room.
+	// Hash chooses the target to which the prefix hashes among those available.
 	Hash
-	// Ranking consumes a cached ranking by score in rotation and renews it when
-	// the feasible set changes or half of it is used (Score caching after the
-	// paper "On Optimized Scheduling Scheme for Rapid Pod Autoscaling in
-	// Kubernetes").
+	// Ranking takes targets in order from a cached ranking by score, which it
+	// renews when the set of available targets changes or half of the ranking is
+	// used (score caching, after the paper "On Optimized Scheduling Scheme for
+	// Rapid Pod Autoscaling in Kubernetes").
 	Ranking
 )
 
 const (
-	// near and even are how much worse a score may be than the best to count as
-	// equal, as a part and in seconds. The speeds and delays behind scores err by
-	// about this much. Among equals all daemons choose by the hash of the prompt's
-	// beginning, so that work that begins alike meets in the same cache without a
-	// word between them, and unlike work does not run after the same report.
-	near = 0.2
-	even = 0.2
+	// Scores within relativeTolerance (a fraction) plus absoluteTolerance (in
+	// seconds) of the best count as equal. The learned rates and delays behind the
+	// scores err by about as much. Among equal scores all daemons choose by the
+	// hash of the prompt's prefix: requests with the same prefix reach the same
+	// cache without coordination, and different ones do not all follow the same
+	// report.
+	relativeTolerance = 0.2
+	absoluteTolerance = 0.2
 )
 
-// Option is a target that has room.
+// Option is a target that can take a request.
 type Option struct {
-	// Target is the owner's number for the target.
+	// Target is the caller's index of the target.
 	Target int32
-	// Hash is of the target's name, equal at all daemons.
+	// Hash is the hash of the target's name, the same at all daemons.
 	Hash uint64
-	// Requests is this daemon's own work in flight there.
+	// Requests counts this daemon's requests in flight at the target.
 	Requests int
 	// Score is the expected time to the end of the answer, in seconds.
 	Score float64
 }
 
-// Chooser chooses; it is used by one scheduler.
+// Chooser chooses targets for one scheduler. It is not safe for concurrent use.
 type Chooser struct {
-	kind    Kind
-	rnd     *rand.Rand
-	turn    uint64
-	ranking []int32
-	used    int
-	initial int
-	feature uint64
+	policy         Kind
+	rnd            *rand.Rand
+	nextTarget     uint64
+	ranking        []int32
+	rankingUsed    int
+	rankingSize    int
+	candidatesHash uint64
 }
 
-// New makes a Chooser whose ties are broken by the seed.
-func New(kind Kind, seed uint64) *Chooser {
-	return &Chooser{kind: kind, rnd: rand.New(rand.NewPCG(seed, 1))}
+// New returns a Chooser that breaks ties at random with the given seed.
+func New(policy Kind, seed uint64) *Chooser {
+	return &Chooser{policy: policy, rnd: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Choose returns the position of the chosen option; there is at least one.
-func (c *Chooser) Choose(prefix uint64, opts []Option) int {
-	switch c.kind {
+// Choose returns the index of the chosen candidate; there must be at least one.
+func (c *Chooser) Choose(prefix uint64, candidates []Option) int {
+	switch c.policy {
 	case RoundRobin:
-		return c.next(opts)
+		return c.roundRobin(candidates)
 	case Least:
-		return c.least(opts)
+		return c.leastRequests(candidates)
 	case Two:
-		return c.two(opts)
+		return c.powerOfTwoChoices(candidates)
 	case Hash:
-		return hash(prefix, opts)
+		return rendezvous(prefix, candidates)
 	case Ranking:
-		return c.rank(opts)
+		return c.cachedRanking(candidates)
 	case Scored:
-		return c.scored(prefix, opts)
+		return c.scored(prefix, candidates)
 	}
-	return c.scored(prefix, opts)
+	return c.scored(prefix, candidates)
 }
 
-// scored takes, of those whose score is near the best, the one that the prefix
-// hashes to, or a random one if there is no prefix.
-func (c *Chooser) scored(prefix uint64, opts []Option) int {
-	best := opts[0].Score
-	for i := range opts {
-		best = min(best, opts[i].Score)
+// scored returns, of the candidates whose score counts as equal to the best, the
+// one to which the prefix hashes, or a random one if there is no prefix.
+func (c *Chooser) scored(prefix uint64, candidates []Option) int {
+	best := candidates[0].Score
+	for i := range candidates {
+		best = min(best, candidates[i].Score)
 	}
-	limit := best*(1+near) + even
+	limit := best*(1+relativeTolerance) + absoluteTolerance
 	if prefix == 0 {
 		prefix = c.rnd.Uint64()
 	}
-	chosen, top := 0, uint64(0)
-	for i := range opts {
-		if opts[i].Score > limit {
+	chosen, maxHash := 0, uint64(0)
+	for i := range candidates {
+		if candidates[i].Score > limit {
 			continue
 		}
-		if h := Mix(prefix ^ opts[i].Hash); h >= top {
-			chosen, top = i, h
+		if h := Mix(prefix ^ candidates[i].Hash); h >= maxHash {
+			chosen, maxHash = i, h
 		}
 	}
 	return chosen
 }
 
-// next is the option with the lowest number above the last one's.
-func (c *Chooser) next(opts []Option) int {
+// roundRobin returns the candidate with the lowest target index above that of the
+// last choice.
+func (c *Chooser) roundRobin(candidates []Option) int {
 	best, first := -1, 0
-	for i := range opts {
-		if opts[i].Target < opts[first].Target {
+	for i := range candidates {
+		if candidates[i].Target < candidates[first].Target {
 			first = i
 		}
-		if uint64(opts[i].Target) >= c.turn && (best < 0 || opts[i].Target < opts[best].Target) {
+		if uint64(candidates[i].Target) >= c.nextTarget && (best < 0 || candidates[i].Target < candidates[best].Target) {
 			best = i
 		}
 	}
 	if best < 0 {
 		best = first
 	}
-	c.turn = uint64(opts[best].Target) + 1
+	c.nextTarget = uint64(candidates[best].Target) + 1
 	return best
 }
 
-func (c *Chooser) least(opts []Option) int {
+// leastRequests returns the candidate with the fewest requests, a random one among
+// equals.
+func (c *Chooser) leastRequests(candidates []Option) int {
 	chosen, n := 0, 1
-	for i := 1; i < len(opts); i++ {
+	for i := 1; i < len(candidates); i++ {
 		switch {
-		case opts[i].Requests < opts[chosen].Requests:
+		case candidates[i].Requests < candidates[chosen].Requests:
 			chosen, n = i, 1
-		case opts[i].Requests == opts[chosen].Requests:
+		case candidates[i].Requests == candidates[chosen].Requests:
 			n++
 			if c.rnd.IntN(n) == 0 {
 				chosen = i
@@ -146,73 +152,79 @@
 	return chosen
 }
 
-func (c *Chooser) two(opts []Option) int {
-	a, b := c.rnd.IntN(len(opts)), c.rnd.IntN(len(opts))
-	if opts[b].Requests < opts[a].Requests {
+// powerOfTwoChoices returns the less loaded of two random candidates.
+func (c *Chooser) powerOfTwoChoices(candidates []Option) int {
+	a, b := c.rnd.IntN(len(candidates)), c.rnd.IntN(len(candidates))
+	if candidates[b].Requests < candidates[a].Requests {
 		return b
 	}
 	return a
 }
 
-// hash is rendezvous hashing over the targets that have room, which bounds the
-// load of each.
-func hash(prefix uint64, opts []Option) int {
-	best, top := 0, uint64(0)
-	for i := range opts {
-		h := Mix(prefix ^ opts[i].Hash)
-		if h >= top {
-			best, top = i, h
+// rendezvous returns the candidate with the highest hash of prefix and name. As
+// only targets that can take a request are candidates, the load of each stays
+// bounded.
+func rendezvous(prefix uint64, candidates []Option) int {
+	chosen, maxHash := 0, uint64(0)
+	for i := range candidates {
+		h := Mix(prefix ^ candidates[i].Hash)
+		if h >= maxHash {
+			chosen, maxHash = i, h
 		}
 	}
-	return best
+	return chosen
 }
 
-func (c *Chooser) rank(opts []Option) int {
-	var feature uint64
-	for i := range opts {
-		feature += Mix(uint64(opts[i].Target) + 1)
+// cachedRanking returns the next candidate of the cached ranking, which is renewed
+// first if the candidates differ or half of it is used.
+func (c *Chooser) cachedRanking(candidates []Option) int {
+	var candidatesHash uint64
+	for i := range candidates {
+		candidatesHash += Mix(uint64(candidates[i].Target) + 1)
 	}
-	if feature != c.feature || 2*c.used >= c.initial {
-		c.renew(opts)
-		c.feature = feature
+	if candidatesHash != c.candidatesHash || 2*c.rankingUsed >= c.rankingSize {
+		c.renewRanking(candidates)
+		c.candidatesHash = candidatesHash
 	}
-	t := c.ranking[c.used]
-	c.used++
-	for i := range opts {
-		if opts[i].Target == t {
+	target := c.ranking[c.rankingUsed]
+	c.rankingUsed++
+	for i := range candidates {
+		if candidates[i].Target == target {
 			return i
 		}
 	}
 	return 0
 }
 
-func (c *Chooser) renew(opts []Option) {
+// renewRanking ranks the candidates by score.
+func (c *Chooser) renewRanking(candidates []Option) {
 	c.ranking = c.ranking[:0]
-	c.used, c.initial = 0, len(opts)
-	for range opts {
+	c.rankingUsed, c.rankingSize = 0, len(candidates)
+	for range candidates {
 		best := -1
-		for i := range opts {
-			if c.ranked(opts[i].Target) {
+		for i := range candidates {
+			if c.isRanked(candidates[i].Target) {
 				continue
 			}
-			if best < 0 || opts[i].Score < opts[best].Score {
+			if best < 0 || candidates[i].Score < candidates[best].Score {
 				best = i
 			}
 		}
-		c.ranking = append(c.ranking, opts[best].Target)
+		c.ranking = append(c.ranking, candidates[best].Target)
 	}
 }
 
-func (c *Chooser) ranked(t int32) bool {
+// isRanked reports whether the ranking contains the target.
+func (c *Chooser) isRanked(target int32) bool {
 	for _, r := range c.ranking {
-		if r == t {
+		if r == target {
 			return true
 		}
 	}
 	return false
 }
 
-// Mix spreads the bits of a number (the finaliser of splitmix64).
+// Mix distributes the bits of a number (the finalizer of splitmix64).
 func Mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
