--- a/internal/decide/dispatcher/dispatcher.go
+++ b/internal/decide/dispatcher/dispatcher.go
@@ -26,8 +26,8 @@
 	fireflypath.Scheduler
 	// Adopt counts work that is at a target already.
 	Adopt(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
-	// Hear takes in what daemons have in flight that decide for themselves.
-	Hear(now time.Time, mates []fireflypath.Mate)
+	// UpdatePeers takes in what daemons have in flight that decide for themselves.
+	UpdatePeers(now time.Time, mates []fireflypath.Mate)
 }
 
 // Dispatcher holds the queue of one pool. It is not safe for concurrent use.
@@ -80,17 +80,17 @@
 	}
 }
 
-// Begin starts a session with a daemon. What was known of an earlier one ends:
+// OpenSession starts a session with a daemon. What was known of an earlier one ends:
 // the daemon tells everything anew.
-func (d *Dispatcher) Begin(now time.Time, daemon string, id uint64) {
-	d.End(now, daemon)
+func (d *Dispatcher) OpenSession(now time.Time, daemon string, id uint64) {
+	d.CloseSession(now, daemon)
 	d.release(now, daemon)
 	d.sessions[daemon] = &session{id: id, works: map[uint64]*entry{}}
 }
 
-// End ends the session with a daemon: its waiting work is no longer here. What it has
+// CloseSession ends the session with a daemon: its waiting work is no longer here. What it has
 // at targets goes on.
-func (d *Dispatcher) End(now time.Time, daemon string) {
+func (d *Dispatcher) CloseSession(now time.Time, daemon string) {
 	s := d.sessions[daemon]
 	if s == nil {
 		return
@@ -133,8 +133,8 @@
 	return out
 }
 
-// Take takes in the news of a daemon with a session.
-func (d *Dispatcher) Take(now time.Time, daemon string, news *fireflypath.News) {
+// Apply takes in the news of a daemon with a session.
+func (d *Dispatcher) Apply(now time.Time, daemon string, news *fireflypath.News) {
 	s := d.sessions[daemon]
 	if s == nil {
 		return
@@ -223,10 +223,10 @@
 	}
 }
 
-// Hold has nothing placed until a time. A dispatcher that has just been chosen does not
+// PauseUntil has nothing placed until a time. A dispatcher that has just been chosen does not
 // know yet what those have at the targets that will choose it a moment later; it would
 // fill places that are taken.
-func (d *Dispatcher) Hold(now, until time.Time) {
+func (d *Dispatcher) PauseUntil(now, until time.Time) {
 	d.hold = until
 	d.pump(now)
 }
@@ -273,14 +273,14 @@
 	return at
 }
 
-// Decided is true if there are decisions for a daemon that it has not been told.
-func (d *Dispatcher) Decided(daemon string) bool {
+// HasDecisions is true if there are decisions for a daemon that it has not been told.
+func (d *Dispatcher) HasDecisions(daemon string) bool {
 	s := d.sessions[daemon]
 	return s != nil && len(s.turns) > 0
 }
 
-// Turns takes the decisions for a daemon that it has not been told.
-func (d *Dispatcher) Turns(daemon string) []fireflypath.Turn {
+// TakeDecisions takes the decisions for a daemon that it has not been told.
+func (d *Dispatcher) TakeDecisions(daemon string) []fireflypath.Turn {
 	s := d.sessions[daemon]
 	if s == nil {
 		return nil
@@ -306,9 +306,9 @@
 	d.pump(now)
 }
 
-// Hear takes in what other daemons tell of their work; only that of daemons
+// UpdatePeers takes in what other daemons tell of their work; only that of daemons
 // without a session is not known here already.
-func (d *Dispatcher) Hear(now time.Time, mates []fireflypath.Mate) {
+func (d *Dispatcher) UpdatePeers(now time.Time, mates []fireflypath.Mate) {
 	others := make([]fireflypath.Mate, 0, len(mates))
 	for _, m := range mates {
 		if d.sessions[m.Name] == nil {
@@ -316,6 +316,6 @@
 			others = append(others, m)
 		}
 	}
-	d.sched.Hear(now, others)
+	d.sched.UpdatePeers(now, others)
 	d.pump(now)
 }
--- a/internal/decide/dispatcher/dispatcher_test.go
+++ b/internal/decide/dispatcher/dispatcher_test.go
@@ -42,8 +42,8 @@
 	for i := range n {
 		news.Offers = append(news.Offers, offer(uint64(first+i), rank))
 	}
-	d.Take(now, daemon, &news)
-	return d.Turns(daemon)
+	d.Apply(now, daemon, &news)
+	return d.TakeDecisions(daemon)
 }
 
 func done(n uint64) *fireflypath.News {
@@ -57,13 +57,13 @@
 func TestHigherWorkOfAnotherDaemonGoesFirst(t *testing.T) {
 	is := is.New(t)
 	d := queue(2)
-	d.Begin(start, "a", 1)
-	d.Begin(start, "b", 2)
+	d.OpenSession(start, "a", 1)
+	d.OpenSession(start, "b", 2)
 	is.Equal(len(burst(d, start, "a", 1, 20, 2)), 6)
 	is.Equal(len(burst(d, start, "b", 1, 1, 0)), 0)
-	d.Take(start.Add(300*time.Millisecond), "a", done(1))
-	is.Equal(len(d.Turns("a")), 0)
-	got := d.Turns("b")
+	d.Apply(start.Add(300*time.Millisecond), "a", done(1))
+	is.Equal(len(d.TakeDecisions("a")), 0)
+	got := d.TakeDecisions("b")
 	is.Equal(len(got), 1)
 	is.Equal(got[0].Number, uint64(1))
 	is.True(got[0].Target == "t0@5" || got[0].Target == "t1@5") // the life that is meant
@@ -75,19 +75,19 @@
 func TestDaemonThatLeavesKeepsItsPlaces(t *testing.T) {
 	is := is.New(t)
 	d := queue(1)
-	d.Begin(start, "a", 1)
-	d.Begin(start, "b", 2)
+	d.OpenSession(start, "a", 1)
+	d.OpenSession(start, "b", 2)
 	is.Equal(len(burst(d, start, "a", 1, 5, 1)), 3)
 	is.Equal(len(burst(d, start, "b", 1, 3, 1)), 0)
-	d.End(start, "a")
-	is.Equal(len(d.Turns("b")), 0)
+	d.CloseSession(start, "a")
+	is.Equal(len(d.TakeDecisions("b")), 0)
 	is.Equal(d.Sessions(), []string{"b"})
 	later := start.Add(200 * time.Millisecond)
 	is.True(!d.Wake(start).After(later))
 	// By now the daemon has told of two of them itself, and one has ended.
-	d.Hear(later, []fireflypath.Mate{{Name: "a", Flights: map[string]int{"t0@5": 2}}})
+	d.UpdatePeers(later, []fireflypath.Mate{{Name: "a", Flights: map[string]int{"t0@5": 2}}})
 	d.Tick(later)
-	is.Equal(len(d.Turns("b")), 1)
+	is.Equal(len(d.TakeDecisions("b")), 1)
 }
 
 // A caller leaves while the decision about its request is on the way. The place that
@@ -95,10 +95,10 @@
 func TestWithdrawalThatCrossesItsTurn(t *testing.T) {
 	is := is.New(t)
 	d := queue(1)
-	d.Begin(start, "a", 1)
+	d.OpenSession(start, "a", 1)
 	is.Equal(len(burst(d, start, "a", 1, 4, 1)), 3)
-	d.Take(start, "a", &fireflypath.News{Withdrawn: []uint64{2}})
-	is.Equal(d.Turns("a")[0].Number, uint64(4))
+	d.Apply(start, "a", &fireflypath.News{Withdrawn: []uint64{2}})
+	is.Equal(d.TakeDecisions("a")[0].Number, uint64(4))
 }
 
 // A daemon that turns to this dispatcher has work at the targets already, and so have
@@ -106,19 +106,19 @@
 func TestWorkThatOthersPlacedCounts(t *testing.T) {
 	is := is.New(t)
 	d := queue(1)
-	d.Hear(start, []fireflypath.Mate{
+	d.UpdatePeers(start, []fireflypath.Mate{
 		{Name: "alone", Flights: map[string]int{"t0@5": 1}},
 		{Name: "a", Flights: map[string]int{"t0@5": 1}},
 	})
-	d.Begin(start, "a", 1)
-	d.Take(start, "a", &fireflypath.News{Flights: []fireflypath.Flight{{Offer: offer(1, 1), Target: "t0@5"}}})
-	d.Hear(start, []fireflypath.Mate{
+	d.OpenSession(start, "a", 1)
+	d.Apply(start, "a", &fireflypath.News{Flights: []fireflypath.Flight{{Offer: offer(1, 1), Target: "t0@5"}}})
+	d.UpdatePeers(start, []fireflypath.Mate{
 		{Name: "alone", Flights: map[string]int{"t0@5": 1}},
 		{Name: "a", Flights: map[string]int{"t0@5": 1}}, // told here as well, and counted once
 	})
 	is.Equal(len(burst(d, start, "a", 2, 5, 1)), 1)
-	d.Take(start, "a", done(1))
-	is.Equal(len(d.Turns("a")), 1)
+	d.Apply(start, "a", done(1))
+	is.Equal(len(d.TakeDecisions("a")), 1)
 }
 
 // A daemon cannot send to the target that it was given: it has heard that the target
@@ -126,11 +126,11 @@
 func TestWorkThatWasNotSentIsPlacedAnew(t *testing.T) {
 	is := is.New(t)
 	d := queue(2)
-	d.Begin(start, "a", 1)
+	d.OpenSession(start, "a", 1)
 	first := burst(d, start, "a", 1, 1, 1)
 	is.Equal(len(first), 1)
-	d.Take(start, "a", &fireflypath.News{Progress: []fireflypath.Progress{{Number: 1, Kind: fireflypath.EventUnsent}}})
-	second := d.Turns("a")
+	d.Apply(start, "a", &fireflypath.News{Progress: []fireflypath.Progress{{Number: 1, Kind: fireflypath.EventUnsent}}})
+	second := d.TakeDecisions("a")
 	is.Equal(len(second), 1)
 	is.True(second[0].Target != first[0].Target)
 }
@@ -140,12 +140,12 @@
 func TestOverloadIsRefusedInTime(t *testing.T) {
 	is := is.New(t)
 	d := queue(1)
-	d.Begin(start, "a", 1)
+	d.OpenSession(start, "a", 1)
 	is.Equal(len(burst(d, start, "a", 1, 10, 1)), 3)
 	refused := 0
 	for now := start; now.Before(start.Add(5 * time.Second)); now = now.Add(50 * time.Millisecond) {
 		d.Tick(now)
-		for _, turn := range d.Turns("a") {
+		for _, turn := range d.TakeDecisions("a") {
 			is.Equal(turn.Target, "")
 			is.Equal(turn.Reason, fireflypath.ReasonDeadline)
 			is.True(turn.Retry > 0)
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -18,7 +18,7 @@
 type Local interface {
 	fireflypath.Scheduler
 	Report(m *fireflypath.Mate)
-	Hear(now time.Time, mates []fireflypath.Mate)
+	UpdatePeers(now time.Time, mates []fireflypath.Mate)
 	// Adopt counts work that is at a target already.
 	Adopt(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
 	// Release takes all waiting work out.
@@ -154,10 +154,10 @@
 	}
 }
 
-// Hear takes in what the other daemons have in flight.
-func (s *Scheduler) Hear(now time.Time, mates []fireflypath.Mate) {
+// UpdatePeers takes in what the other daemons have in flight.
+func (s *Scheduler) UpdatePeers(now time.Time, mates []fireflypath.Mate) {
 	s.asked = slices.ContainsFunc(mates, func(m fireflypath.Mate) bool { return m.Apart })
-	s.Local.Hear(now, mates)
+	s.Local.UpdatePeers(now, mates)
 }
 
 // Deliver takes in what the dispatcher decided. Refusals are appended to out;
--- a/internal/decide/remote/remote_test.go
+++ b/internal/decide/remote/remote_test.go
@@ -208,10 +208,10 @@
 		return m
 	}
 	is.Equal(len(told().Flights), 0)
-	s.Hear(start, []fireflypath.Mate{{Name: "b", Apart: true}})
+	s.UpdatePeers(start, []fireflypath.Mate{{Name: "b", Apart: true}})
 	is.Equal(told().Flights, map[string]int{"t0": 1})
 	is.True(!told().Apart) // or the two would go on for each other's sake
-	s.Hear(start, []fireflypath.Mate{{Name: "b"}})
+	s.UpdatePeers(start, []fireflypath.Mate{{Name: "b"}})
 	is.Equal(len(told().Flights), 0)
 	s.Detach(start, nil)
 	is.Equal(told().Flights, map[string]int{"t0": 1})
--- a/internal/decide/slots/peers.go
+++ b/internal/decide/slots/peers.go
@@ -80,9 +80,9 @@
 	return r, true
 }
 
-// Hear replaces what is known of the requests that other daemons have in flight and
+// UpdatePeers replaces what is known of the requests that other daemons have in flight and
 // waiting.
-func (s *Scheduler) Hear(now time.Time, peers []fireflypath.Mate) {
+func (s *Scheduler) UpdatePeers(now time.Time, peers []fireflypath.Mate) {
 	s.competitors = s.competitors[:0]
 	for _, m := range peers {
 		if r, ok := m.Waits[s.pool.Name]; ok {
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -58,7 +58,7 @@
 		mates = append(mates, m)
 	}
 	for d, s := range all {
-		s.Hear(now, append(append([]fireflypath.Mate(nil), mates[:d]...), mates[d+1:]...))
+		s.UpdatePeers(now, append(append([]fireflypath.Mate(nil), mates[:d]...), mates[d+1:]...))
 	}
 }
 
@@ -115,7 +115,7 @@
 	s := newScheduler(1)
 	s.Offer(start, newWork("low", 2, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 1)
-	s.Hear(start, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0": 4}}})
+	s.UpdatePeers(start, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0": 4}}})
 	s.Offer(start, newWork("low2", 2, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 0)
 	for i := range 4 {
@@ -268,7 +268,7 @@
 		s.Offer(now, w, nil)
 	}
 	is.Equal(len(dispatchAll(s, now)), 10) // short prompts fill both targets
-	s.Hear(now, nil)
+	s.UpdatePeers(now, nil)
 	long := newWork("long", 0, now)
 	long.Cost.Prompt = 6000
 	s.Offer(now, long, nil)
@@ -323,7 +323,7 @@
 	for _, t := range newTargets(2) {
 		m.Flights[t.Name] = 1
 	}
-	s.Hear(start, []fireflypath.Mate{m})
+	s.UpdatePeers(start, []fireflypath.Mate{m})
 	for i := range 4 {
 		s.Offer(start, newWork(fmt.Sprint("short", i), 0, start), nil)
 	}
@@ -334,7 +334,7 @@
 	other.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirst, Target: busy, Work: long})
 	m = fireflypath.NewMate("other")
 	other.Report(&m)
-	s.Hear(start, []fireflypath.Mate{m})
+	s.UpdatePeers(start, []fireflypath.Mate{m})
 	s.Offer(start, newWork("later", 0, start), nil)
 	is.Equal(dispatchAll(s, start)[0].Target, busy)
 }
@@ -438,7 +438,7 @@
 	is := is.New(t)
 	s := newScheduler(1)
 	s.SetShare(start, fireflypath.Share{Default: 1, Mixed: true})
-	s.Hear(start, nil)
+	s.UpdatePeers(start, nil)
 	s.Observe(start, fireflypath.Event{
 		Kind: fireflypath.EventReport, Target: "t0", Cached: -1, Report: fireflypath.Report{Running: 5, Batch: 5},
 	})
--- a/internal/dispatch/desk.go
+++ b/internal/dispatch/desk.go
@@ -55,12 +55,12 @@
 		k.push(now)
 		return turnsMessage{}, nil
 	}
-	k.queue.Take(now, from, &m.News)
+	k.queue.Apply(now, from, &m.News)
 	if !m.First && !s.told {
 		s.told = true
 		k.gathered(now)
 	}
-	out := turnsMessage{Session: m.Session, Turns: k.queue.Turns(from)}
+	out := turnsMessage{Session: m.Session, Turns: k.queue.TakeDecisions(from)}
 	k.counted(out.Turns)
 	k.push(now)
 	return out, nil
@@ -70,16 +70,16 @@
 // rest of its group, which is on its way here or will tell.
 func (k *desk) begin(now time.Time, from string, id uint64) {
 	if len(k.sessions) == 0 {
-		k.queue.Hold(now, now.Add(gatherTime))
+		k.queue.PauseUntil(now, now.Add(gatherTime))
 	}
 	k.sessions[from] = &session{id: id}
-	k.queue.Begin(now, from, id)
+	k.queue.OpenSession(now, from, id)
 }
 
 // gathered has work placed once all of the group have told what they have in flight.
 func (k *desk) gathered(now time.Time) {
 	if !k.partial() {
-		k.queue.Hold(now, time.Time{})
+		k.queue.PauseUntil(now, time.Time{})
 	}
 }
 
@@ -110,7 +110,7 @@
 // end forgets a daemon. The caller holds mu.
 func (k *desk) end(now time.Time, name string) {
 	delete(k.sessions, name)
-	k.queue.End(now, name)
+	k.queue.CloseSession(now, name)
 }
 
 // push has all other daemons told what was decided for them, and sets the next wake.
@@ -118,7 +118,7 @@
 func (k *desk) push(now time.Time) {
 	k.d.count.sessions.Update(float64(len(k.sessions)))
 	for name, s := range k.sessions {
-		if s.pushing || !k.queue.Decided(name) {
+		if s.pushing || !k.queue.HasDecisions(name) {
 			continue
 		}
 		s.pushing = true
@@ -131,12 +131,12 @@
 func (k *desk) tell(name string, s *session) {
 	for {
 		k.mu.Lock()
-		if k.sessions[name] != s || !k.queue.Decided(name) {
+		if k.sessions[name] != s || !k.queue.HasDecisions(name) {
 			s.pushing = false
 			k.mu.Unlock()
 			return
 		}
-		m := turnsMessage{Pool: k.name, Session: s.id, Turns: k.queue.Turns(name)}
+		m := turnsMessage{Pool: k.name, Session: s.id, Turns: k.queue.TakeDecisions(name)}
 		k.counted(m.Turns)
 		k.mu.Unlock()
 		if k.send(name, &m) {
@@ -220,7 +220,7 @@
 }
 
 func (k *desk) hear(mates []fireflypath.Mate) {
-	k.update(func(now time.Time) { k.queue.Hear(now, mates) })
+	k.update(func(now time.Time) { k.queue.UpdatePeers(now, mates) })
 }
 
 func (k *desk) update(change func(now time.Time)) {
--- a/internal/route/pool/events.go
+++ b/internal/route/pool/events.go
@@ -78,7 +78,7 @@
 // shared is a scheduler that counts what all daemons have in flight.
 type shared interface {
 	Report(m *fireflypath.Mate)
-	Hear(now time.Time, mates []fireflypath.Mate)
+	UpdatePeers(now time.Time, mates []fireflypath.Mate)
 }
 
 // Report adds what this daemon has in flight and waiting, if the scheduler tells.
@@ -95,7 +95,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.sched.(shared); ok {
-		s.Hear(p.clock.Now(), mates)
+		s.UpdatePeers(p.clock.Now(), mates)
 		p.moves.Add(1)
 		p.pump()
 	}
--- a/internal/sim/daemon.go
+++ b/internal/sim/daemon.go
@@ -26,7 +26,7 @@
 // teller is a scheduler that exchanges with those of other daemons.
 type teller interface {
 	Report(m *fireflypath.Mate)
-	Hear(now time.Time, mates []fireflypath.Mate)
+	UpdatePeers(now time.Time, mates []fireflypath.Mate)
 }
 
 // daemon owns one scheduler and carries its decisions out.
@@ -112,7 +112,7 @@
 			d.w.loop.After(notice, o.client.lose)
 		}
 		if o.desk != nil {
-			o.desk.End(d.w.loop.Now(), d.name)
+			o.desk.CloseSession(d.w.loop.Now(), d.name)
 		}
 	}
 	d.w.layout()
@@ -188,9 +188,9 @@
 			mates = append(mates, m)
 		}
 	}
-	t.Hear(d.w.loop.Now(), mates)
+	t.UpdatePeers(d.w.loop.Now(), mates)
 	if d.desk != nil {
-		d.desk.Hear(d.w.loop.Now(), mates)
+		d.desk.UpdatePeers(d.w.loop.Now(), mates)
 		d.desk.push()
 	}
 	d.pump()
--- a/internal/sim/dispatch.go
+++ b/internal/sim/dispatch.go
@@ -65,7 +65,7 @@
 	to, id := c.to, c.id
 	c.d.w.loop.After(c.way(), func() {
 		if c.d.client == c && c.id == id {
-			to.Begin(c.d.w.loop.Now(), c.d.name, id)
+			to.OpenSession(c.d.w.loop.Now(), c.d.name, id)
 		}
 	})
 	c.flush()
@@ -105,8 +105,8 @@
 		if to.life != to.d.life || c.id != id {
 			return
 		}
-		to.Take(loop.Now(), c.d.name, &news)
-		turns := to.Turns(c.d.name)
+		to.Apply(loop.Now(), c.d.name, &news)
+		turns := to.TakeDecisions(c.d.name)
 		to.push()
 		loop.After(c.back(to), func() {
 			if c.to != to || c.id != id {
@@ -135,7 +135,7 @@
 func (k *desk) push() {
 	loop := k.d.w.loop
 	for _, name := range k.Sessions() {
-		turns := k.Turns(name)
+		turns := k.TakeDecisions(name)
 		o := k.d.w.byName(name)
 		if len(turns) == 0 || o == nil || o.client == nil {
 			continue
