--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -23,7 +23,7 @@
 }
 
 func newScheduler(n int) *slots.Scheduler {
-	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.Alone())
+	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.StandaloneTuning())
 	s.SetTargets(start, newTargets(n))
 	return s
 }
@@ -58,7 +58,7 @@
 		mates = append(mates, m)
 	}
 	for d, s := range all {
-		s.Hear(now, append(append([]fireflypath.Mate(nil), mates[:d]...), mates[d+1:]...))
+		s.UpdatePeers(now, append(append([]fireflypath.Mate(nil), mates[:d]...), mates[d+1:]...))
 	}
 }
 
@@ -115,7 +115,7 @@
 	s := newScheduler(1)
 	s.Offer(start, newWork("low", 2, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 1)
-	s.Hear(start, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0": 4}}})
+	s.UpdatePeers(start, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0": 4}}})
 	s.Offer(start, newWork("low2", 2, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 0)
 	for i := range 4 {
@@ -268,7 +268,7 @@
 		s.Offer(now, w, nil)
 	}
 	is.Equal(len(dispatchAll(s, now)), 10) // short prompts fill both targets
-	s.Hear(now, nil)
+	s.UpdatePeers(now, nil)
 	long := newWork("long", 0, now)
 	long.Cost.Prompt = 6000
 	s.Offer(now, long, nil)
@@ -323,7 +323,7 @@
 	for _, t := range newTargets(2) {
 		m.Flights[t.Name] = 1
 	}
-	s.Hear(start, []fireflypath.Mate{m})
+	s.UpdatePeers(start, []fireflypath.Mate{m})
 	for i := range 4 {
 		s.Offer(start, newWork(fmt.Sprint("short", i), 0, start), nil)
 	}
@@ -334,7 +334,7 @@
 	other.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirst, Target: busy, Work: long})
 	m = fireflypath.NewMate("other")
 	other.Report(&m)
-	s.Hear(start, []fireflypath.Mate{m})
+	s.UpdatePeers(start, []fireflypath.Mate{m})
 	s.Offer(start, newWork("later", 0, start), nil)
 	is.Equal(dispatchAll(s, start)[0].Target, busy)
 }
@@ -364,7 +364,7 @@
 	const daemons = 8
 	var all []*slots.Scheduler
 	for d := range daemons {
-		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.Alone())
+		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.StandaloneTuning())
 		for i := range 20 {
 			s.Offer(start, newWork(fmt.Sprint(d, "-", i), 0, start), nil)
 		}
@@ -397,7 +397,7 @@
 	var all []*slots.Scheduler
 	now := start
 	for d := range daemons {
-		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.Alone())
+		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.StandaloneTuning())
 		s.SetShare(now, fireflypath.Share{Part: map[string]float64{}})
 		s.SetTargets(now, newTargets(1))
 		all = append(all, s)
@@ -438,7 +438,7 @@
 	is := is.New(t)
 	s := newScheduler(1)
 	s.SetShare(start, fireflypath.Share{Default: 1, Mixed: true})
-	s.Hear(start, nil)
+	s.UpdatePeers(start, nil)
 	s.Observe(start, fireflypath.Event{
 		Kind: fireflypath.EventReport, Target: "t0", Cached: -1, Report: fireflypath.Report{Running: 5, Batch: 5},
 	})
@@ -553,7 +553,7 @@
 // more than that.
 func TestLowerTierMinimumService(t *testing.T) {
 	is := is.New(t)
-	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.Shared())
+	s := slots.New(fireflypath.Pool{Name: "p", Stride: 3}, 7, slots.DispatcherTuning())
 	s.SetTargets(start, newTargets(2))
 	type end struct {
 		at time.Time
