--- a/internal/decide/place/chooser.go
+++ b/internal/decide/place/chooser.go
@@ -12,26 +12,26 @@
 	"math/rand/v2"
 )
 
-// Kind is a selection policy. All but Scored serve as baselines for comparison.
-type Kind int8
+// Policy is a selection policy. All but Scored serve as baselines for comparison.
+type Policy int8
 
 const (
 	// Scored chooses among the targets with about the lowest expected time.
-	Scored Kind = iota
+	Scored Policy = iota
 	// RoundRobin chooses the targets in turn.
 	RoundRobin
-	// Least chooses the target with the fewest of this daemon's requests in flight.
-	Least
-	// Two chooses the better of two random targets by this daemon's requests in
+	// LeastRequests chooses the target with the fewest of this daemon's requests in flight.
+	LeastRequests
+	// PowerOfTwoChoices chooses the better of two random targets by this daemon's requests in
 	// flight.
-	Two
-	// Hash chooses the target to which the prefix hashes among those available.
-	Hash
-	// Ranking takes targets in order from a cached ranking by score, which it
+	PowerOfTwoChoices
+	// PrefixHash chooses the target to which the prefix hashes among those available.
+	PrefixHash
+	// CachedRanking takes targets in order from a cached ranking by score, which it
 	// renews when the set of available targets changes or half of the ranking is
 	// used (score caching, after the paper "On Optimized Scheduling Scheme for
 	// Rapid Pod Autoscaling in Kubernetes").
-	Ranking
+	CachedRanking
 )
 
 const (
@@ -45,8 +45,8 @@
 	absoluteTolerance = 0.2
 )
 
-// Option is a target that can take a request.
-type Option struct {
+// Candidate is a target that can take a request.
+type Candidate struct {
 	// Target is the caller's index of the target.
 	Target int32
 	// Hash is the hash of the target's name, the same at all daemons.
@@ -59,7 +59,7 @@
 
 // Chooser chooses targets for one scheduler. It is not safe for concurrent use.
 type Chooser struct {
-	policy         Kind
+	policy         Policy
 	rnd            *rand.Rand
 	nextTarget     uint64
 	ranking        []int32
@@ -69,22 +69,22 @@
 }
 
 // New returns a Chooser that breaks ties at random with the given seed.
-func New(policy Kind, seed uint64) *Chooser {
+func New(policy Policy, seed uint64) *Chooser {
 	return &Chooser{policy: policy, rnd: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // Choose returns the index of the chosen candidate; there must be at least one.
-func (c *Chooser) Choose(prefix uint64, candidates []Option) int {
+func (c *Chooser) Choose(prefix uint64, candidates []Candidate) int {
 	switch c.policy {
 	case RoundRobin:
 		return c.roundRobin(candidates)
-	case Least:
+	case LeastRequests:
 		return c.leastRequests(candidates)
-	case Two:
+	case PowerOfTwoChoices:
 		return c.powerOfTwoChoices(candidates)
-	case Hash:
+	case PrefixHash:
 		return rendezvous(prefix, candidates)
-	case Ranking:
+	case CachedRanking:
 		return c.cachedRanking(candidates)
 	case Scored:
 		return c.scored(prefix, candidates)
@@ -94,7 +94,7 @@
 
 // scored returns, of the candidates whose score counts as equal to the best, the
 // one to which the prefix hashes, or a random one if there is no prefix.
-func (c *Chooser) scored(prefix uint64, candidates []Option) int {
+func (c *Chooser) scored(prefix uint64, candidates []Candidate) int {
 	best := candidates[0].Score
 	for i := range candidates {
 		best = min(best, candidates[i].Score)
@@ -108,7 +108,7 @@
 		if candidates[i].Score > limit {
 			continue
 		}
-		if h := Mix(prefix ^ candidates[i].Hash); h >= maxHash {
+		if h := Mix64(prefix ^ candidates[i].Hash); h >= maxHash {
 			chosen, maxHash = i, h
 		}
 	}
@@ -117,7 +117,7 @@
 
 // roundRobin returns the candidate with the lowest target index above that of the
 // last choice.
-func (c *Chooser) roundRobin(candidates []Option) int {
+func (c *Chooser) roundRobin(candidates []Candidate) int {
 	best, first := -1, 0
 	for i := range candidates {
 		if candidates[i].Target < candidates[first].Target {
@@ -136,7 +136,7 @@
 
 // leastRequests returns the candidate with the fewest requests, a random one among
 // equals.
-func (c *Chooser) leastRequests(candidates []Option) int {
+func (c *Chooser) leastRequests(candidates []Candidate) int {
 	chosen, n := 0, 1
 	for i := 1; i < len(candidates); i++ {
 		switch {
@@ -153,7 +153,7 @@
 }
 
 // powerOfTwoChoices returns the less loaded of two random candidates.
-func (c *Chooser) powerOfTwoChoices(candidates []Option) int {
+func (c *Chooser) powerOfTwoChoices(candidates []Candidate) int {
 	a, b := c.rnd.IntN(len(candidates)), c.rnd.IntN(len(candidates))
 	if candidates[b].Requests < candidates[a].Requests {
 		return b
@@ -164,10 +164,10 @@
 // rendezvous returns the candidate with the highest hash of prefix and name. As
 // only targets that can take a request are candidates, the load of each stays
 // bounded.
-func rendezvous(prefix uint64, candidates []Option) int {
+func rendezvous(prefix uint64, candidates []Candidate) int {
 	chosen, maxHash := 0, uint64(0)
 	for i := range candidates {
-		h := Mix(prefix ^ candidates[i].Hash)
+		h := Mix64(prefix ^ candidates[i].Hash)
 		if h >= maxHash {
 			chosen, maxHash = i, h
 		}
@@ -177,10 +177,10 @@
 
 // cachedRanking returns the next candidate of the cached ranking, which is renewed
 // first if the candidates differ or half of it is used.
-func (c *Chooser) cachedRanking(candidates []Option) int {
+func (c *Chooser) cachedRanking(candidates []Candidate) int {
 	var candidatesHash uint64
 	for i := range candidates {
-		candidatesHash += Mix(uint64(candidates[i].Target) + 1)
+		candidatesHash += Mix64(uint64(candidates[i].Target) + 1)
 	}
 	if candidatesHash != c.candidatesHash || 2*c.rankingUsed >= c.rankingSize {
 		c.renewRanking(candidates)
@@ -197,7 +197,7 @@
 }
 
 // renewRanking ranks the candidates by score.
-func (c *Chooser) renewRanking(candidates []Option) {
+func (c *Chooser) renewRanking(candidates []Candidate) {
 	c.ranking = c.ranking[:0]
 	c.rankingUsed, c.rankingSize = 0, len(candidates)
 	for range candidates {
@@ -224,8 +224,8 @@
 	return false
 }
 
-// Mix distributes the bits of a number (the finalizer of splitmix64).
-func Mix(x uint64) uint64 {
+// Mix64 distributes the bits of a number (the finalizer of splitmix64).
+func Mix64(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/internal/decide/place/chooser_test.go
+++ b/internal/decide/place/chooser_test.go
@@ -12,16 +12,16 @@
 // from every daemon.
 func TestScoredSpreadsPromptsAmongEqualTargets(t *testing.T) {
 	is := is.New(t)
-	candidates := make([]Option, 12)
+	candidates := make([]Candidate, 12)
 	for i := range candidates {
-		candidates[i] = Option{Target: int32(i), Hash: Mix(uint64(i) + 77), Score: 1}
+		candidates[i] = Candidate{Target: int32(i), Hash: Mix64(uint64(i) + 77), Score: 1}
 	}
 	candidates[3].Score = 0.99
 	candidates[5].Score = 9
 	var hits [12]int
 	for prompt := range uint64(1200) {
-		chosen := New(Scored, 1).Choose(Mix(prompt+1), candidates)
-		is.Equal(chosen, New(Scored, 2).Choose(Mix(prompt+1), candidates)) // another daemon
+		chosen := New(Scored, 1).Choose(Mix64(prompt+1), candidates)
+		is.Equal(chosen, New(Scored, 2).Choose(Mix64(prompt+1), candidates)) // another daemon
 		hits[chosen]++
 	}
 	is.Equal(hits[5], 0)
@@ -33,19 +33,19 @@
 }
 
 func TestBaselinePolicies(t *testing.T) {
-	candidates := []Option{
+	candidates := []Candidate{
 		{Target: 4, Hash: 1, Requests: 3, Score: 3},
 		{Target: 2, Hash: 2, Requests: 1, Score: 1},
 		{Target: 9, Hash: 3, Requests: 2, Score: 2},
 	}
 	tests := []struct {
 		name string
-		kind Kind
+		kind Policy
 		want []int
 	}{
 		{"round robin in order of target index", RoundRobin, []int{1, 0, 2, 1}},
-		{"fewest outstanding requests", Least, []int{1, 1, 1, 1}},
-		{"cached ranking, renewed after half", Ranking, []int{1, 2, 1, 2}},
+		{"fewest outstanding requests", LeastRequests, []int{1, 1, 1, 1}},
+		{"cached ranking, renewed after half", CachedRanking, []int{1, 2, 1, 2}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/decide/sched/bench_test.go
+++ b/internal/decide/sched/bench_test.go
@@ -40,7 +40,7 @@
 	for i := range 100 {
 		hashes := make([]uint64, 32)
 		for j := range hashes {
-			hashes[j] = place.Mix(uint64(i*len(hashes) + j + 1))
+			hashes[j] = place.Mix64(uint64(i*len(hashes) + j + 1))
 		}
 		b.prefixes = append(b.prefixes, hashes)
 	}
--- a/internal/decide/sched/choose.go
+++ b/internal/decide/sched/choose.go
@@ -104,7 +104,7 @@
 	if t.slow.State() == slow.Slow || (t.prefilling > 0 && now.After(t.firstTokenDue)) {
 		score *= slowPenalty
 	}
-	s.options = append(s.options, place.Option{Target: i, Hash: t.nameHash, Requests: t.requests, Score: score})
+	s.options = append(s.options, place.Candidate{Target: i, Hash: t.nameHash, Requests: t.requests, Score: score})
 	p.Considered = append(p.Considered, fireflypath.Candidate{
 		Target:   t.Name,
 		Held:     t.tokens,
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -48,7 +48,7 @@
 	Seed uint64
 	// Placement selects the placement strategy; the zero value is the default
 	// one.
-	Placement place.Kind
+	Placement place.Policy
 }
 
 // Scheduler implements fireflypath.Scheduler.
@@ -108,9 +108,9 @@
 	// fastReserved is true while fast targets are reserved for tiers above the
 	// one being dispatched.
 	fastReserved bool
-	options      []place.Option
+	options      []place.Candidate
 	// choice is the most recently chosen option.
-	choice place.Option
+	choice place.Candidate
 	// prefixHolders are the targets with part of the current prompt in their
 	// cache; prefixDepths holds the number of cached blocks for each.
 	prefixHolders []int32
@@ -222,5 +222,5 @@
 // ditherOf returns a pseudo-random number in [0, 1) for a target, which differs
 // between daemons.
 func (s *Scheduler) ditherOf(name string) float64 {
-	return float64(place.Mix(xxhash.Sum64String(name)^place.Mix(s.cfg.Seed+1))>>11) / (1 << 53)
+	return float64(place.Mix64(xxhash.Sum64String(name)^place.Mix64(s.cfg.Seed+1))>>11) / (1 << 53)
 }
--- a/internal/decide/slots/choose.go
+++ b/internal/decide/slots/choose.go
@@ -100,7 +100,7 @@
 // noise returns a pseudo-random number in [0, 1) that is fixed for a target and
 // differs between daemons.
 func (s *Scheduler) noise(t *target) float64 {
-	return float64(place.Mix(t.nameHash^s.seed)>>11) / (1 << 53)
+	return float64(place.Mix64(t.nameHash^s.seed)>>11) / (1 << 53)
 }
 
 // prefillRate returns the target's prefill rate. If it is unknown, the fastest
--- a/internal/decide/slots/peers.go
+++ b/internal/decide/slots/peers.go
@@ -125,9 +125,9 @@
 // Daemons agree on the order if each uses the hash of "daemon/pool" as its seed.
 func (s *Scheduler) turnDelay(t *target, rank int) time.Duration {
 	n := 0
-	ownHash := place.Mix(s.seed ^ t.nameHash)
+	ownHash := place.Mix64(s.seed ^ t.nameHash)
 	for _, r := range s.competitors {
-		if r.rank < rank || r.rank == rank && place.Mix(r.hash^t.nameHash) < ownHash {
+		if r.rank < rank || r.rank == rank && place.Mix64(r.hash^t.nameHash) < ownHash {
 			n++
 		}
 	}
--- a/internal/decide/slots/refuse.go
+++ b/internal/decide/slots/refuse.go
@@ -83,7 +83,7 @@
 // jitterFraction returns a number in [0, 1) derived from the request's ID, so that
 // callers refused together do not retry together.
 func (s *Scheduler) jitterFraction(w *fireflypath.Work) float64 {
-	return float64(place.Mix(xxhash.Sum64String(w.ID))>>11) / (1 << 53)
+	return float64(place.Mix64(xxhash.Sum64String(w.ID))>>11) / (1 << 53)
 }
 
 // freeSlots returns the number of free slots at targets that accept requests.
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -192,5 +192,5 @@
 
 // mix is a number between 0 and 1 for a seed and two numbers.
 func mix(seed uint64, a, b int) float64 {
-	return float64(place.Mix(seed^place.Mix(uint64(a)<<32|uint64(b)))>>11) / (1 << 53)
+	return float64(place.Mix64(seed^place.Mix64(uint64(a)<<32|uint64(b)))>>11) / (1 << 53)
 }
--- a/internal/trial/policy.go
+++ b/internal/trial/policy.go
@@ -40,10 +40,10 @@
 		{name: "cancel", make: placed(place.Scored), shares: true, cancel: true},
 		{name: "static", make: placed(place.Scored)},
 		{name: "place-rr", make: placed(place.RoundRobin), shares: true},
-		{name: "place-least", make: placed(place.Least), shares: true},
-		{name: "place-two", make: placed(place.Two), shares: true},
-		{name: "place-hash", make: placed(place.Hash), shares: true},
-		{name: "place-ranking", make: placed(place.Ranking), shares: true},
+		{name: "place-least", make: placed(place.LeastRequests), shares: true},
+		{name: "place-two", make: placed(place.PowerOfTwoChoices), shares: true},
+		{name: "place-hash", make: placed(place.PrefixHash), shares: true},
+		{name: "place-ranking", make: placed(place.CachedRanking), shares: true},
 	}
 }
 
@@ -56,7 +56,7 @@
 	return policy{}, errors.Wrapf(ErrUnknown, "policy %q", name)
 }
 
-func placed(kind place.Kind) func(uint64, int, []fireflypath.Target) fireflypath.Scheduler {
+func placed(kind place.Policy) func(uint64, int, []fireflypath.Target) fireflypath.Scheduler {
 	return func(seed uint64, lowest int, targets []fireflypath.Target) fireflypath.Scheduler {
 		return sched.New(sched.Config{
 			Pool:       fireflypath.Pool{Name: mix.Models, Kind: fireflypath.KindEngine},
