--- a/internal/decide/window/window.go
+++ b/internal/decide/window/window.go
@@ -1,9 +1,9 @@
-// Package window learns how much work one target may hold.
+// Package window learns how many requests and tokens a target may hold at once.
 //
-// It answers engines that are first-in first-out and know no priorities. With
-// a deep window a request of the highest tier stands behind work that was sent
-// earlier, and with a shallow one the engine's batch stays half empty. Without
-// a limit for a restarted target its cold cache meets a full load at once.
+// Engines serve first in, first out and know no priorities. With a large window, a
+// request of the highest tier waits behind those sent earlier; with a small one,
+// the engine's batch stays half empty. Without any limit, a restarted target would
+// receive full load at once while its cache is cold.
 package window
 
 import (
@@ -13,96 +13,97 @@
 )
 
 const (
-	// start is the window in requests of a target that nothing is known of, and
-	// of one that came back: a quarter of a common batch of 16.
-	start = 4
-	// usual is the batch assumed for a target that never told its own.
-	usual = 16
-	// most bounds the window of a target whose batch is unknown.
-	most = 256
-	// depth is how much prefill the target may have before it. The work of
-	// the highest tier waits at most about that long behind lower work, and half a
-	// second bridges the time between an answer's end and the next dispatch many
-	// times over.
-	depth = 500 * time.Millisecond
-	// shrink is the factor when the target reports a queue of its own; it
-	// halves the window in three reports.
-	shrink = 0.8
-	// growth is the factor when a report shows the window used and no queue: from
-	// start to a full batch in four reports.
-	growth = 1.5
-	// slack is the part of a batch that may stand in prefill or before it, so
-	// that the next request is there when one ends.
-	slack = 0.25
-	// queued is the part of its batch that a target may report as waiting
-	// before the window is taken as too deep; reports are seconds old, and a
-	// short queue in them is a moment's.
-	queued = 0.25
+	// initialRequests is the window, in requests, of a target without history or
+	// one that came back: a quarter of the common batch of 16.
+	initialRequests = 4
+	// defaultBatch is the batch size assumed for a target that does not report it.
+	defaultBatch = 16
+	// maxRequests bounds the window of a target whose batch size is unknown.
+	maxRequests = 256
+	// maxPrefillTime is how much prefill, in time, a target may have pending. It
+	// bounds how long a request of the highest tier waits behind lower ones, and
+	// half a second is many times what passes between the end of an answer and the
+	// next dispatch.
+	maxPrefillTime = 500 * time.Millisecond
+	// shrinkFactor is applied when the target reports a queue of its own. Three
+	// reports halve the window.
+	shrinkFactor = 0.8
+	// growthFactor is applied when a report shows the window in use and no long
+	// queue. Four reports take a window from initialRequests to a full batch.
+	growthFactor = 1.5
+	// batchHeadroom is the fraction of a batch that may additionally be in prefill
+	// or waiting for it, so that the next request is present when one ends.
+	batchHeadroom = 0.25
+	// maxQueuedFraction is the number of waiting requests, as a fraction of the
+	// running ones, that a target may report before its window counts as too large.
+	// Reports are seconds old, and a short queue in one is transient.
+	maxQueuedFraction = 0.25
 )
 
-// Window is the learned window of one whole target, over all daemons.
+// Window is the learned window of a whole target, for all daemons together.
 type Window struct {
 	requests float64
 	batch    int
-	// top is the configured bound in tokens, 0 for none.
-	top int
+	// maxTokens is the configured limit in tokens, 0 for none.
+	maxTokens int
 }
 
-// New makes a Window for a target that nothing is known of.
-func New(top int) Window {
-	return Window{requests: start, top: top}
+// New returns the Window of a target without history.
+func New(maxTokens int) Window {
+	return Window{requests: initialRequests, maxTokens: maxTokens}
 }
 
-// Reset starts over, for a target that came back.
+// Reset restarts learning, for a target that came back.
 func (w *Window) Reset() {
-	w.requests = start
+	w.requests = initialRequests
 }
 
-// Done grows the window after a whole answer: by one request each, which
-// doubles it with every window of answers until the batch is filled.
+// Done grows the window after a complete answer by one request, which doubles it
+// with every window of answers until the batch is filled.
 func (w *Window) Done() {
 	if w.requests < float64(w.limit()) {
 		w.requests++
 	}
 }
 
-// Report learns from the target's own statement, which covers the work of all
-// daemons: one whose part of a small window is less than a request would
-// otherwise never see the window grow.
+// Report adjusts the window to the target's own load report, which covers the
+// requests of all daemons. A daemon whose share of a small window is less than one
+// request would otherwise never see it grow.
 func (w *Window) Report(r fireflypath.Report) {
 	if r.Batch > 0 {
 		w.batch = r.Batch
 	}
-	long := float64(r.Waiting) > queued*float64(max(r.Running, 1))
+	overloaded := float64(r.Waiting) > maxQueuedFraction*float64(max(r.Running, 1))
 	switch {
-	case long && w.batch == 0:
-		w.requests = max(min(w.requests*shrink, float64(r.Running)), 1)
-	case !long && 2*float64(r.Running+r.Waiting) >= w.requests:
-		w.requests = min(w.requests*growth, float64(w.limit()))
+	case overloaded && w.batch == 0:
+		w.requests = max(min(w.requests*shrinkFactor, float64(r.Running)), 1)
+	case !overloaded && 2*float64(r.Running+r.Waiting) >= w.requests:
+		w.requests = min(w.requests*growthFactor, float64(w.limit()))
 	}
 }
 
-// Requests is how many requests the target may hold.
+// Requests returns how many requests the target may hold.
 func (w *Window) Requests() float64 {
 	return min(w.requests, float64(w.limit()))
 }
 
-// Tokens is how much prefill the target may have before it, given its speed;
-// a configured window goes first.
-func (w *Window) Tokens(prefill float64) int {
-	n := int(prefill * depth.Seconds())
-	if w.top > 0 {
-		return min(w.top, n)
+// Tokens returns how many prompt tokens the target may have pending at its prefill
+// rate. A configured limit bounds it.
+func (w *Window) Tokens(prefillRate float64) int {
+	n := int(prefillRate * maxPrefillTime.Seconds())
+	if w.maxTokens > 0 {
+		return min(w.maxTokens, n)
 	}
 	return n
 }
 
+// limit returns the largest window in requests.
 func (w *Window) limit() int {
 	if w.batch > 0 {
-		return w.batch + int(slack*float64(w.batch))
+		return w.batch + int(batchHeadroom*float64(w.batch))
 	}
-	if w.requests > usual {
-		return most
+	if w.requests > defaultBatch {
+		return maxRequests
 	}
-	return usual
+	return defaultBatch
 }
--- a/internal/decide/window/window_test.go
+++ b/internal/decide/window/window_test.go
@@ -8,29 +8,30 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// A target was restarted. It must not be filled at once, and must be full again
-// after a few reports that show its window used.
-func TestWindowGrowsGentlyToTheBatch(t *testing.T) {
+// A restarted target must not be filled at once, and must be full again after a few
+// reports that show its window in use.
+func TestWindowGrowsGraduallyToBatch(t *testing.T) {
 	is := is.New(t)
 	w := New(0)
-	is.Equal(w.Requests(), float64(start))
+	is.Equal(w.Requests(), float64(initialRequests))
 	for range 4 {
 		n := int(w.Requests())
 		w.Report(fireflypath.Report{Running: n, Batch: 16})
-		is.True(w.Requests() <= growth*float64(n+1))
+		is.True(w.Requests() <= growthFactor*float64(n+1))
 	}
 	is.True(w.Requests() >= 16)
 	for range 100 {
 		w.Done()
 	}
-	is.Equal(w.Requests(), 20.0) // a quarter more than the batch
+	is.Equal(w.Requests(), 20.0) // the batch plus a quarter
 	w.Reset()
-	is.Equal(w.Requests(), float64(start))
+	is.Equal(w.Requests(), float64(initialRequests))
 }
 
-// A target that never tells its batch reports a queue of its own. Its window
-// must shrink to what it runs, or priority is lost in that queue.
-func TestWindowShrinksWithTheTargetsQueue(t *testing.T) {
+// A target that does not report its batch size reports a queue of its own. Its
+// window must shrink to what it runs, as requests in that queue are not ordered by
+// priority.
+func TestWindowShrinksWhenTargetQueues(t *testing.T) {
 	is := is.New(t)
 	w := New(0)
 	for range 200 {
@@ -43,7 +44,7 @@
 	is.True(w.Requests() >= 1)
 }
 
-func TestConfiguredWindowGoesFirst(t *testing.T) {
+func TestConfiguredWindowLimitsTokens(t *testing.T) {
 	is := is.New(t)
 	w := New(300)
 	is.Equal(w.Tokens(10000), 300)
