--- a/internal/decide/speed/speed.go
+++ b/internal/decide/speed/speed.go
@@ -1,99 +1,101 @@
-// Package speed learns how fast one target works from its own answers.
+// Package speed estimates how fast a target works from its answers.
 //
-// It answers unlike targets: replicas of five hardware generations differ
-// several times in speed, and without learned speeds the slow ones get as much
-// work as the fast ones and end it too late.
+// Replicas of five hardware generations differ several times in speed. Without
+// learned rates the slow ones would receive as many requests as the fast ones and
+// finish them too late.
 package speed
 
 import "time"
 
 const (
-	// rise and fall weigh a sample of the prefill speed above or below the
-	// estimate. Samples are low whenever other daemons' work stood before ours,
-	// so the estimate follows the fastest answers and forgets them in about
-	// twenty samples.
-	rise = 0.3
-	fall = 0.05
-	// smooth weighs a sample of delay or decode speed: about ten samples, a few
-	// seconds of work at one target.
-	smooth = 0.1
-	// enough is the least number of tokens of a sample of speed; below it the
-	// network and the engine's step time hide the speed.
-	enough = 64
-	// least is the delay in seconds that counts: a hop of the network.
-	least = 0.001
-	// reach is how long a measured delay counts in full: load reports lag by up
-	// to two seconds, so what was seen longer ago is no better than no news.
-	reach = 4 * time.Second
+	// riseWeight and fallWeight are the weights of a prefill rate sample above and
+	// below the estimate. A sample is too low whenever requests of other daemons
+	// were ahead, so the estimate follows the fastest answers and forgets them
+	// after about twenty samples.
+	riseWeight = 0.3
+	fallWeight = 0.05
+	// averageWeight is the weight of a decode rate sample: about ten samples, a few
+	// seconds of requests at one target. Delay samples have twice this weight.
+	averageWeight = 0.1
+	// minSampleTokens is the minimum number of tokens of a prefill rate sample.
+	// Below it the latency of the network and of the engine's steps dominates.
+	minSampleTokens = 64
+	// minDelay is the smallest delay reported, in seconds: one network hop.
+	minDelay = 0.001
+	// delayLifetime is how long a measured delay counts in full. Load reports lag
+	// by up to two seconds, so an older measurement is no better than none.
+	delayLifetime = 4 * time.Second
 )
 
-// Speed is what is known of one target. The zero value knows nothing.
+// Speed estimates the speed of one target. The zero value knows nothing.
 type Speed struct {
-	prefill float64
-	decode  float64
-	delay   float64
-	// at is when delay was last measured.
-	at time.Time
+	prefillRate float64
+	decodeRate  float64
+	queueDelay  float64
+	// measuredAt is when queueDelay was last measured.
+	measuredAt time.Time
 }
 
-// First learns from a first token: tokens is what had to be prefilled since
-// the dispatch, this daemon's own work ahead included.
+// First updates the estimate with a first token. tokens is the number of prompt
+// tokens that had to be prefilled since the dispatch, including those of this
+// daemon's requests ahead.
 func (s *Speed) First(now time.Time, tokens int, took time.Duration) {
 	sec := max(took.Seconds(), 1e-4)
-	if tokens >= enough {
+	if tokens >= minSampleTokens {
 		rate := float64(tokens) / sec
-		w := fall
-		if rate > s.prefill {
-			w = rise
+		weight := fallWeight
+		if rate > s.prefillRate {
+			weight = riseWeight
 		}
-		if s.prefill == 0 {
-			w = 1
+		if s.prefillRate == 0 {
+			weight = 1
 		}
-		s.prefill += w * (rate - s.prefill)
+		s.prefillRate += weight * (rate - s.prefillRate)
 	}
-	own := 0.0
-	if s.prefill > 0 {
-		own = float64(tokens) / s.prefill
+	expected := 0.0
+	if s.prefillRate > 0 {
+		expected = float64(tokens) / s.prefillRate
 	}
-	s.delay += smooth * 2 * (max(sec-own, 0) - s.delay)
-	s.at = now
+	s.queueDelay += averageWeight * 2 * (max(sec-expected, 0) - s.queueDelay)
+	s.measuredAt = now
 }
 
-// Done learns from a whole answer that took so long after its first token.
+// Done updates the decode rate with a complete answer and the time since its first
+// token.
 func (s *Speed) Done(output int, took time.Duration) {
 	if output < 2 {
 		return
 	}
 	rate := float64(output-1) / max(took.Seconds(), 1e-4)
-	if s.decode == 0 {
-		s.decode = rate
+	if s.decodeRate == 0 {
+		s.decodeRate = rate
 	}
-	s.decode += smooth * (rate - s.decode)
+	s.decodeRate += averageWeight * (rate - s.decodeRate)
 }
 
-// Adopt takes over what another daemon learned, if nothing is known here.
-func (s *Speed) Adopt(prefill, decode float64) {
-	if s.prefill == 0 && s.decode == 0 {
-		s.prefill, s.decode = prefill, decode
+// Adopt sets the rates learned by another daemon if none are known.
+func (s *Speed) Adopt(prefillRate, decodeRate float64) {
+	if s.prefillRate == 0 && s.decodeRate == 0 {
+		s.prefillRate, s.decodeRate = prefillRate, decodeRate
 	}
 }
 
-// Prefill is in tokens a second, 0 if unknown.
-func (s *Speed) Prefill() float64 { return s.prefill }
+// Prefill returns the prefill rate in tokens per second, 0 if unknown.
+func (s *Speed) Prefill() float64 { return s.prefillRate }
 
-// Decode is in tokens a second for one request, 0 if unknown.
-func (s *Speed) Decode() float64 { return s.decode }
+// Decode returns the decode rate of one request in tokens per second, 0 if unknown.
+func (s *Speed) Decode() float64 { return s.decodeRate }
 
-// Delay is the expected wait in the target that own work does not explain; it
-// fades with its age.
+// Delay returns the expected wait in the target that is not explained by the
+// prefill of known requests. It decreases with its age.
 func (s *Speed) Delay(now time.Time) time.Duration {
-	if s.delay < least {
+	if s.queueDelay < minDelay {
 		return 0
 	}
-	age := now.Sub(s.at)
-	d := s.delay
-	if age > reach {
-		d *= float64(reach) / float64(age)
+	age := now.Sub(s.measuredAt)
+	d := s.queueDelay
+	if age > delayLifetime {
+		d *= float64(delayLifetime) / float64(age)
 	}
 	return time.Duration(d * float64(time.Second))
 }
