--- a/internal/decide/slow/detector.go
+++ b/internal/decide/slow/detector.go
@@ -1,116 +1,123 @@
-// Package slow finds targets that have become stragglers.
+// Package slow detects stragglers among targets.
 //
-// It answers a slow target. Without it a target that still answers, ten times
-// slower than before, keeps its part of the work: whatever is sent there ends
-// too late, and its prefill is thrown away.
+// A target that still answers, but ten times slower than before, would otherwise
+// keep its share of the requests. All of them would finish too late, and their
+// prefill would be wasted.
 package slow
 
 import "time"
 
-// State is what a straggler may still get.
+// State limits what a target may receive.
 type State int8
 
 const (
-	// Ready is a target that works as it used to, compared with the others.
+	// Ready is a target that is as fast as usual, compared with the others.
 	Ready State = iota
-	// Slow gets work only when no ready target has room.
+	// Slow targets receive requests only when no ready target has room.
 	Slow
-	// Ejected gets nothing until its next probe.
+	// Ejected targets receive nothing until the next probe.
 	Ejected
-	// Probing has one request that decides.
+	// Probing targets have one request in flight that decides their state.
 	Probing
 )
 
 const (
-	// smooth weighs a new answer: two or three bad ones outweigh the past.
-	smooth = 0.35
-	// suspect and eject are how many times longer than the other targets, each
-	// against its own past, a target may take. Batches and caches move answers
-	// by a factor of about two without any fault.
-	suspect = 2.5
-	eject   = 5
-	// samples is how many answers are needed before a target is ejected.
-	samples = 3
-	// pause is the time before the first probe; it doubles to at most longest.
-	// A probe costs a request that may end late, so it is rare.
-	pause   = 2 * time.Second
-	longest = 30 * time.Second
+	// averageWeight is the weight of a new answer: two or three slow ones outweigh
+	// the history.
+	averageWeight = 0.35
+	// slowRatio and ejectRatio are how many times longer answers may take than at
+	// the other targets, each target relative to its own history. Batching and
+	// caching change the time of answers by a factor of about two without any
+	// fault.
+	slowRatio  = 2.5
+	ejectRatio = 5
+	// minSamples is how many answers are needed before a target is marked slow or
+	// ejected.
+	minSamples = 3
+	// minEjection is the time until the first probe; each further ejection doubles
+	// it, up to maxEjection. Probes are rare because each costs a request that may
+	// finish late.
+	minEjection = 2 * time.Second
+	maxEjection = 30 * time.Second
 )
 
-// Detector watches one target.
+// Detector watches one target. The zero value is ready.
 type Detector struct {
-	ratio float64
-	n     int
-	state State
-	wait  time.Duration
-	until time.Time
+	averageRatio float64
+	samples      int
+	state        State
+	ejection     time.Duration
+	ejectedUntil time.Time
 }
 
-// Sample takes how many times longer than expected an answer took; pool is the
-// average of that over all targets, so that overload ejects nobody.
+// Sample records how many times longer than expected an answer took. pool is the
+// average of that ratio over all targets, so that an overload ejects no target.
 func (d *Detector) Sample(now time.Time, ratio, pool float64) {
-	if d.n == 0 {
-		d.ratio = ratio
+	if d.samples == 0 {
+		d.averageRatio = ratio
 	}
-	d.n++
-	d.ratio += smooth * (ratio - d.ratio)
-	rel := d.ratio / max(pool, 1)
+	d.samples++
+	d.averageRatio += averageWeight * (ratio - d.averageRatio)
+	relative := d.averageRatio / max(pool, 1)
 	if d.state == Probing {
-		d.probed(now, ratio/max(pool, 1))
+		d.finishProbe(now, ratio/max(pool, 1))
 		return
 	}
 	switch {
-	case rel > eject && d.n >= samples:
+	case relative > ejectRatio && d.samples >= minSamples:
 		d.eject(now)
-	case rel > suspect && d.n >= samples:
+	case relative > slowRatio && d.samples >= minSamples:
 		d.state = Slow
 	case d.state != Ejected:
 		d.state = Ready
-		d.wait = 0
+		d.ejection = 0
 	}
 }
 
-// Fail ejects a target that refused or cut work.
+// Fail ejects a target that refused a request or broke off an answer.
 func (d *Detector) Fail(now time.Time) {
 	d.eject(now)
 }
 
-// Spare takes an ejection back: the target stays in use as a slow one.
+// Spare revokes an ejection: the target stays in use as a slow one.
 func (d *Detector) Spare() {
 	d.state = Slow
 }
 
-// Probe marks a probe as sent.
+// Probe marks an ejected target as probing once the probe is sent.
 func (d *Detector) Probe() {
 	if d.state == Ejected {
 		d.state = Probing
 	}
 }
 
-// Reset forgets the past, for a target that came back.
+// Reset clears the history, for a target that came back.
 func (d *Detector) Reset() {
 	*d = Detector{}
 }
 
-// State is the present state.
+// State returns the current state.
 func (d *Detector) State() State { return d.state }
 
-// Due is when an ejected target may be probed.
-func (d *Detector) Due() time.Time { return d.until }
+// Due returns when an ejected target may be probed.
+func (d *Detector) Due() time.Time { return d.ejectedUntil }
 
-func (d *Detector) probed(now time.Time, rel float64) {
-	if rel > suspect {
+// finishProbe ejects the target again for longer, or marks it ready, by the answer
+// to a probe.
+func (d *Detector) finishProbe(now time.Time, ratio float64) {
+	if ratio > slowRatio {
 		d.eject(now)
 		return
 	}
 	d.state = Ready
-	d.ratio = rel
-	d.n = 1
-	d.wait = 0
+	d.averageRatio = ratio
+	d.samples = 1
+	d.ejection = 0
 }
 
+// eject ejects the target for twice as long as the last time.
 func (d *Detector) eject(now time.Time) {
-	d.wait = min(max(2*d.wait, pause), longest)
-	d.until = now.Add(d.wait)
+	d.ejection = min(max(2*d.ejection, minEjection), maxEjection)
+	d.ejectedUntil = now.Add(d.ejection)
 	d.state = Ejected
 }
--- a/internal/decide/slow/detector_test.go
+++ b/internal/decide/slow/detector_test.go
@@ -7,40 +7,41 @@
 	"github.com/matryer/is"
 )
 
-var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A target answers ten times slower from one moment on. It must be out within a
-// few answers, get one probe after its pause, and be back after a good one.
-func TestStragglerIsEjectedAndProbedBack(t *testing.T) {
+// From one moment on a target answers ten times slower. It must be ejected within a
+// few answers, receive one probe after the ejection, and be ready after a good
+// answer.
+func TestStragglerEjectedAndReadmittedByProbe(t *testing.T) {
 	is := is.New(t)
 	var d Detector
 	for range 20 {
-		d.Sample(t0, 1, 1)
+		d.Sample(start, 1, 1)
 	}
 	is.Equal(d.State(), Ready)
 	n := 0
 	for d.State() != Ejected {
-		d.Sample(t0, 10, 1)
+		d.Sample(start, 10, 1)
 		n++
 	}
 	is.True(n <= 3)
-	is.Equal(d.Due(), t0.Add(pause))
+	is.Equal(d.Due(), start.Add(minEjection))
 	d.Probe()
 	is.Equal(d.State(), Probing)
-	d.Sample(t0, 10, 1)
+	d.Sample(start, 10, 1)
 	is.Equal(d.State(), Ejected)
-	is.Equal(d.Due(), t0.Add(2*pause))
+	is.Equal(d.Due(), start.Add(2*minEjection))
 	d.Probe()
-	d.Sample(t0, 1, 1)
+	d.Sample(start, 1, 1)
 	is.Equal(d.State(), Ready)
 }
 
-// All targets slow down together under overload. None of them is a straggler.
-func TestOverloadEjectsNobody(t *testing.T) {
+// All targets slow down together in an overload, so none of them is a straggler.
+func TestOverloadEjectsNoTarget(t *testing.T) {
 	is := is.New(t)
 	var d Detector
 	for range 50 {
-		d.Sample(t0, 8, 8)
+		d.Sample(start, 8, 8)
 	}
 	is.Equal(d.State(), Ready)
 }
