--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -14,7 +14,7 @@
 	"github.com/fireflypath/fireflypath/internal/route/pool"
 )
 
-// client has a dispatcher decide about one pool's work.
+// client has a dispatcher place the work of one pool of this daemon.
 type client struct {
 	d     *Dispatch
 	pool  *pool.Pool
@@ -22,29 +22,30 @@
 	sched *remote.Scheduler
 
 	// The fields below belong to run.
-	// to is the dispatcher; its name is empty while there is none.
-	to    fireflypath.Member
-	avoid map[string]time.Time
-	// lost is when the last dispatcher was lost.
-	lost time.Time
-	// told is when it was last told anything.
-	told time.Time
+	// dispatcher is the chosen one; its name is empty while there is none.
+	dispatcher fireflypath.Member
+	// avoidUntil is until when an unresponsive daemon is not tried again.
+	avoidUntil map[string]time.Time
+	// lostAt is when the last dispatcher was lost.
+	lostAt time.Time
+	// lastSent is when the last update was sent to the dispatcher.
+	lastSent time.Time
 
 	mu sync.Mutex
 	// session is 0 while there is none.
 	session uint64
 }
 
-// run speaks to the dispatcher until the context ends, one message at a time: what
-// happens meanwhile goes with the next.
+// run talks to the dispatcher until the context ends. Only one message is in transit at
+// a time: changes in the meantime are sent with the next one.
 func (c *client) run(ctx context.Context) {
-	t := c.d.clock.NewTicker(stepEvery)
+	t := c.d.clock.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		c.step(ctx)
 		select {
 		case <-ctx.Done():
-			c.leave(c.to, c.current())
+			c.endSession(c.dispatcher, c.currentSession())
 			return
 		case <-c.sched.Kicks():
 		case <-t.Chan():
@@ -52,42 +53,43 @@
 	}
 }
 
-// step chooses the dispatcher and tells it what is new.
+// step selects the dispatcher and sends it the changes since the last update.
 func (c *client) step(ctx context.Context) {
-	if !c.choose(ctx) {
+	if !c.selectDispatcher(ctx) {
 		return
 	}
-	var news fireflypath.News
-	waits := false
+	var changes fireflypath.News
+	waiting := false
 	c.pool.Update(func(_ time.Time, out []fireflypath.Shed) []fireflypath.Shed {
-		news, waits = c.sched.News(), c.sched.Waits()
+		changes, waiting = c.sched.News(), c.sched.Waits()
 		return out
 	})
-	beat := beatIdle
-	if waits {
-		beat = beatWaiting
+	interval := idleHeartbeat
+	if waiting {
+		interval = waitingHeartbeat
 	}
-	if news.Empty() && c.d.clock.Since(c.told) < beat {
+	if changes.Empty() && c.d.clock.Since(c.lastSent) < interval {
 		return
 	}
-	c.told = c.d.clock.Now()
-	turns, err := c.send(ctx, c.to, newsMessage{Pool: c.name, Session: c.current(), News: news})
+	c.lastSent = c.d.clock.Now()
+	decisions, err := c.send(ctx, c.dispatcher, updateMessage{Pool: c.name, Session: c.currentSession(), News: changes})
 	if err != nil {
-		c.lose(ctx, err)
+		c.handleLoss(ctx, err)
 		return
 	}
-	c.deliver(&turns)
+	c.applyDecisions(&decisions)
 }
 
-// choose turns to the best dispatcher that answers, and reports whether there is one.
-func (c *client) choose(ctx context.Context) bool {
+// selectDispatcher attaches to the best dispatcher that responds. It reports whether
+// there is one.
+func (c *client) selectDispatcher(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		best, ok := c.best()
-		if ok && best.Name == c.to.Name {
+		best, ok := c.bestCandidate()
+		if ok && best.Name == c.dispatcher.Name {
 			return true
 		}
-		if !ok || c.to.Name == "" && c.d.clock.Since(c.lost) > aloneAfter {
-			c.alone()
+		if !ok || c.dispatcher.Name == "" && c.d.clock.Since(c.lostAt) > localFallbackDelay {
+			c.scheduleLocally()
 		}
 		if !ok {
 			return false
@@ -99,111 +101,111 @@
 	return false
 }
 
-// best is the first daemon that answered lately.
-func (c *client) best() (fireflypath.Member, bool) {
+// bestCandidate returns the first candidate that was not unresponsive recently.
+func (c *client) bestCandidate() (fireflypath.Member, bool) {
 	now := c.d.clock.Now()
 	for _, m := range c.d.candidates() {
-		if now.After(c.avoid[m.Name]) {
+		if now.After(c.avoidUntil[m.Name]) {
 			return m, true
 		}
 	}
 	return fireflypath.Member{}, false
 }
 
-// attach turns to a dispatcher. Work is handed over only once it has answered: to one
-// that is gone it would be lost for as long as its silence takes to be noticed.
+// attach starts a session with a dispatcher. Work is handed over only once it has
+// responded. A dispatcher that is gone would hold the work until its silence is noticed.
 func (c *client) attach(ctx context.Context, to fireflypath.Member) bool {
 	session := rand.Uint64()
-	if _, err := c.send(ctx, to, newsMessage{Pool: c.name, Session: session, First: true}); err != nil {
-		c.shun(to, err)
+	if _, err := c.send(ctx, to, updateMessage{Pool: c.name, Session: session, First: true}); err != nil {
+		c.avoid(to, err)
 		return false
 	}
-	old, last := c.to, c.current()
-	c.to, c.told = to, time.Time{}
-	c.begin(session)
+	previous, previousSession := c.dispatcher, c.currentSession()
+	c.dispatcher, c.lastSent = to, time.Time{}
+	c.setSession(session)
 	c.pool.Update(func(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 		c.sched.Attach(now)
 		return out
 	})
-	c.d.count.attached.Inc(1)
-	c.d.log.Info("dispatcher chosen", zap.String("pool", c.name), zap.String("dispatcher", to.Name))
-	c.leave(old, last)
+	c.d.metrics.attached.Inc(1)
+	c.d.log.Info("attached to dispatcher", zap.String("pool", c.name), zap.String("dispatcher", to.Name))
+	c.endSession(previous, previousSession)
 	return true
 }
 
-// lose is the end of a dispatcher that does not answer. Its work is kept back for as
-// long as another one takes to be found: all daemons of a group lose it together, and
-// if each sent off what it holds by its own lights, the targets would be overrun.
-func (c *client) lose(ctx context.Context, err error) {
+// handleLoss handles a dispatcher that stopped responding. Its work is held back while
+// another dispatcher is selected. All daemons of a group lose the dispatcher together.
+// If each placed its own work, the targets would be overloaded.
+func (c *client) handleLoss(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	c.shun(c.to, err)
-	c.d.count.lost.Inc(1)
-	c.to = fireflypath.Member{}
-	c.begin(0)
-	c.lost = c.d.clock.Now()
-	c.choose(ctx)
+	c.avoid(c.dispatcher, err)
+	c.d.metrics.lost.Inc(1)
+	c.dispatcher = fireflypath.Member{}
+	c.setSession(0)
+	c.lostAt = c.d.clock.Now()
+	c.selectDispatcher(ctx)
 }
 
-// shun keeps a daemon from being asked for a while.
-func (c *client) shun(m fireflypath.Member, err error) {
+// avoid does not try a daemon again for avoidPeriod.
+func (c *client) avoid(m fireflypath.Member, err error) {
 	if m.Name != c.d.self {
-		c.avoid[m.Name] = c.d.clock.Now().Add(avoidTime)
+		c.avoidUntil[m.Name] = c.d.clock.Now().Add(avoidPeriod)
 	}
-	c.d.log.Warn("dispatcher does not answer", zap.String("pool", c.name), zap.String("dispatcher", m.Name), logs.Cause(err))
+	c.d.log.Warn("dispatcher does not respond", zap.String("pool", c.name), zap.String("dispatcher", m.Name), logs.Cause(err))
 }
 
-// alone has this daemon decide.
-func (c *client) alone() {
-	c.to = fireflypath.Member{}
-	c.begin(0)
+// scheduleLocally makes this daemon place its own work.
+func (c *client) scheduleLocally() {
+	c.dispatcher = fireflypath.Member{}
+	c.setSession(0)
 	c.pool.Update(func(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 		if !c.sched.Attached() {
 			return out
 		}
-		c.d.log.Warn("no dispatcher, this daemon decides", zap.String("pool", c.name))
+		c.d.log.Warn("no dispatcher available, scheduling locally", zap.String("pool", c.name))
 		return c.sched.Detach(now, out)
 	})
 }
 
-// leave ends the session of a dispatcher that another one took the place of.
-func (c *client) leave(old fireflypath.Member, session uint64) {
-	if old.Name == "" || session == 0 {
+// endSession ends a session with a previous dispatcher.
+func (c *client) endSession(previous fireflypath.Member, session uint64) {
+	if previous.Name == "" || session == 0 {
 		return
 	}
-	m := newsMessage{Pool: c.name, Session: session, End: true}
+	m := updateMessage{Pool: c.name, Session: session, End: true}
 	c.d.spawn(func() {
-		// One that does not hear of it forgets this daemon after a while.
-		_, _ = c.send(c.d.ctx, old, m)
+		// If the message is lost, the session ends after sessionTimeout.
+		_, _ = c.send(c.d.ctx, previous, m)
 	})
 }
 
-func (c *client) current() uint64 {
+func (c *client) currentSession() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.session
 }
 
-func (c *client) begin(session uint64) {
+func (c *client) setSession(session uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.session = session
 }
 
-func (c *client) send(ctx context.Context, to fireflypath.Member, m newsMessage) (turnsMessage, error) {
+func (c *client) send(ctx context.Context, to fireflypath.Member, m updateMessage) (decisionsMessage, error) {
 	if to.Name == c.d.self {
-		return c.d.take(c.d.self, &m)
+		return c.d.processUpdate(c.d.self, &m)
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var out turnsMessage
-	err := c.d.peers.Call(ctx, to, methodNews, m, &out)
+	var out decisionsMessage
+	err := c.d.peers.Call(ctx, to, methodUpdate, m, &out)
 	return out, err
 }
 
-// deliver takes decisions in; it reports false if they are of another session.
-func (c *client) deliver(m *turnsMessage) bool {
+// applyDecisions applies decisions. It reports false if they belong to another session.
+func (c *client) applyDecisions(m *decisionsMessage) bool {
 	c.mu.Lock()
 	known := c.session != 0 && c.session == m.Session
 	c.mu.Unlock()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,4 +1,7 @@
-// Package dispatch carries the work of daemons to the one that decides for their group, and its decisions back.
+// Package dispatch has one daemon of each group place the work of the whole group.
+//
+// A group is the set of daemons that send work to the same targets. Each of them sends its
+// work to the group's dispatcher, which sends its decisions back.
 package dispatch
 
 import (
@@ -26,93 +29,94 @@
 )
 
 const (
-	methodNews  = "news"
-	methodTurns = "turns"
-	// callTime bounds a message to another daemon. One takes 3 ms when all is well;
-	// a host that has used up its part of a processor stands still for up to 100 ms.
-	callTime = 200 * time.Millisecond
-	// beatWaiting is how often a daemon speaks up while work of its waits at the
-	// dispatcher, beatIdle while none does. A dispatcher that stands still is found
-	// in callTime after that.
-	beatWaiting = 100 * time.Millisecond
-	beatIdle    = time.Second
-	// staleAfter is when a dispatcher forgets a daemon that is silent.
-	staleAfter = 3 * time.Second
-	// aloneAfter is how long work is kept back while another dispatcher is looked for.
-	aloneAfter = 300 * time.Millisecond
-	// avoidTime is how long a daemon is not asked to decide that did not answer.
-	avoidTime = 2 * time.Second
-	// gatherTime is how long a dispatcher that was just chosen waits for the rest of its
-	// group before it places anything: those that wait for it turn to it or tell what
-	// they have in flight in that time.
-	gatherTime = 100 * time.Millisecond
-	// stepEvery is how often the choice of the dispatcher is looked at.
-	stepEvery = 50 * time.Millisecond
+	methodUpdate    = "news"
+	methodDecisions = "turns"
+	// callTimeout bounds a call to another daemon. A call normally takes 3 ms; a host
+	// that has used up its CPU quota stalls for up to 100 ms.
+	callTimeout = 200 * time.Millisecond
+	// waitingHeartbeat is the longest time between two updates of a daemon while it has
+	// work waiting at the dispatcher, idleHeartbeat while it has none. A dispatcher that
+	// hangs is detected within callTimeout after that.
+	waitingHeartbeat = 100 * time.Millisecond
+	idleHeartbeat    = time.Second
+	// sessionTimeout is when a dispatcher ends the session of a silent daemon.
+	sessionTimeout = 3 * time.Second
+	// localFallbackDelay is how long work is held back while another dispatcher is
+	// selected.
+	localFallbackDelay = 300 * time.Millisecond
+	// avoidPeriod is how long an unresponsive daemon is not selected as dispatcher.
+	avoidPeriod = 2 * time.Second
+	// gatherTimeout is how long a newly selected dispatcher waits for the rest of its
+	// group before it places work. In that time daemons that wait for it start their
+	// sessions or report their in-flight work.
+	gatherTimeout = 100 * time.Millisecond
+	// pollInterval is how often the selection of the dispatcher is checked.
+	pollInterval = 50 * time.Millisecond
 )
 
-// Peers is what the exchange needs of the endpoint.
+// Peers registers methods for calls from other daemons and makes such calls.
 type Peers interface {
 	Handle(method string, m peer.Method)
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
-// Fleet tells which daemons there are.
+// Fleet lists the daemons of the fleet.
 type Fleet interface {
-	// Live lists the daemons by name.
+	// Live lists the live daemons by name.
 	Live() []fireflypath.Member
 	// Layout tells which daemons send work to the same targets.
 	Layout() *cell.Layout
 }
 
-// Dispatch is both sides of the exchange at one daemon: it asks the dispatcher of
-// each pool, and is one for those that choose it. All daemons of a group choose
-// alike, by how long each has run; nothing has to be agreed on, since a
-// dispatcher owns nothing.
+// Dispatch is both sides of the protocol at one daemon: the client of each pool's
+// dispatcher, and the dispatcher for daemons that select this one. All daemons of a group
+// select the one that has run longest. They need no agreement, because a dispatcher owns
+// no requests: if two are selected at a time, no request is lost.
 type Dispatch struct {
-	self  string
-	peers Peers
-	fleet Fleet
-	clock clockwork.Clock
-	log   *zap.Logger
-	count counters
-	// make makes the scheduler of a pool for a dispatcher.
-	make   func(fireflypath.Pool) dispatcher.Scheduler
-	ctx    context.Context
-	cancel context.CancelFunc
+	self    string
+	peers   Peers
+	fleet   Fleet
+	clock   clockwork.Clock
+	log     *zap.Logger
+	metrics metrics
+	// newScheduler creates the scheduler that the dispatcher of a pool uses.
+	newScheduler func(fireflypath.Pool) dispatcher.Scheduler
+	ctx          context.Context
+	cancel       context.CancelFunc
 
 	mu sync.Mutex
-	// closed is true once Close waits for calls, the goroutines that speak to others.
+	// closed is true once Close waits for the goroutines that make calls.
 	closed  bool
 	calls   conc.WaitGroup
 	clients map[string]*client
-	desks   map[string]*desk
+	servers map[string]*server
 }
 
-type counters struct {
+type metrics struct {
 	attached, lost, placed, refused tally.Counter
 	sessions                        tally.Gauge
 }
 
-// New connects the exchange to the endpoint before that serves.
+// New registers the methods for calls. It must be called before the endpoint serves.
 func New(self string, peers Peers, fleet Fleet, clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
-	scheduler func(fireflypath.Pool) dispatcher.Scheduler,
+	newScheduler func(fireflypath.Pool) dispatcher.Scheduler,
 ) *Dispatch {
 	scope = scope.SubScope("dispatch")
 	d := &Dispatch{
-		self: self, peers: peers, fleet: fleet, clock: clock, log: log, make: scheduler,
-		count: counters{
+		self: self, peers: peers, fleet: fleet, clock: clock, log: log, newScheduler: newScheduler,
+		metrics: metrics{
 			attached: scope.Counter("attached"), lost: scope.Counter("lost"), placed: scope.Counter("placed"),
 			refused: scope.Counter("refused"), sessions: scope.Gauge("sessions"),
 		},
-		clients: map[string]*client{}, desks: map[string]*desk{},
+		clients: map[string]*client{}, servers: map[string]*server{},
 	}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
-	peers.Handle(methodNews, d.handleNews)
-	peers.Handle(methodTurns, d.handleTurns)
+	peers.Handle(methodUpdate, d.handleUpdate)
+	peers.Handle(methodDecisions, d.handleDecisions)
 	return d
 }
 
-// Close ends all calls and waits for their goroutines.
+// Close cancels all calls and waits for their goroutines.
 func (d *Dispatch) Close() {
 	d.mu.Lock()
 	d.closed = true
@@ -121,7 +125,7 @@
 	d.calls.Wait()
 }
 
-// spawn runs fn unless Close waits for what runs.
+// spawn runs fn in a goroutine unless Dispatch is closed.
 func (d *Dispatch) spawn(fn func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,77 +134,77 @@
 	}
 }
 
-// newsMessage is what a daemon tells a dispatcher.
-type newsMessage struct {
+// updateMessage is sent by a daemon to its dispatcher.
+type updateMessage struct {
 	Pool string `json:"pool"`
-	// Session is drawn anew whenever the daemon turns to a dispatcher; First is true
-	// for its first message. End ends it.
+	// Session is drawn at random whenever the daemon attaches to a dispatcher. First is
+	// true for the first message of a session, End for the last one.
 	Session uint64 `json:"s"`
 	First   bool   `json:"first,omitempty"`
 	End     bool   `json:"end,omitempty"`
 	fireflypath.News
 }
 
-// turnsMessage is what a dispatcher tells a daemon, as an answer or by itself.
-type turnsMessage struct {
+// decisionsMessage is sent by a dispatcher to a daemon, as a response or as a call.
+type decisionsMessage struct {
 	Pool    string             `json:"pool,omitempty"`
 	Session uint64             `json:"s,omitempty"`
 	Turns   []fireflypath.Turn `json:"turns,omitempty"`
 }
 
-// ack says whether the session goes on.
+// ack says whether the daemon still has the session.
 type ack struct {
 	Known bool `json:"known"`
 }
 
-var errNoSession = errors.New("the dispatcher knows no such session")
+var errNoSession = errors.New("unknown dispatch session")
 
-func (d *Dispatch) handleNews(_ context.Context, from string, params json.RawMessage) (any, error) {
-	var m newsMessage
+func (d *Dispatch) handleUpdate(_ context.Context, from string, params json.RawMessage) (any, error) {
+	var m updateMessage
 	if err := json.Unmarshal(params, &m); err != nil {
-		return nil, errors.Wrap(err, "decode news")
+		return nil, errors.Wrap(err, "decode dispatch update")
 	}
-	return d.take(from, &m)
+	return d.processUpdate(from, &m)
 }
 
-// take is the dispatcher's side of a message of news.
-func (d *Dispatch) take(from string, m *newsMessage) (turnsMessage, error) {
-	k := d.desk(m.Pool)
-	if k == nil {
-		return turnsMessage{}, errors.Newf("no pool %q here", m.Pool)
+// processUpdate is the dispatcher's side of an update.
+func (d *Dispatch) processUpdate(from string, m *updateMessage) (decisionsMessage, error) {
+	s := d.server(m.Pool)
+	if s == nil {
+		return decisionsMessage{}, errors.Newf("dispatcher has no pool %q", m.Pool)
 	}
-	return k.take(from, m)
+	return s.processUpdate(from, m)
 }
 
-func (d *Dispatch) handleTurns(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var m turnsMessage
+func (d *Dispatch) handleDecisions(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var m decisionsMessage
 	if err := json.Unmarshal(params, &m); err != nil {
-		return nil, errors.Wrap(err, "decode turns")
+		return nil, errors.Wrap(err, "decode dispatch decisions")
 	}
-	return ack{Known: d.deliver(&m)}, nil
+	return ack{Known: d.applyDecisions(&m)}, nil
 }
 
-// deliver is the daemon's side of decisions.
-func (d *Dispatch) deliver(m *turnsMessage) bool {
+// applyDecisions is the client's side of decisions.
+func (d *Dispatch) applyDecisions(m *decisionsMessage) bool {
 	d.mu.Lock()
 	c := d.clients[m.Pool]
 	d.mu.Unlock()
-	return c != nil && c.deliver(m)
+	return c != nil && c.applyDecisions(m)
 }
 
-func (d *Dispatch) desk(pool string) *desk {
+func (d *Dispatch) server(pool string) *server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.desks[pool]
+	return d.servers[pool]
 }
 
-// Place has the dispatcher of the group place the pool's work from now on, until the
-// pool ends; sched is the scheduler that the pool was made with.
+// Place has the group's dispatcher place the pool's work from now on, until the pool is
+// closed. sched is the scheduler that the pool was created with.
 func (d *Dispatch) Place(p *pool.Pool, cfg fireflypath.Pool, sched *remote.Scheduler) {
-	d.spawn(func() { d.place(p, cfg, sched) })
+	d.spawn(func() { d.runClient(p, cfg, sched) })
 }
 
-func (d *Dispatch) place(p *pool.Pool, cfg fireflypath.Pool, sched *remote.Scheduler) {
+func (d *Dispatch) runClient(p *pool.Pool, cfg fireflypath.Pool, sched *remote.Scheduler) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	defer cancel()
 	go func() {
@@ -210,11 +214,11 @@
 		case <-ctx.Done():
 		}
 	}()
-	c := &client{d: d, pool: p, name: cfg.Name, sched: sched, avoid: map[string]time.Time{}}
+	c := &client{d: d, pool: p, name: cfg.Name, sched: sched, avoidUntil: map[string]time.Time{}}
 	d.mu.Lock()
 	d.clients[cfg.Name] = c
-	if d.desks[cfg.Name] == nil {
-		d.desks[cfg.Name] = newDesk(d, cfg)
+	if d.servers[cfg.Name] == nil {
+		d.servers[cfg.Name] = newServer(d, cfg)
 	}
 	d.mu.Unlock()
 	c.run(ctx)
@@ -225,7 +229,7 @@
 	d.mu.Unlock()
 }
 
-// Apply puts the targets of a configuration in force at the dispatchers.
+// Apply passes the targets of a configuration to the pools' dispatchers.
 func (d *Dispatch) Apply(cfg *fireflypath.Config) {
 	byPool := map[string][]fireflypath.Target{}
 	for _, t := range cfg.Targets {
@@ -236,73 +240,75 @@
 			continue
 		}
 		d.mu.Lock()
-		k := d.desks[p.Name]
-		if k == nil {
-			k = newDesk(d, p)
-			d.desks[p.Name] = k
+		s := d.servers[p.Name]
+		if s == nil {
+			s = newServer(d, p)
+			d.servers[p.Name] = s
 		}
 		d.mu.Unlock()
-		k.setTargets(byPool[p.Name])
+		s.setTargets(byPool[p.Name])
 	}
 }
 
 // SetShare sets which targets of a pool this daemon's group sends work to.
-func (d *Dispatch) SetShare(pool string, s fireflypath.Share) {
-	if k := d.desk(pool); k != nil {
-		k.setShare(s)
+func (d *Dispatch) SetShare(pool string, share fireflypath.Share) {
+	if s := d.server(pool); s != nil {
+		s.setShare(share)
 	}
 }
 
-// Partial is true if this daemon decides for others, but not for all of its group: it
-// has to hear what these have in flight.
+// Partial reports whether this daemon places work for a part of its group only. The
+// other daemons then have to send it their in-flight work.
 func (d *Dispatch) Partial() bool {
 	d.mu.Lock()
-	desks := slices.Collect(maps.Values(d.desks))
+	servers := slices.Collect(maps.Values(d.servers))
 	d.mu.Unlock()
-	return slices.ContainsFunc(desks, func(k *desk) bool {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		return k.partial()
+	return slices.ContainsFunc(servers, func(s *server) bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.hasPartialView()
 	})
 }
 
-// UpdatePeers takes in what daemons have in flight whose work is not placed here. This one may
-// be among them, if it has chosen another dispatcher than those that it decides for.
-func (d *Dispatch) UpdatePeers(mates []fireflypath.Mate) {
+// UpdatePeers sets the in-flight work of daemons whose work is placed elsewhere. This
+// daemon may be one of them: it can dispatch for others and have selected another
+// dispatcher itself.
+func (d *Dispatch) UpdatePeers(peers []fireflypath.Mate) {
 	d.mu.Lock()
-	desks, clients := slices.Collect(maps.Values(d.desks)), slices.Collect(maps.Values(d.clients))
+	servers, clients := slices.Collect(maps.Values(d.servers)), slices.Collect(maps.Values(d.clients))
 	d.mu.Unlock()
 	own := fireflypath.NewMate(d.self)
 	for _, c := range clients {
 		c.pool.Report(&own)
 	}
-	mates = append(slices.Clip(mates), own)
-	for _, k := range desks {
-		k.hear(mates)
+	peers = append(slices.Clip(peers), own)
+	for _, s := range servers {
+		s.updatePeers(peers)
 	}
 }
 
-// candidates are the daemons of this one's group that may decide, in the order in
-// which all of them try: the one that has run longest first, so that daemons that
-// come and go do not move the queue, and those that leave last.
+// candidates returns the daemons of this group in the order in which all of its daemons
+// try them as dispatcher. The one that has run longest comes first, so that daemons that
+// join and leave do not move the queue. Those that are leaving come last.
 func (d *Dispatch) candidates() []fireflypath.Member {
 	live := d.fleet.Live()
-	mates := d.fleet.Layout().Mates(d.self)
-	if len(mates) == 0 {
-		mates = []string{d.self}
+	group := d.fleet.Layout().Mates(d.self)
+	if len(group) == 0 {
+		group = []string{d.self}
 	}
-	out := make([]fireflypath.Member, 0, len(mates))
-	for _, name := range mates {
+	out := make([]fireflypath.Member, 0, len(group))
+	for _, name := range group {
 		if m, ok := fireflypath.FindMember(live, name); ok {
 			out = append(out, m)
 		}
 	}
-	slices.SortFunc(out, older)
+	slices.SortFunc(out, compareAge)
 	return out
 }
 
-// older orders daemons by how long each has run; those that leave come last.
-func older(a, b fireflypath.Member) int {
+// compareAge sorts daemons by how long they have run, longest first. Those that are
+// leaving come last.
+func compareAge(a, b fireflypath.Member) int {
 	if a.Leaving != b.Leaving {
 		if a.Leaving {
 			return 1
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -26,39 +26,39 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-const slotsEach = 3
+const slotsPerTarget = 3
 
 var cfg = fireflypath.Pool{Name: "p", Kind: fireflypath.KindEngine, Stride: 3}
 
-// net is a few daemons that call each other without a network.
-type net struct {
+// cluster is a few daemons that call each other directly, without a network.
+type cluster struct {
 	mu    sync.Mutex
 	nodes map[string]*node
-	// silent daemons take calls and never answer; gone ones refuse them.
-	silent, gone map[string]bool
-	leaving      map[string]bool
-	// cut names pairs that do not reach each other.
+	// silent daemons accept calls and never respond. Killed ones are unreachable.
+	silent, killed map[string]bool
+	leaving        map[string]bool
+	// cut holds the pairs of daemons that cannot reach each other.
 	cut map[[2]string]bool
-	// held counts requests at targets, most the most there were.
-	held, most map[string]int
+	// inFlight counts the requests at each target, maxInFlight is its highest value.
+	inFlight, maxInFlight map[string]int
 }
 
 type node struct {
-	n       *net
-	name    string
-	methods map[string]peer.Method
-	d       *dispatch.Dispatch
-	pool    *pool.Pool
+	cluster  *cluster
+	name     string
+	methods  map[string]peer.Method
+	dispatch *dispatch.Dispatch
+	pool     *pool.Pool
 }
 
 func (n *node) Handle(method string, m peer.Method) { n.methods[method] = m }
 
 func (n *node) Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error {
-	n.n.mu.Lock()
-	o, gone, silent := n.n.nodes[to.Name], n.n.gone[to.Name] || n.n.gone[n.name], n.n.silent[to.Name]
-	gone = gone || n.n.cut[[2]string{n.name, to.Name}] || n.n.cut[[2]string{to.Name, n.name}]
-	n.n.mu.Unlock()
-	if gone {
+	n.cluster.mu.Lock()
+	receiver, unreachable, silent := n.cluster.nodes[to.Name], n.cluster.killed[to.Name] || n.cluster.killed[n.name], n.cluster.silent[to.Name]
+	unreachable = unreachable || n.cluster.cut[[2]string{n.name, to.Name}] || n.cluster.cut[[2]string{to.Name, n.name}]
+	n.cluster.mu.Unlock()
+	if unreachable {
 		return peer.ErrUnreachable
 	}
 	if silent {
@@ -70,7 +70,7 @@
 		return err
 	}
 	time.Sleep(time.Millisecond)
-	out, err := o.methods[method](ctx, n.name, b)
+	out, err := receiver.methods[method](ctx, n.name, b)
 	if err != nil {
 		return err
 	}
@@ -80,14 +80,15 @@
 	return json.Unmarshal(b, result)
 }
 
-// Live lists the daemons by age: the membership takes seconds to find one dead.
+// Live lists all daemons, oldest first. Killed ones stay listed: the membership takes
+// seconds to detect a dead daemon.
 func (n *node) Live() []fireflypath.Member {
-	n.n.mu.Lock()
-	defer n.n.mu.Unlock()
+	n.cluster.mu.Lock()
+	defer n.cluster.mu.Unlock()
 	var out []fireflypath.Member
-	for i := range len(n.n.nodes) {
+	for i := range len(n.cluster.nodes) {
 		name := fmt.Sprintf("d%d", i)
-		out = append(out, fireflypath.Member{Name: name, Incarnation: uint64(i + 1), Leaving: n.n.leaving[name]})
+		out = append(out, fireflypath.Member{Name: name, Incarnation: uint64(i + 1), Leaving: n.cluster.leaving[name]})
 	}
 	return out
 }
@@ -100,48 +101,48 @@
 	return cell.New(names)
 }
 
-func start(t *testing.T, daemons, targets int) *net {
+func start(t *testing.T, daemons, targets int) *cluster {
 	t.Helper()
-	n := &net{
-		nodes: map[string]*node{}, silent: map[string]bool{}, gone: map[string]bool{}, leaving: map[string]bool{},
-		cut:  map[[2]string]bool{},
-		held: map[string]int{}, most: map[string]int{},
+	c := &cluster{
+		nodes: map[string]*node{}, silent: map[string]bool{}, killed: map[string]bool{}, leaving: map[string]bool{},
+		cut:      map[[2]string]bool{},
+		inFlight: map[string]int{}, maxInFlight: map[string]int{},
 	}
 	clock := clockwork.NewRealClock()
 	all := fireflypath.Config{Pools: []fireflypath.Pool{cfg}}
 	for i := range targets {
 		all.Targets = append(all.Targets, fireflypath.Target{
-			Name: fmt.Sprintf("t%d", i), Pool: "p", Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Slots: slotsEach,
+			Name: fmt.Sprintf("t%d", i), Pool: "p", Addr: fmt.Sprintf("127.0.0.1:%d", i+1), Slots: slotsPerTarget,
 		})
 	}
 	for i := range daemons {
-		d := &node{n: n, name: fmt.Sprintf("d%d", i), methods: map[string]peer.Method{}}
-		n.nodes[d.name] = d
-		d.d = dispatch.New(d.name, d, d, clock, tally.NoopScope, zap.NewNop(), func(p fireflypath.Pool) dispatcher.Scheduler {
+		d := &node{cluster: c, name: fmt.Sprintf("d%d", i), methods: map[string]peer.Method{}}
+		c.nodes[d.name] = d
+		d.dispatch = dispatch.New(d.name, d, d, clock, tally.NoopScope, zap.NewNop(), func(p fireflypath.Pool) dispatcher.Scheduler {
 			return slots.New(p, 1, slots.DispatcherTuning())
 		})
 	}
-	for _, d := range n.nodes {
+	for _, d := range c.nodes {
 		sched := remote.New(slots.New(cfg, 1, slots.StandaloneTuning()))
 		d.pool = pool.New("p", clock, sched, nil)
 		d.pool.SetTargets(all.Targets)
-		d.d.Apply(&all)
-		d.d.Place(d.pool, cfg, sched)
+		d.dispatch.Apply(&all)
+		d.dispatch.Place(d.pool, cfg, sched)
 	}
 	stop := make(chan struct{})
-	go n.gossip(stop)
+	go c.gossip(stop)
 	t.Cleanup(func() {
 		close(stop)
-		for _, d := range n.nodes {
+		for _, d := range c.nodes {
 			d.pool.Close(fireflypath.Refusal{Code: fireflypath.ReasonStopping})
-			d.d.Close()
+			d.dispatch.Close()
 		}
 	})
-	return n
+	return c
 }
 
-// gossip has all daemons hear what the others have in flight.
-func (n *net) gossip(stop <-chan struct{}) {
+// gossip sends each daemon the in-flight work of the others.
+func (c *cluster) gossip(stop <-chan struct{}) {
 	t := time.NewTicker(30 * time.Millisecond)
 	defer t.Stop()
 	for {
@@ -150,31 +151,31 @@
 			return
 		case <-t.C:
 		}
-		for _, d := range n.nodes {
-			var mates []fireflypath.Mate
-			for _, o := range n.nodes {
-				if o != d && !n.lost(o.name) {
+		for _, d := range c.nodes {
+			var peers []fireflypath.Mate
+			for _, o := range c.nodes {
+				if o != d && !c.isKilled(o.name) {
 					m := fireflypath.NewMate(o.name)
 					o.pool.Report(&m)
-					m.Apart = m.Apart || o.d.Partial()
-					mates = append(mates, m)
+					m.Apart = m.Apart || o.dispatch.Partial()
+					peers = append(peers, m)
 				}
 			}
-			d.pool.Hear(mates)
-			d.d.UpdatePeers(mates)
+			d.pool.Hear(peers)
+			d.dispatch.UpdatePeers(peers)
 		}
 	}
 }
 
-func (n *net) lost(name string) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.gone[name]
+func (c *cluster) isKilled(name string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.killed[name]
 }
 
-// send has a daemon serve a request that takes a target for so long; it reports
-// whether the request got one.
-func (n *net) send(d *node, id string, takes time.Duration) bool {
+// send has a daemon serve a request that occupies a target for the given time. It reports
+// whether the request was placed.
+func (c *cluster) send(d *node, id string, duration time.Duration) bool {
 	now := time.Now()
 	r := &request.Request{
 		Work: fireflypath.Work{
@@ -188,83 +189,81 @@
 		return false
 	}
 	name := r.Target.Name
-	n.mu.Lock()
-	n.held[name]++
-	n.most[name] = max(n.most[name], n.held[name])
-	n.mu.Unlock()
-	time.Sleep(takes / 2)
+	c.mu.Lock()
+	c.inFlight[name]++
+	c.maxInFlight[name] = max(c.maxInFlight[name], c.inFlight[name])
+	c.mu.Unlock()
+	time.Sleep(duration / 2)
 	d.pool.Tell(r, fireflypath.EventFirst, -1)
-	time.Sleep(takes / 2)
-	n.mu.Lock()
-	n.held[name]--
-	n.mu.Unlock()
+	time.Sleep(duration / 2)
+	c.mu.Lock()
+	c.inFlight[name]--
+	c.mu.Unlock()
 	d.pool.Tell(r, fireflypath.EventDone, -1)
 	return true
 }
 
-// burst sends so many requests at each daemon that still runs, and returns how many
-// got a target.
-func (n *net) burst(each int, takes time.Duration) int {
+// burst sends requests to each daemon that is not killed and returns how many were placed.
+func (c *cluster) burst(perDaemon int, duration time.Duration) int {
 	var wg sync.WaitGroup
-	var served atomic.Int32
-	for _, d := range n.nodes {
-		if n.lost(d.name) {
+	var placed atomic.Int32
+	for _, d := range c.nodes {
+		if c.isKilled(d.name) {
 			continue
 		}
-		for i := range each {
+		for i := range perDaemon {
 			wg.Go(func() {
-				if n.send(d, fmt.Sprintf("%s-%d", d.name, i), takes) {
-					served.Add(1)
+				if c.send(d, fmt.Sprintf("%s-%d", d.name, i), duration) {
+					placed.Add(1)
 				}
 			})
 		}
 	}
 	wg.Wait()
-	return int(served.Load())
+	return int(placed.Load())
 }
 
-// A burst comes to all daemons at once. No target ever has more than it has slots, and
-// none stands idle: all requests are served in as many turns as there are places.
-func TestBurstAtAllDaemonsFillsNoTargetTwice(t *testing.T) {
+// All daemons receive a burst at once. No target may exceed its slots, and none may stay
+// idle: the requests are served in the smallest number of rounds.
+func TestBurstAtAllDaemonsExceedsNoTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := start(t, 4, 2)
+		c := start(t, 4, 2)
 		time.Sleep(time.Second)
 		began := time.Now()
-		is.Equal(n.burst(6, 200*time.Millisecond), 24)
-		is.True(time.Since(began) < 1100*time.Millisecond) // four turns of six
-		for _, most := range n.most {
-			is.Equal(most, slotsEach)
+		is.Equal(c.burst(6, 200*time.Millisecond), 24)
+		is.True(time.Since(began) < 1100*time.Millisecond) // four rounds of six
+		for _, most := range c.maxInFlight {
+			is.Equal(most, slotsPerTarget)
 		}
 	})
 }
 
-// The daemon that decides for all is killed in the middle of a burst, or stands still
-// and answers nothing. The others go on within a fraction of a second, and every
-// request of theirs is served.
-func TestDispatcherIsLostInABurst(t *testing.T) {
+// The dispatcher is killed or hangs during a burst. The other daemons must continue within
+// a fraction of a second and serve all their requests.
+func TestDispatcherLostDuringBurst(t *testing.T) {
 	for _, how := range []string{"killed", "silent"} {
 		t.Run(how, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				n := start(t, 4, 4)
+				c := start(t, 4, 4)
 				time.Sleep(time.Second)
 				go func() {
 					time.Sleep(100 * time.Millisecond)
-					n.mu.Lock()
-					defer n.mu.Unlock()
+					c.mu.Lock()
+					defer c.mu.Unlock()
 					if how == "killed" {
-						n.gone["d0"] = true
+						c.killed["d0"] = true
 						return
 					}
-					n.silent["d0"] = true
+					c.silent["d0"] = true
 				}()
 				began := time.Now()
-				served := n.burst(9, 200*time.Millisecond)
+				placed := c.burst(9, 200*time.Millisecond)
 				if how == "killed" {
-					is.True(served >= 27) // those of the three that live
+					is.True(placed >= 27) // those of the three live daemons
 				} else {
-					is.Equal(served, 36)
+					is.Equal(placed, 36)
 				}
 				is.True(time.Since(began) < 2*time.Second)
 			})
@@ -272,65 +271,65 @@
 	}
 }
 
-// The daemon that decides for all is stopped as planned. It says so, and the others
-// turn to the next one without a request that waits for longer.
-func TestDispatcherThatLeaves(t *testing.T) {
+// The dispatcher is shut down gracefully and announces it. The others must switch to the
+// next one without delaying a request.
+func TestDispatcherLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := start(t, 3, 2)
+		c := start(t, 3, 2)
 		time.Sleep(time.Second)
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			n.mu.Lock()
-			n.leaving["d0"] = true
-			n.mu.Unlock()
+			c.mu.Lock()
+			c.leaving["d0"] = true
+			c.mu.Unlock()
 		}()
-		is.Equal(n.burst(8, 200*time.Millisecond), 24)
-		for _, most := range n.most {
-			is.True(most <= slotsEach+1)
+		is.Equal(c.burst(8, 200*time.Millisecond), 24)
+		for _, most := range c.maxInFlight {
+			is.True(most <= slotsPerTarget+1)
 		}
 	})
 }
 
-// All daemons but one are out of reach. It decides for itself.
-func TestDaemonAloneDecides(t *testing.T) {
+// All daemons but one are unreachable. That one must place its own work.
+func TestIsolatedDaemonSchedulesLocally(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := start(t, 3, 2)
-		n.mu.Lock()
-		n.gone["d0"], n.gone["d1"] = true, true
-		n.mu.Unlock()
+		c := start(t, 3, 2)
+		c.mu.Lock()
+		c.killed["d0"], c.killed["d1"] = true, true
+		c.mu.Unlock()
 		began := time.Now()
-		is.True(n.send(n.nodes["d2"], "x", 10*time.Millisecond))
+		is.True(c.send(c.nodes["d2"], "x", 10*time.Millisecond))
 		is.True(time.Since(began) < 500*time.Millisecond)
 	})
 }
 
-// Two daemons of a group do not reach the one that decides for all, and another one
-// decides for them. Each of the two has to know what the other placed: the targets
-// would get twice what they can run, and callers would wait in line there, where the
-// highest tier is served no sooner than the lowest.
-func TestTwoDispatchersKnowOfEachOther(t *testing.T) {
+// Two daemons of a group cannot reach its dispatcher and select another one. Each of the
+// two dispatchers has to know what the other placed. Otherwise the targets get twice the
+// work they can run, and callers wait in the targets' own queues, which serve the highest
+// tier no sooner than the lowest.
+func TestTwoDispatchersShareInFlightWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n := start(t, 4, 2)
-		n.mu.Lock()
-		for _, far := range []string{"d2", "d3"} {
-			n.cut[[2]string{far, "d0"}] = true
+		c := start(t, 4, 2)
+		c.mu.Lock()
+		for _, isolated := range []string{"d2", "d3"} {
+			c.cut[[2]string{isolated, "d0"}] = true
 		}
-		n.mu.Unlock()
+		c.mu.Unlock()
 		time.Sleep(5 * time.Second)
 		var wg sync.WaitGroup
-		for i := range 6 { // all places
-			wg.Go(func() { is.True(n.send(n.nodes["d1"], fmt.Sprint("near", i), 2*time.Second)) })
+		for i := range 6 { // all slots
+			wg.Go(func() { is.True(c.send(c.nodes["d1"], fmt.Sprint("near", i), 2*time.Second)) })
 		}
 		time.Sleep(200 * time.Millisecond)
 		for i := range 6 {
-			wg.Go(func() { is.True(n.send(n.nodes["d2"], fmt.Sprint("far", i), 200*time.Millisecond)) })
+			wg.Go(func() { is.True(c.send(c.nodes["d2"], fmt.Sprint("far", i), 200*time.Millisecond)) })
 		}
 		wg.Wait()
-		for _, most := range n.most {
-			is.Equal(most, slotsEach)
+		for _, most := range c.maxInFlight {
+			is.Equal(most, slotsPerTarget)
 		}
 	})
 }
--- /dev/null
+++ b/internal/dispatch/server.go
@@ -0,0 +1,237 @@
+package dispatch
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+
+	"github.com/fireflypath/fireflypath"
+	"github.com/fireflypath/fireflypath/internal/decide/dispatcher"
+)
+
+// server is the dispatcher's side of one pool: it places the work of the daemons that
+// have a session with this one.
+type server struct {
+	d    *Dispatch
+	pool string
+
+	mu       sync.Mutex
+	queue    *dispatcher.Dispatcher
+	sessions map[string]*session
+	timer    clockwork.Timer
+	wakeAt   time.Time
+}
+
+// session is a daemon whose work this one places.
+type session struct {
+	id        uint64
+	lastHeard time.Time
+	// synced is true once the daemon has reported its in-flight work.
+	synced bool
+	// pushing is true while a goroutine sends decisions to the daemon.
+	pushing bool
+}
+
+func newServer(d *Dispatch, cfg fireflypath.Pool) *server {
+	return &server{d: d, pool: cfg.Name, queue: dispatcher.New(cfg.Name, d.newScheduler(cfg)), sessions: map[string]*session{}}
+}
+
+// processUpdate applies an update of a daemon and returns the decisions for it.
+func (s *server) processUpdate(from string, m *updateMessage) (decisionsMessage, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.d.clock.Now()
+	if m.First {
+		s.startSession(now, from, m.Session)
+	}
+	sess := s.sessions[from]
+	if sess == nil || sess.id != m.Session {
+		return decisionsMessage{}, errNoSession
+	}
+	sess.lastHeard = now
+	if m.End {
+		s.endSession(now, from)
+		s.pushDecisions(now)
+		return decisionsMessage{}, nil
+	}
+	s.queue.Take(now, from, &m.News)
+	if !m.First && !sess.synced {
+		sess.synced = true
+		s.releaseIfSynced(now)
+	}
+	out := decisionsMessage{Session: m.Session, Turns: s.queue.Turns(from)}
+	s.countDecisions(out.Turns)
+	s.pushDecisions(now)
+	return out, nil
+}
+
+// startSession starts a session. With the first session the dispatcher knows nothing of
+// the rest of its group, whose daemons are about to start sessions or to report their
+// in-flight work. It holds all work back for gatherTimeout.
+func (s *server) startSession(now time.Time, from string, id uint64) {
+	if len(s.sessions) == 0 {
+		s.queue.Hold(now, now.Add(gatherTimeout))
+	}
+	s.sessions[from] = &session{id: id}
+	s.queue.Begin(now, from, id)
+}
+
+// releaseIfSynced stops holding work back once the whole group has reported its in-flight
+// work.
+func (s *server) releaseIfSynced(now time.Time) {
+	if !s.hasPartialView() {
+		s.queue.Hold(now, time.Time{})
+	}
+}
+
+// hasPartialView reports whether this daemon places work without knowing the in-flight
+// work of its whole group. The caller holds mu.
+func (s *server) hasPartialView() bool {
+	if len(s.sessions) == 0 {
+		return false
+	}
+	for _, m := range s.d.candidates() {
+		if sess := s.sessions[m.Name]; sess == nil || !sess.synced {
+			return true
+		}
+	}
+	return false
+}
+
+func (s *server) countDecisions(decisions []fireflypath.Turn) {
+	for _, t := range decisions {
+		if t.Target == "" {
+			s.d.metrics.refused.Inc(1)
+		} else {
+			s.d.metrics.placed.Inc(1)
+		}
+	}
+}
+
+// endSession forgets a daemon. The caller holds mu.
+func (s *server) endSession(now time.Time, name string) {
+	delete(s.sessions, name)
+	s.queue.End(now, name)
+}
+
+// pushDecisions starts sending pending decisions to their daemons and sets the next wake
+// time. The caller holds mu.
+func (s *server) pushDecisions(now time.Time) {
+	s.d.metrics.sessions.Update(float64(len(s.sessions)))
+	for name, sess := range s.sessions {
+		if sess.pushing || !s.queue.Decided(name) {
+			continue
+		}
+		sess.pushing = true
+		s.d.spawn(func() { s.sendPending(name, sess) })
+	}
+	s.scheduleWake(now)
+}
+
+// sendPending sends decisions to one daemon until none are pending.
+func (s *server) sendPending(name string, sess *session) {
+	for {
+		s.mu.Lock()
+		if s.sessions[name] != sess || !s.queue.Decided(name) {
+			sess.pushing = false
+			s.mu.Unlock()
+			return
+		}
+		m := decisionsMessage{Pool: s.pool, Session: sess.id, Turns: s.queue.Turns(name)}
+		s.countDecisions(m.Turns)
+		s.mu.Unlock()
+		if s.send(name, &m) {
+			continue
+		}
+		// The daemon has chosen another dispatcher or is gone.
+		s.mu.Lock()
+		if s.sessions[name] == sess {
+			now := s.d.clock.Now()
+			s.endSession(now, name)
+			s.pushDecisions(now)
+		}
+		s.mu.Unlock()
+		return
+	}
+}
+
+// send reports whether the daemon accepted the decisions.
+func (s *server) send(name string, m *decisionsMessage) bool {
+	if name == s.d.self {
+		return s.d.applyDecisions(m)
+	}
+	to, ok := fireflypath.FindMember(s.d.fleet.Live(), name)
+	if !ok {
+		return false
+	}
+	ctx, cancel := context.WithTimeout(s.d.ctx, callTimeout)
+	defer cancel()
+	var a ack
+	return s.d.peers.Call(ctx, to, methodDecisions, m, &a) == nil && a.Known
+}
+
+// scheduleWake sets the timer if the queue has to be woken earlier. The caller holds mu.
+func (s *server) scheduleWake(now time.Time) {
+	at := now.Add(sessionTimeout)
+	if due := s.queue.Wake(now); !due.IsZero() && due.Before(at) {
+		at = due
+	}
+	if len(s.sessions) == 0 {
+		return
+	}
+	if earliest := now.Add(minWakeDelay); at.Before(earliest) {
+		at = earliest
+	}
+	if s.wakeAt.After(now) && !at.Before(s.wakeAt) {
+		return
+	}
+	s.wakeAt = at
+	if s.timer != nil {
+		s.timer.Stop()
+	}
+	s.timer = s.d.clock.AfterFunc(at.Sub(now), s.wake)
+}
+
+// minWakeDelay prevents a busy loop if the queue asks to be woken at once.
+const minWakeDelay = time.Millisecond
+
+// wake ends the sessions of silent daemons and runs what is due in the queue.
+func (s *server) wake() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.d.ctx.Err() != nil {
+		return
+	}
+	now := s.d.clock.Now()
+	s.wakeAt = time.Time{}
+	for name, sess := range s.sessions {
+		if now.Sub(sess.lastHeard) > sessionTimeout {
+			s.endSession(now, name)
+		}
+	}
+	s.queue.Tick(now)
+	s.pushDecisions(now)
+}
+
+func (s *server) setTargets(targets []fireflypath.Target) {
+	s.change(func(now time.Time) { s.queue.SetTargets(now, targets) })
+}
+
+func (s *server) setShare(share fireflypath.Share) {
+	s.change(func(now time.Time) { s.queue.SetShare(now, share) })
+}
+
+func (s *server) updatePeers(peers []fireflypath.Mate) {
+	s.change(func(now time.Time) { s.queue.Hear(now, peers) })
+}
+
+// change runs fn under the lock and pushes the decisions that result.
+func (s *server) change(fn func(now time.Time)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.d.clock.Now()
+	fn(now)
+	s.pushDecisions(now)
+}
