--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -56,12 +56,12 @@
 		s.pushDecisions(now)
 		return decisionsMessage{}, nil
 	}
-	s.queue.Take(now, from, &m.News)
+	s.queue.Apply(now, from, &m.News)
 	if !m.First && !sess.synced {
 		sess.synced = true
 		s.releaseIfSynced(now)
 	}
-	out := decisionsMessage{Session: m.Session, Turns: s.queue.Turns(from)}
+	out := decisionsMessage{Session: m.Session, Turns: s.queue.TakeDecisions(from)}
 	s.countDecisions(out.Turns)
 	s.pushDecisions(now)
 	return out, nil
@@ -72,17 +72,17 @@
 // in-flight work. It holds all work back for gatherTimeout.
 func (s *server) startSession(now time.Time, from string, id uint64) {
 	if len(s.sessions) == 0 {
-		s.queue.Hold(now, now.Add(gatherTimeout))
+		s.queue.PauseUntil(now, now.Add(gatherTimeout))
 	}
 	s.sessions[from] = &session{id: id}
-	s.queue.Begin(now, from, id)
+	s.queue.OpenSession(now, from, id)
 }
 
 // releaseIfSynced stops holding work back once the whole group has reported its in-flight
 // work.
 func (s *server) releaseIfSynced(now time.Time) {
 	if !s.hasPartialView() {
-		s.queue.Hold(now, time.Time{})
+		s.queue.PauseUntil(now, time.Time{})
 	}
 }
 
@@ -113,7 +113,7 @@
 // endSession forgets a daemon. The caller holds mu.
 func (s *server) endSession(now time.Time, name string) {
 	delete(s.sessions, name)
-	s.queue.End(now, name)
+	s.queue.CloseSession(now, name)
 }
 
 // pushDecisions starts sending pending decisions to their daemons and sets the next wake
@@ -121,7 +121,7 @@
 func (s *server) pushDecisions(now time.Time) {
 	s.d.metrics.sessions.Update(float64(len(s.sessions)))
 	for name, sess := range s.sessions {
-		if sess.pushing || !s.queue.Decided(name) {
+		if sess.pushing || !s.queue.HasDecisions(name) {
 			continue
 		}
 		sess.pushing = true
@@ -134,12 +134,12 @@
 func (s *server) sendPending(name string, sess *session) {
 	for {
 		s.mu.Lock()
-		if s.sessions[name] != sess || !s.queue.Decided(name) {
+		if s.sessions[name] != sess || !s.queue.HasDecisions(name) {
 			sess.pushing = false
 			s.mu.Unlock()
 			return
 		}
-		m := decisionsMessage{Pool: s.pool, Session: sess.id, Turns: s.queue.Turns(name)}
+		m := decisionsMessage{Pool: s.pool, Session: sess.id, Turns: s.queue.TakeDecisions(name)}
 		s.countDecisions(m.Turns)
 		s.mu.Unlock()
 		if s.send(name, &m) {
@@ -224,7 +224,7 @@
 }
 
 func (s *server) updatePeers(peers []fireflypath.Mate) {
-	s.change(func(now time.Time) { s.queue.Hear(now, peers) })
+	s.change(func(now time.Time) { s.queue.UpdatePeers(now, peers) })
 }
 
 // change runs fn under the lock and pushes the decisions that result.
