--- a/internal/decide/share/balancer_test.go
+++ b/internal/decide/share/balancer_test.go
@@ -15,83 +15,83 @@
 // places each, requests that take 0.4 to 1.6 s, and a balancer that sends a
 // little more than the engines can do to one daemon.
 const (
-	daemons = 9
-	slots   = 96
-	step    = 10 * time.Millisecond
-	span    = 60 * time.Second
-	// every daemon sends its line once a second, each at its own time.
-	every = time.Second
-	load  = 1.1 * slots // requests a second
-	seed  = 7
+	daemons  = 9
+	slots    = 96
+	step     = 10 * time.Millisecond
+	duration = 60 * time.Second
+	// exchangeInterval daemon sends its line once a second, each at its own time.
+	exchangeInterval = time.Second
+	requestRate      = 1.1 * slots // requests a second
+	seed             = 7
 )
 
 type job struct{ until time.Time }
 
-// node is one daemon of the model.
-type node struct {
-	ledger  Ledger
-	waiting int
-	running []job
-	heard   [daemons]Line
-	asked   time.Time
+// simDaemon is one daemon of the model.
+type simDaemon struct {
+	ledger    Ledger
+	waiting   int
+	running   []job
+	demands   [daemons]Demand
+	lastAsked time.Time
 }
 
-func (n *node) line(i int) Line {
-	return Line{Name: fmt.Sprint(i), Slots: slots, Running: []int{len(n.running)}, Waiting: []int{n.waiting}}
+func (n *simDaemon) demand(i int) Demand {
+	return Demand{Name: fmt.Sprint(i), Slots: slots, Running: []int{len(n.running)}, Waiting: []int{n.waiting}}
 }
 
 // outcome is what a policy gave.
 type outcome struct {
-	// over is the mean and most of requests above the window; idle is the mean
+	// meanOver is the mean and most of requests above the window; idle is the mean
 	// number of free places while work waited; done counts requests.
-	over, most, idle float64
-	done             int
+	meanOver, maxOver, meanIdle float64
+	completed                   int
 }
 
 // policy decides the part a daemon uses.
 type policy struct {
-	name   string
-	part   func(n *node, now time.Time) float64
-	shares bool
-	borrow bool
+	name      string
+	share     func(n *simDaemon, now time.Time) float64
+	exchanges bool
+	borrows   bool
 }
 
 func policies() []policy {
-	inUse := func(n *node, now time.Time) float64 { return n.ledger.InUse(now) }
+	inUse := func(n *simDaemon, now time.Time) float64 { return n.ledger.InUse(now) }
 	return []policy{
-		{name: "static split", part: func(*node, time.Time) float64 { return 1.0 / daemons }},
-		{name: "independent windows", part: func(*node, time.Time) float64 { return 1 }},
-		{name: "shares", part: inUse, shares: true},
-		{name: "shares and borrowing", part: inUse, shares: true, borrow: true},
+		{name: "static split", share: func(*simDaemon, time.Time) float64 { return 1.0 / daemons }},
+		{name: "independent windows", share: func(*simDaemon, time.Time) float64 { return 1 }},
+		{name: "shares", share: inUse, exchanges: true},
+		{name: "shares and borrowing", share: inUse, exchanges: true, borrows: true},
 	}
 }
 
-// run plays one pattern: which daemon gets the load at a time.
-func run(p policy, busy func(time.Duration) int) outcome {
+// simulate plays one pattern: which daemon gets the load at a time.
+func simulate(p policy, busy func(time.Duration) int) outcome {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	start := time.Unix(0, 0)
-	var ns [daemons]*node
+	var ns [daemons]*simDaemon
 	for i := range ns {
-		ns[i] = &node{}
-		ns[i].ledger.Start(1.0 / daemons)
+		ns[i] = &simDaemon{}
+		ns[i].ledger.Reset(1.0 / daemons)
 	}
 	var o outcome
 	arrived, steps, pressed := 0.0, 0, 0
-	for at := time.Duration(0); at < span; at += step {
+	for at := time.Duration(0); at < duration; at += step {
 		now := start.Add(at)
-		arrived += load * step.Seconds()
+		arrived += requestRate * step.Seconds()
 		for ; arrived >= 1; arrived-- {
 			ns[busy(at)].waiting++
 		}
 		for i, n := range ns {
 			n.finish(now, &o)
-			if p.shares && (at+11*step*time.Duration(i))%every == 0 {
-				tell(ns[:], i, now)
+			if p.exchanges && (at+11*step*time.Duration(i))%exchangeInterval == 0 {
+				broadcast(ns[:], i, now)
 			}
-			if p.borrow {
+			if p.borrows {
 				n.borrow(ns[:], i, now)
 			}
-			n.dispatch(now, p.part(n, now), rnd)
+			n.dispatch(now, p.share(n, now), rnd)
 		}
 		total, waiting := 0, 0
 		for _, n := range ns {
@@ -100,31 +100,31 @@
 		}
 		steps++
 		over := max(0, float64(total-slots))
-		o.over += over
-		o.most = max(o.most, over)
+		o.meanOver += over
+		o.maxOver = max(o.maxOver, over)
 		if waiting > 0 {
 			pressed++
-			o.idle += float64(max(0, slots-total))
+			o.meanIdle += float64(max(0, slots-total))
 		}
 	}
-	o.over /= float64(steps)
-	o.idle /= float64(max(1, pressed))
+	o.meanOver /= float64(steps)
+	o.meanIdle /= float64(max(1, pressed))
 	return o
 }
 
-func (n *node) finish(now time.Time, o *outcome) {
+func (n *simDaemon) finish(now time.Time, o *outcome) {
 	kept := n.running[:0]
 	for _, j := range n.running {
 		if now.Before(j.until) {
 			kept = append(kept, j)
 		} else {
-			o.done++
+			o.completed++
 		}
 	}
 	n.running = kept
 }
 
-func (n *node) dispatch(now time.Time, part float64, rnd *rand.Rand) {
+func (n *simDaemon) dispatch(now time.Time, part float64, rnd *rand.Rand) {
 	for n.waiting > 0 && float64(len(n.running)) < float64(int(part*slots+0.5)) {
 		n.waiting--
 		d := 400*time.Millisecond + time.Duration(rnd.Int64N(int64(1200*time.Millisecond)))
@@ -132,30 +132,30 @@
 	}
 }
 
-// tell brings a daemon's line to all, and each computes its part again.
-func tell(ns []*node, i int, now time.Time) {
-	l := ns[i].line(i)
+// broadcast brings a daemon's line to all, and each computes its part again.
+func broadcast(ns []*simDaemon, i int, now time.Time) {
+	l := ns[i].demand(i)
 	for j, n := range ns {
-		n.heard[i] = l
-		n.ledger.Set(now, Split(n.heard[:], 0)[j])
+		n.demands[i] = l
+		n.ledger.Update(now, Split(n.demands[:], 0)[j])
 	}
 }
 
 // borrow asks the three idlest others at once, at most once a second.
-func (n *node) borrow(ns []*node, self int, now time.Time) {
+func (n *simDaemon) borrow(ns []*simDaemon, self int, now time.Time) {
 	use := n.ledger.InUse(now)
-	if n.waiting == 0 || float64(len(n.running)) < use*slots-1 || now.Sub(n.asked) < time.Second {
+	if n.waiting == 0 || float64(len(n.running)) < use*slots-1 || now.Sub(n.lastAsked) < time.Second {
 		return
 	}
-	n.asked = now
-	var idle []*node
+	n.lastAsked = now
+	var idle []*simDaemon
 	for j, o := range ns {
 		if j != self {
 			idle = append(idle, o)
 		}
 	}
-	free := func(o *node) float64 { return o.ledger.InUse(now)*slots - float64(len(o.running)+o.waiting) }
-	slices.SortStableFunc(idle, func(a, b *node) int { return cmp.Compare(free(b), free(a)) })
+	free := func(o *simDaemon) float64 { return o.ledger.InUse(now)*slots - float64(len(o.running)+o.waiting) }
+	slices.SortStableFunc(idle, func(a, b *simDaemon) int { return cmp.Compare(free(b), free(a)) })
 	wanted := min(1-use, float64(n.waiting)/slots) / 3
 	for _, o := range idle[:3] {
 		got := o.ledger.Lend(now, wanted, float64(len(o.running)+o.waiting)/slots, daemons)
@@ -182,16 +182,16 @@
 			is := is.New(t)
 			got := map[string]outcome{}
 			for _, p := range policies() {
-				o := run(p, pt.busy)
+				o := simulate(p, pt.busy)
 				got[p.name] = o
 				t.Logf("%-21s above the window: mean %5.2f most %3.0f; idle while work waits: %5.1f of %d; done %d",
-					p.name, o.over, o.most, o.idle, slots, o.done)
+					p.name, o.meanOver, o.maxOver, o.meanIdle, slots, o.completed)
 			}
 			o := got["shares and borrowing"]
-			is.True(o.over <= pt.over)
-			is.True(o.most <= pt.most)
-			is.True(o.idle <= pt.idle)
-			is.True(o.done > got["static split"].done)
+			is.True(o.meanOver <= pt.over)
+			is.True(o.maxOver <= pt.most)
+			is.True(o.meanIdle <= pt.idle)
+			is.True(o.completed > got["static split"].completed)
 		})
 	}
 }
--- a/internal/decide/share/share_test.go
+++ b/internal/decide/share/share_test.go
@@ -15,24 +15,24 @@
 func TestMain(m *testing.M) { testkit.Seeded(m) }
 
 func TestSplit(t *testing.T) {
-	line := func(slots int, running, waiting []int) Line {
-		return Line{Slots: slots, Running: running, Waiting: waiting}
+	line := func(slots int, running, waiting []int) Demand {
+		return Demand{Slots: slots, Running: running, Waiting: waiting}
 	}
 	tests := []struct {
 		name    string
-		lines   []Line
+		lines   []Demand
 		missing int
 		want    []float64
 	}{
-		{"alone", []Line{line(100, nil, nil)}, 0, []float64{1}},
-		{"all idle", []Line{line(100, nil, nil), line(100, nil, nil)}, 0, []float64{0.5, 0.5}},
-		{"one busy", []Line{line(100, nil, []int{500}), line(100, nil, nil)}, 0, []float64{0.95, 0.05}},
-		{"higher tier first", []Line{line(100, nil, []int{0, 500}), line(100, nil, []int{60, 500})}, 0, []float64{0.224, 0.776}},
-		{"running work of another is not given away", []Line{line(100, []int{80}, nil), line(100, nil, []int{0, 500})}, 0, []float64{0.80, 0.20}},
-		{"running excess is withheld", []Line{line(100, []int{0, 90}, []int{0, 9}), line(100, nil, []int{500})}, 0, []float64{0.05, 0.10}},
-		{"minority keeps to its part", []Line{line(100, nil, []int{500})}, 3, []float64{0.25}},
-		{"majority takes all", []Line{line(100, nil, nil), line(100, nil, nil)}, 1, []float64{0.5, 0.5}},
-		{"windows not known", []Line{line(0, nil, []int{3}), line(0, nil, nil)}, 0, []float64{0.95, 0.05}},
+		{"alone", []Demand{line(100, nil, nil)}, 0, []float64{1}},
+		{"all idle", []Demand{line(100, nil, nil), line(100, nil, nil)}, 0, []float64{0.5, 0.5}},
+		{"one busy", []Demand{line(100, nil, []int{500}), line(100, nil, nil)}, 0, []float64{0.95, 0.05}},
+		{"higher tier first", []Demand{line(100, nil, []int{0, 500}), line(100, nil, []int{60, 500})}, 0, []float64{0.224, 0.776}},
+		{"running work of another is not given away", []Demand{line(100, []int{80}, nil), line(100, nil, []int{0, 500})}, 0, []float64{0.80, 0.20}},
+		{"running excess is withheld", []Demand{line(100, []int{0, 90}, []int{0, 9}), line(100, nil, []int{500})}, 0, []float64{0.05, 0.10}},
+		{"minority keeps to its part", []Demand{line(100, nil, []int{500})}, 3, []float64{0.25}},
+		{"majority takes all", []Demand{line(100, nil, nil), line(100, nil, nil)}, 1, []float64{0.5, 0.5}},
+		{"windows not known", []Demand{line(0, nil, []int{3}), line(0, nil, nil)}, 0, []float64{0.95, 0.05}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -49,19 +49,19 @@
 // Whatever the lines say: the parts never sum to more than the window, every
 // daemon keeps its floor, and higher-tier work that waits is not left out while
 // lower-tier work elsewhere gets more than its floor.
-func TestSplitKeepsItsPromises(t *testing.T) {
+func TestSplitInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "daemons")
-		lines := make([]Line, n)
+		lines := make([]Demand, n)
 		counts := rapid.SliceOfN(rapid.IntRange(-1, 60), 3, 3)
 		for i := range lines {
-			lines[i] = Line{Slots: 100, Running: counts.Draw(rt, "running"), Waiting: counts.Draw(rt, "waiting")}
+			lines[i] = Demand{Slots: 100, Running: counts.Draw(rt, "running"), Waiting: counts.Draw(rt, "waiting")}
 		}
 		parts := Split(lines, 0)
 		sum := 0.0
 		for i, p := range parts {
 			sum += p
-			if p < FloorPart/float64(n)-1e-9 {
+			if p < FloorFraction/float64(n)-1e-9 {
 				rt.Fatalf("daemon %d got %f, below its floor", i, p)
 			}
 		}
@@ -74,7 +74,7 @@
 		}
 		for i, p := range parts {
 			top := float64(max(0, lines[i].Running[0]) + max(0, lines[i].Waiting[0]))
-			if short && 100*p > max(top, float64(lines[i].running()), 100*FloorPart/float64(n))+1e-6 && sum > 1-1e-6 {
+			if short && 100*p > max(top, float64(lines[i].totalRunning()), 100*FloorFraction/float64(n))+1e-6 && sum > 1-1e-6 {
 				rt.Fatalf("daemon %d got %f for lower work while top work elsewhere is short", i, p)
 			}
 		}
@@ -84,7 +84,7 @@
 // Daemons lend and borrow with slow and lost answers, deaths, and clocks that
 // run a little unlike. At no moment may the parts in use by all daemons sum to
 // more than the window. The parts themselves stay, so that only loans count.
-func TestLoansNeverDoubleAPart(t *testing.T) {
+func TestLoansNeverExceedTheWindow(t *testing.T) {
 	const n = 4
 	type answer struct {
 		to     int
@@ -97,7 +97,7 @@
 		var ls [n]Ledger
 		var drift [n]float64
 		for i := range ls {
-			ls[i].Start(1.0 / n)
+			ls[i].Reset(1.0 / n)
 			drift[i] = rapid.Float64Range(0.96, 1.04).Draw(rt, "drift")
 		}
 		local := func(i int) time.Time {
@@ -149,26 +149,26 @@
 
 // A part that grows is used only after it has stood for a while; one that
 // shrinks is used at once.
-func TestLedgerSettles(t *testing.T) {
+func TestIncreasedShareIsDelayed(t *testing.T) {
 	is := is.New(t)
 	var l Ledger
 	now := time.Unix(0, 0)
-	l.Start(0.2)
-	l.Set(now, 0.8)
+	l.Reset(0.2)
+	l.Update(now, 0.8)
 	is.Equal(l.InUse(now), 0.2)
-	is.Equal(l.Wake(), now.Add(settle))
-	is.Equal(l.InUse(now.Add(settle)), 0.8)
-	l.Set(now.Add(settle), 0.1)
-	is.Equal(l.InUse(now.Add(settle)), 0.1)
+	is.Equal(l.NextChange(), now.Add(increaseDelay))
+	is.Equal(l.InUse(now.Add(increaseDelay)), 0.8)
+	l.Update(now.Add(increaseDelay), 0.1)
+	is.Equal(l.InUse(now.Add(increaseDelay)), 0.1)
 }
 
 // BenchmarkSplit is the cost of one exchange for one pool.
 func BenchmarkSplit(b *testing.B) {
 	for _, n := range []int{9, 12, 370} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			lines := make([]Line, n)
+			lines := make([]Demand, n)
 			for i := range lines {
-				lines[i] = Line{Slots: 96, Running: []int{i, 1, 2}, Waiting: []int{1, i, 3}}
+				lines[i] = Demand{Slots: 96, Running: []int{i, 1, 2}, Waiting: []int{1, i, 3}}
 			}
 			for b.Loop() {
 				Split(lines, 0)
--- a/internal/decide/share/split.go
+++ b/internal/decide/share/split.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// FloorPart is the part of each window that is split evenly whatever the
+	// FloorFraction is the part of each window that is split evenly whatever the
 	// demand, so that a burst at any daemon starts at once: with twelve engines
 	// of eight places and nine daemons it is one place each. Half of it would
 	// leave 1.7 idle places less (TestUnevenBalancer) and a daemon without one.
-	FloorPart = 0.1
-	// keepPart is what is left of the floor when a daemon lends. With all load
-	// on one daemon, a floor of 0.2 and keepPart 0.1 leave 12.6 of 96 places
+	FloorFraction = 0.1
+	// lenderFloorFraction is what is left of the floor when a daemon lends. With all load
+	// on one daemon, a floor of 0.2 and lenderFloorFraction 0.1 leave 12.6 of 96 places
 	// idle; these two leave 5.8 (TestUnevenBalancer).
-	keepPart = 0.03
+	lenderFloorFraction = 0.03
 )
 
-// Line is one daemon's demand for a pool, in requests. Slots bound requests and
+// Demand is one daemon's demand for a pool, in requests. Slots bound requests and
 // not tokens, because an engine's batch has places for requests.
-type Line struct {
+type Demand struct {
 	// Name is the daemon's name.
 	Name string
 	// Slots is the window of all the pool's targets as this daemon learned it;
@@ -45,29 +45,29 @@
 // Work is served by tier; what is left is split evenly. Running work above a
 // daemon's part cannot be taken back, so what it still occupies is withheld
 // from the daemons whose part grows, until it has ended.
-func Split(lines []Line, missing int) []float64 {
+func Split(lines []Demand, missing int) []float64 {
 	n := len(lines)
 	if n == 0 {
 		return nil
 	}
-	total := capacity(lines)
-	floor := FloorPart * total / float64(n)
+	total := medianCapacity(lines)
+	floor := FloorFraction * total / float64(n)
 	got := make([]float64, n)
 	need := make([][]float64, n)
 	ranks := 0
 	for i, l := range lines {
 		got[i] = floor
-		need[i] = needs(l, floor)
+		need[i] = demandAboveFloor(l, floor)
 		ranks = max(ranks, len(need[i]))
 	}
 	left := total - floor*float64(n)
 	for r := range ranks {
-		left = serve(got, need, r, left)
+		left = allocateRank(got, need, r, left)
 	}
 	for i := range got {
 		got[i] += left / float64(n)
 	}
-	withhold(got, lines, floor)
+	withholdExcess(got, lines, floor)
 	scale := 1 / total
 	if missing > n {
 		scale *= float64(n) / float64(n+missing)
@@ -86,19 +86,19 @@
 // knows the same members has taken the others' floors, so the parts still sum
 // up to 1 at most, however much later than the others a daemon hears of the pool.
 func Floor(n, missing int) float64 {
-	part := FloorPart / float64(max(1, n))
+	part := FloorFraction / float64(max(1, n))
 	if missing > n {
 		part *= float64(n) / float64(n+missing)
 	}
 	return part
 }
 
-// withhold takes the running work above daemons' parts from the room of the others.
-func withhold(got []float64, lines []Line, floor float64) {
+// withholdExcess takes the running work above daemons' parts from the room of the others.
+func withholdExcess(got []float64, lines []Demand, floor float64) {
 	excess, room := 0.0, 0.0
 	free := make([]float64, len(got))
 	for i, l := range lines {
-		held := float64(l.running())
+		held := float64(l.totalRunning())
 		excess += max(0, held-got[i])
 		free[i] = max(0, got[i]-max(held, floor))
 		room += free[i]
@@ -112,7 +112,7 @@
 	}
 }
 
-func (l *Line) running() int {
+func (l *Demand) totalRunning() int {
 	n := 0
 	for _, v := range l.Running {
 		n += max(0, v)
@@ -120,9 +120,9 @@
 	return n
 }
 
-// capacity is the median of what the daemons learned, so that one that was just
+// medianCapacity is the median of what the daemons learned, so that one that was just
 // started, or knows only a straggler, does not decide.
-func capacity(lines []Line) float64 {
+func medianCapacity(lines []Demand) float64 {
 	var known []int
 	for _, l := range lines {
 		if l.Slots > 0 {
@@ -136,9 +136,9 @@
 	return float64(known[len(known)/2])
 }
 
-// needs lists what a daemon needs of each rank above its floor, which covers
+// demandAboveFloor lists what a daemon needs of each rank above its floor, which covers
 // the highest ranks first.
-func needs(l Line, floor float64) []float64 {
+func demandAboveFloor(l Demand, floor float64) []float64 {
 	out := make([]float64, max(len(l.Running), len(l.Waiting)))
 	for i, v := range l.Running {
 		out[i] += float64(max(0, v))
@@ -154,8 +154,8 @@
 	return out
 }
 
-// serve gives out one rank's need, in proportion if it is more than is left.
-func serve(got []float64, need [][]float64, r int, left float64) float64 {
+// allocateRank gives out one rank's need, in proportion if it is more than is left.
+func allocateRank(got []float64, need [][]float64, r int, left float64) float64 {
 	sum := 0.0
 	for _, l := range need {
 		if r < len(l) {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -198,7 +198,7 @@
 	added := p == nil
 	if added {
 		p = &pool{heard: map[string]peer.Demand{}, told: peer.Demand{Pool: name}, fresh: peer.Demand{Pool: name}}
-		p.ledger.Start(share.FloorPart) // until others are heard, or joinGrace is over
+		p.ledger.Reset(share.FloorFraction) // until others are heard, or joinGrace is over
 		x.early.take(name, p.heard)
 	}
 	self := x.members.Self().Name
@@ -208,7 +208,7 @@
 		p.cell = mates
 	}
 	if added && started && len(p.group) > 1 {
-		p.ledger.Start(share.Floor(len(p.group), x.members.Missing()))
+		p.ledger.Reset(share.Floor(len(p.group), x.members.Missing()))
 	}
 	for name := range p.heard {
 		if !slices.Contains(p.cell, name) {
@@ -226,7 +226,7 @@
 	p := x.place(key, layout, nil, false)
 	p.limit = true
 	if added {
-		p.ledger.Start(1 / float64(max(1, len(p.group))))
+		p.ledger.Reset(1 / float64(max(1, len(p.group))))
 	}
 	return p
 }
@@ -243,14 +243,14 @@
 // other cells do not tell their demand here.
 func (x *Exchange) compute(p *pool) {
 	self := x.members.Self().Name
-	lines := make([]share.Line, 0, len(p.cell))
+	lines := make([]share.Demand, 0, len(p.cell))
 	at := -1
 	for _, name := range p.cell {
 		d := p.heard[name]
 		if name == self {
 			at, d = len(lines), p.told
 		}
-		lines = append(lines, share.Line{Name: name, Slots: d.Slots, Running: d.Busy, Waiting: d.Requests})
+		lines = append(lines, share.Demand{Name: name, Slots: d.Slots, Running: d.Busy, Waiting: d.Requests})
 	}
 	if at < 0 {
 		return
@@ -263,9 +263,9 @@
 	now := x.clock.Now()
 	switch {
 	case len(p.group) > 1:
-		p.ledger.Set(now, part)
+		p.ledger.Update(now, part)
 	case x.alone || now.Sub(x.started) > joinGrace:
-		p.ledger.Start(part)
+		p.ledger.Reset(part)
 	}
 }
 
--- a/internal/trial/daemon.go
+++ b/internal/trial/daemon.go
@@ -48,14 +48,14 @@
 	// flights are kept for the policy that cancels.
 	flights   []flight
 	cancelled time.Time
-	heard     [daemons]share.Line
+	heard     [daemons]share.Demand
 	ledger    share.Ledger
 }
 
 // line is the daemon's demand as it tells it to the others.
-func (d *daemon) line() share.Line {
+func (d *daemon) line() share.Demand {
 	m := d.sched.Demand(d.now())
-	return share.Line{Name: strconv.Itoa(d.number), Slots: m.Slots, Running: m.Busy, Waiting: m.Requests}
+	return share.Demand{Name: strconv.Itoa(d.number), Slots: m.Slots, Running: m.Busy, Waiting: m.Requests}
 }
 
 // apply puts the part of the windows in force that may be used now, and again
@@ -63,7 +63,7 @@
 func (d *daemon) apply() {
 	d.sched.SetShare(d.now(), fireflypath.Share{Default: d.ledger.InUse(d.now())})
 	d.pump()
-	if at := d.ledger.Wake(); !at.IsZero() {
+	if at := d.ledger.NextChange(); !at.IsZero() {
 		d.fleet.loop.at(at.Add(time.Microsecond), func() {
 			d.sched.SetShare(d.now(), fireflypath.Share{Default: d.ledger.InUse(d.now())})
 			d.pump()
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -70,7 +70,7 @@
 	}
 	for i := range daemons {
 		d := &daemon{fleet: f, number: i, waits: make(map[*fireflypath.Work]*request)}
-		d.ledger.Start(1.0 / daemons)
+		d.ledger.Reset(1.0 / daemons)
 		d.sched = p.make(o.Seed*daemons+uint64(i), len(m.Tiers)-1, targets)
 		d.sched.SetShare(epoch, fireflypath.Share{Default: 1.0 / daemons})
 		f.daemons = append(f.daemons, d)
@@ -142,7 +142,7 @@
 	f.loop.after(hop, func() {
 		for _, p := range f.daemons {
 			p.heard[d.number] = line
-			p.ledger.Set(f.loop.now, share.Split(p.heard[:], 0)[p.number])
+			p.ledger.Update(f.loop.now, share.Split(p.heard[:], 0)[p.number])
 			p.apply()
 		}
 	})
