--- a/internal/daemon/gated.go
+++ b/internal/daemon/gated.go
@@ -172,7 +172,7 @@
 // place has the dispatcher place the work of pools that have one.
 func (d *Daemon) place(cfg fireflypath.Pool, p *pool.Pool, s fireflypath.Scheduler) {
 	if r, ok := s.(*remote.Scheduler); ok {
-		d.dispatch.Place(p, cfg, r)
+		d.dispatch.AddPool(p, cfg, r)
 	}
 }
 
--- a/internal/daemon/gatedmembers.go
+++ b/internal/daemon/gatedmembers.go
@@ -99,7 +99,7 @@
 // Version implements usage.Pools.
 func (h heard) Version() uint64 {
 	n := 2 * h.Pools.Version()
-	if h.dispatch.Partial() {
+	if h.dispatch.HasPartialView() {
 		n++
 	}
 	return n
@@ -108,7 +108,7 @@
 // Report implements usage.Pools.
 func (h heard) Report() fireflypath.Mate {
 	m := h.Pools.Report()
-	m.Apart = m.Apart || h.dispatch.Partial()
+	m.Apart = m.Apart || h.dispatch.HasPartialView()
 	return m
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -198,9 +198,9 @@
 	return d.servers[pool]
 }
 
-// Place has the group's dispatcher place the pool's work from now on, until the pool is
+// AddPool has the group's dispatcher place the pool's work from now on, until the pool is
 // closed. sched is the scheduler that the pool was created with.
-func (d *Dispatch) Place(p *pool.Pool, cfg fireflypath.Pool, sched *remote.Scheduler) {
+func (d *Dispatch) AddPool(p *pool.Pool, cfg fireflypath.Pool, sched *remote.Scheduler) {
 	d.spawn(func() { d.runClient(p, cfg, sched) })
 }
 
@@ -257,9 +257,9 @@
 	}
 }
 
-// Partial reports whether this daemon places work for a part of its group only. The
+// HasPartialView reports whether this daemon places work for a part of its group only. The
 // other daemons then have to send it their in-flight work.
-func (d *Dispatch) Partial() bool {
+func (d *Dispatch) HasPartialView() bool {
 	d.mu.Lock()
 	servers := slices.Collect(maps.Values(d.servers))
 	d.mu.Unlock()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -127,7 +127,7 @@
 		d.pool = pool.New("p", clock, sched, nil)
 		d.pool.SetTargets(all.Targets)
 		d.dispatch.Apply(&all)
-		d.dispatch.Place(d.pool, cfg, sched)
+		d.dispatch.AddPool(d.pool, cfg, sched)
 	}
 	stop := make(chan struct{})
 	go c.gossip(stop)
@@ -157,7 +157,7 @@
 				if o != d && !c.isKilled(o.name) {
 					m := fireflypath.NewMate(o.name)
 					o.pool.Report(&m)
-					m.Apart = m.Apart || o.dispatch.Partial()
+					m.Apart = m.Apart || o.dispatch.HasPartialView()
 					peers = append(peers, m)
 				}
 			}
