--- a/internal/decide/cell/layout.go
+++ b/internal/decide/cell/layout.go
@@ -1,5 +1,5 @@
-// Package cell lays a fleet of daemons out in small groups that share the same
-// targets, so that what one daemon exchanges does not grow with the fleet.
+// Package cell divides a fleet of daemons into small groups that share the same
+// targets, so that the traffic between daemons does not grow with the fleet.
 package cell
 
 import (
@@ -13,38 +13,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxMates bounds the mean size of a cell. Nine daemons, the size of today, are
-// one cell. At 370 daemons 32 cells of 11 or 12 send 12 beats a second each,
-// which fits in 3 KB/s; cells twice as large would not.
-const maxMates = 12
+// maxMeanSize bounds the mean size of a cell. Nine daemons, the current fleet, form
+// one cell. At 370 daemons 32 cells of 11 or 12 daemons send 12 heartbeats per
+// second each, which fits in 3 KB/s; cells twice as large would not.
+const maxMeanSize = 12
 
-// Layout is the cells of one set of daemons. Daemons with the same set make the
-// same layout. It is never changed.
+// Layout is the immutable assignment of a set of daemons to cells. Daemons with the
+// same set compute the same layout.
 //
-// A daemon's cell follows from the first bits of its name's hash, and a far link
-// from the hash of the two names, so that a daemon that joins or goes moves no
-// other one. Cut by rank, each join made a good part of 370 daemons connect
-// anew, and a fleet that started at once never came to rest.
+// A daemon's cell is given by the first bits of the hash of its name, and its
+// connections to other cells by the hashes of pairs of names, so that a daemon that
+// joins or leaves moves no other. With cells cut by rank, each join made a good
+// part of 370 daemons reconnect, and a fleet whose daemons all started at once
+// never settled.
 type Layout struct {
-	// order holds the names by hash, so that failure domains are mixed.
-	order  []string
-	hashes []uint64
-	bits   int
+	// names is sorted by hash, which mixes failure domains.
+	names      []string
+	hashes     []uint64
+	prefixBits int
 }
 
-// New lays out the daemons of those names.
+// New returns the layout of the daemons with the given names.
 func New(names []string) *Layout {
-	l := &Layout{order: byHash(names)}
-	for _, n := range l.order {
+	l := &Layout{names: sortByHash(names)}
+	for _, n := range l.names {
 		l.hashes = append(l.hashes, xxhash.Sum64String(n))
 	}
-	for len(names) > maxMates<<l.bits {
-		l.bits++
+	for len(names) > maxMeanSize<<l.prefixBits {
+		l.prefixBits++
 	}
 	return l
 }
 
-func byHash(names []string) []string {
+// sortByHash returns the names in the order of their hashes.
+func sortByHash(names []string) []string {
 	type hashed struct {
 		name string
 		hash uint64
@@ -66,95 +68,98 @@
 	return out
 }
 
-// Cells is the number of cells, a power of two.
-func (l *Layout) Cells() int { return 1 << l.bits }
+// Cells returns the number of cells, a power of two.
+func (l *Layout) Cells() int { return 1 << l.prefixBits }
 
-// rank is the place of a name in the order, or -1.
-func (l *Layout) rank(name string) int { return slices.Index(l.order, name) }
+// index returns the position of a name in l.names, or -1.
+func (l *Layout) index(name string) int { return slices.Index(l.names, name) }
 
-// span is the places of the daemons whose hashes agree with that at place i in
-// the first bits.
-func (l *Layout) span(i, bits int) (from, to int) {
+// hashRange returns the range of positions whose hashes have the same first bits as
+// the one at index.
+func (l *Layout) hashRange(index, bits int) (from, to int) {
 	if bits == 0 {
-		return 0, len(l.order)
+		return 0, len(l.names)
 	}
-	cell := l.hashes[i] >> (64 - bits)
-	from = sort.Search(len(l.hashes), func(j int) bool { return l.hashes[j]>>(64-bits) >= cell })
-	to = sort.Search(len(l.hashes), func(j int) bool { return l.hashes[j]>>(64-bits) > cell })
+	prefix := l.hashes[index] >> (64 - bits)
+	from = sort.Search(len(l.hashes), func(j int) bool { return l.hashes[j]>>(64-bits) >= prefix })
+	to = sort.Search(len(l.hashes), func(j int) bool { return l.hashes[j]>>(64-bits) > prefix })
 	return from, to
 }
 
-// Mates are the daemons of a cell, self among them.
+// Mates returns the daemons in the cell of self, including self.
 func (l *Layout) Mates(self string) []string {
-	i := l.rank(self)
+	i := l.index(self)
 	if i < 0 {
 		return nil
 	}
-	from, to := l.span(i, l.bits)
-	return l.order[from:to]
+	from, to := l.hashRange(i, l.prefixBits)
+	return l.names[from:to]
 }
 
-// farLinks is the mean number of far links of a daemon in the largest fleet of
-// a number of cells. Half of it in the smallest still joins each cell to most
-// others, so that news cross the fleet in three or four steps.
-const farLinks = 2
+// meanFarNeighbours is the mean number of neighbours in other cells at the largest
+// fleet size for a number of cells. At the smallest size it is half of that, which
+// still connects each cell to most others, so that updates reach the whole fleet in
+// three or four hops.
+const meanFarNeighbours = 2
 
-// Links are the daemons that self keeps a connection with: its mates, and a few
-// others, by which news cross all cells in few steps. Links are mutual.
+// Links returns the daemons that self keeps a connection to: the others of its
+// cell, and a few in other cells, through which updates reach all cells in few hops.
+// Connections are mutual.
 func (l *Layout) Links(self string) []string {
-	i := l.rank(self)
+	i := l.index(self)
 	if i < 0 {
 		return nil
 	}
-	from, to := l.span(i, l.bits)
+	from, to := l.hashRange(i, l.prefixBits)
 	var out []string
-	// A pair is linked if its hash is among the first of all; the bound depends
-	// on the number of cells and not on that of daemons.
-	bound := uint64(math.MaxUint64) / uint64(maxMates<<l.bits) * farLinks
-	for j, n := range l.order {
-		mate := j >= from && j < to
-		if j != i && (mate || pair(l.hashes[i], l.hashes[j]) < bound || l.neighbours(i, j)) {
+	// Pairs with a hash below the bound are neighbours. The bound depends on the
+	// number of cells, not on the number of daemons.
+	maxPairHash := uint64(math.MaxUint64) / uint64(maxMeanSize<<l.prefixBits) * meanFarNeighbours
+	for j, n := range l.names {
+		sameCell := j >= from && j < to
+		if j != i && (sameCell || pairHash(l.hashes[i], l.hashes[j]) < maxPairHash || l.adjacent(i, j)) {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// pair hashes two daemons, the same both ways.
-func pair(a, b uint64) uint64 {
+// pairHash returns the hash of a pair of daemons, independent of their order.
+func pairHash(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.BigEndian.PutUint64(buf[:], min(a, b))
 	binary.BigEndian.PutUint64(buf[8:], max(a, b))
 	return xxhash.Sum64(buf[:])
 }
 
-// neighbours reports daemons on both sides of a cell's edge. Far links are
-// drawn by lot; these make sure that no cell is left without.
-func (l *Layout) neighbours(i, j int) bool {
-	n := len(l.order)
+// adjacent reports whether two daemons are next to each other in hash order, which
+// connects each cell to the next. The other connections between cells are random
+// and might leave a cell without any.
+func (l *Layout) adjacent(i, j int) bool {
+	n := len(l.names)
 	return (i+1)%n == j || (j+1)%n == i
 }
 
-// cut is where part i of k equal parts of n begins.
-func cut(n, i, k int) int { return n * i / k }
+// partitionStart returns where part i of k equal parts of n begins.
+func partitionStart(n, i, k int) int { return n * i / k }
 
-// minTargets is the least number of a pool's targets that a cell serves; with
-// fewer a slow target would weigh on a whole cell.
-const minTargets = 4
+// minTargetsPerCell is the minimum number of a pool's targets that a cell serves.
+// With fewer, one slow target would affect the whole cell.
+const minTargetsPerCell = 4
 
-// Serves gives the targets of one pool that self sends work to, and the daemons
-// that do the same. A cell gets targets in proportion to its daemons. A pool
-// with few targets is shared by several cells, all of them if need be.
-func (l *Layout) Serves(self string, targets []string) (mine, mates []string) {
-	i := l.rank(self)
+// Serves returns the targets of one pool that self dispatches to, and the daemons
+// that share them, including self. A cell receives targets in proportion to its
+// daemons. A pool with few targets is shared by several cells, if necessary by all.
+func (l *Layout) Serves(self string, targets []string) (assigned, sharedWith []string) {
+	i := l.index(self)
 	if i < 0 {
 		return nil, nil
 	}
-	bits := l.bits
-	for bits > 0 && len(targets) < minTargets<<bits {
+	bits := l.prefixBits
+	for bits > 0 && len(targets) < minTargetsPerCell<<bits {
 		bits--
 	}
-	from, to := l.span(i, bits)
-	ts := byHash(targets)
-	return ts[cut(len(ts), from, len(l.order)):cut(len(ts), to, len(l.order))], l.order[from:to]
+	from, to := l.hashRange(i, bits)
+	ts := sortByHash(targets)
+	return ts[partitionStart(len(ts), from, len(l.names)):partitionStart(len(ts), to, len(l.names))], l.names[from:to]
 }
--- a/internal/decide/cell/layout_test.go
+++ b/internal/decide/cell/layout_test.go
@@ -16,7 +16,7 @@
 	return out
 }
 
-func TestLayout(t *testing.T) {
+func TestLayoutProperties(t *testing.T) {
 	tests := []struct {
 		daemons, cells, links int
 	}{
@@ -25,42 +25,43 @@
 	for _, tt := range tests {
 		t.Run(fmt.Sprint(tt.daemons), func(t *testing.T) {
 			is := is.New(t)
-			ds := names("d", tt.daemons)
-			l := New(ds)
+			daemons := names("d", tt.daemons)
+			l := New(daemons)
 			is.Equal(l.Cells(), tt.cells)
 			targets := names("t", 2700)
 			served := map[string]int{}
-			for _, d := range ds {
+			for _, d := range daemons {
 				links := l.Links(d)
-				is.True(len(links) <= tt.links) // the largest degree stays flat
+				is.True(len(links) <= tt.links) // the number of connections is bounded for any fleet size
 				for _, o := range links {
-					is.True(slices.Contains(l.Links(o), d)) // links are mutual
+					is.True(slices.Contains(l.Links(o), d)) // connections are mutual
 				}
-				mine, mates := l.Serves(d, targets)
-				is.True(slices.Contains(mates, d))
-				is.True(len(mine) >= 2700/tt.cells/4)
-				for _, m := range mine {
+				assigned, sharedWith := l.Serves(d, targets)
+				is.True(slices.Contains(sharedWith, d))
+				is.True(len(assigned) >= 2700/tt.cells/4)
+				for _, m := range assigned {
 					served[m]++
 				}
 			}
 			is.Equal(len(served), len(targets)) // no target is left out
-			is.True(diameter(l, ds) <= 5)
+			is.True(diameter(l, daemons) <= 5)
 		})
 	}
 }
 
-// A pool of three targets in a fleet of 32 cells is served by all daemons.
-func TestSmallPoolIsSharedByAll(t *testing.T) {
+// A pool of three targets is served by all daemons of a fleet of 32 cells.
+func TestSmallPoolSharedByAllDaemons(t *testing.T) {
 	is := is.New(t)
-	ds := names("d", 370)
-	mine, mates := New(ds).Serves("d7", names("t", 3))
-	is.Equal(len(mine), 3)
-	is.Equal(len(mates), 370)
+	daemons := names("d", 370)
+	assigned, sharedWith := New(daemons).Serves("d7", names("t", 3))
+	is.Equal(len(assigned), 3)
+	is.Equal(len(sharedWith), 370)
 }
 
-// A daemon that joins 370 must not move others to other cells or links, or each
-// replacement would cost connections and prefix caches all over the fleet.
-func TestJoinMovesNobody(t *testing.T) {
+// A daemon that joins 370 others must not change their cells and connections.
+// Otherwise each replacement would cost connections and prefix caches in the whole
+// fleet.
+func TestJoinKeepsOtherConnections(t *testing.T) {
 	is := is.New(t)
 	before, after := New(names("d", 370)), New(names("d", 371))
 	changed := 0
@@ -71,19 +72,20 @@
 			}
 		}
 	}
-	is.True(changed <= 2) // the two that stood side by side where it came in
+	is.True(changed <= 2) // the two that were adjacent where the new one is inserted
 }
 
-// diameter is the largest number of steps between two daemons.
-func diameter(l *Layout, ds []string) int {
-	far := 0
-	for _, from := range ds[:min(len(ds), 20)] {
+// diameter returns the largest number of hops between two daemons, or len(daemons)
+// if not all are connected. It starts from at most 20 daemons.
+func diameter(l *Layout, daemons []string) int {
+	longest := 0
+	for _, from := range daemons[:min(len(daemons), 20)] {
 		depth := map[string]int{from: 0}
 		queue := []string{from}
 		for len(queue) > 0 {
 			d := queue[0]
 			queue = queue[1:]
-			far = max(far, depth[d])
+			longest = max(longest, depth[d])
 			for _, o := range l.Links(d) {
 				if _, ok := depth[o]; !ok {
 					depth[o] = depth[d] + 1
@@ -91,9 +93,9 @@
 				}
 			}
 		}
-		if len(depth) != len(ds) {
-			return len(ds) // not connected
+		if len(depth) != len(daemons) {
+			return len(daemons) // not connected
 		}
 	}
-	return far
+	return longest
 }
