--- a/internal/decide/dispatcher/dispatcher.go
+++ b/internal/decide/dispatcher/dispatcher.go
@@ -1,16 +1,17 @@
-// Package dispatcher decides for all daemons of a group about the work of one pool.
+// Package dispatcher implements the central queue of one pool for a group of
+// daemons.
 //
-// It answers bursts that several daemons receive together. Each daemon by itself
-// sees only its own queue: a slot that one frees goes to its own late or low work
-// while punctual or higher work waits at another, and to keep out of each other's
-// way daemons leave slots idle. With one queue before all targets the order of
-// tiers and goals holds between daemons too, and no target gets more than it has
-// slots.
+// It is meant for bursts that reach several daemons at once. A daemon alone sees
+// only its own queue: it gives a free slot to its own late or lower-tier work
+// while punctual or higher-tier work waits at another daemon, and daemons leave
+// slots idle to avoid overloading targets together. With one queue for all
+// daemons, the order of tiers and goals holds across them, and no target gets
+// more requests than it has slots.
 //
-// A dispatcher decides and owns nothing: a request belongs to the daemon that
-// accepted it, which alone moves it out of waiting, sends it and answers the caller.
-// So two dispatchers at a time, one that stood still, or none, cost order and
-// places but no promise.
+// A dispatcher only decides. A request belongs to the daemon that accepted it:
+// that daemon alone ends its waiting state, sends it and answers the caller. Two
+// dispatchers at the same time, a stalled one, or none at all therefore impair
+// the order and the use of slots, but no guarantee.
 package dispatcher
 
 import (
@@ -21,109 +22,114 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Scheduler decides about the work; it can be told of work that others placed.
+// Scheduler is a scheduler that can also account for work placed by others.
 type Scheduler interface {
 	fireflypath.Scheduler
-	// Adopt counts work that is at a target already.
+	// Adopt counts work that is already in flight at a target.
 	Adopt(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
-	// UpdatePeers takes in what daemons have in flight that decide for themselves.
-	UpdatePeers(now time.Time, mates []fireflypath.Mate)
+	// UpdatePeers sets the in-flight work of daemons that schedule for
+	// themselves.
+	UpdatePeers(now time.Time, peers []fireflypath.Mate)
 }
 
-// Dispatcher holds the queue of one pool. It is not safe for concurrent use.
+// Dispatcher schedules the work of one pool for several daemons. It is not safe
+// for concurrent use.
 type Dispatcher struct {
-	pool     string
-	sched    Scheduler
-	sessions map[string]*session
-	entries  map[*fireflypath.Work]*entry
-	// identities are those of the targets, by name.
+	pool      string
+	scheduler Scheduler
+	sessions  map[string]*session
+	entries   map[*fireflypath.Work]*entry
+	// identities maps target names to target identities.
 	identities map[string]string
-	place      fireflypath.Placement
+	placement  fireflypath.Placement
 	sheds      []fireflypath.Shed
-	// orphans is work at targets whose daemon left its session.
+	// orphans is work in flight whose daemon closed its session.
 	orphans []orphan
-	// hold is until when nothing is placed.
-	hold time.Time
+	// pausedUntil is the time until which no work is dispatched.
+	pausedUntil time.Time
 }
 
-// orphan is work at a target that goes on, told of by nobody until its daemon does
-// so in another way.
+// orphan is work still in flight at a target that no daemon with a session
+// reports.
 type orphan struct {
 	*entry
-	daemon string
-	since  time.Time
+	daemon     string
+	orphanedAt time.Time
 }
 
-// orphanTime is how long such work counts: daemons that decide for themselves tell
-// what they have in flight several times in it. Dropped at once, the places that it
-// holds would be given to others, and targets would get twice what they can run.
-const orphanTime = 150 * time.Millisecond
+// orphanTimeout is how long orphans occupy their slots. A daemon that schedules
+// for itself reports its work in flight several times within it. Freed at once,
+// the slots would be given to other work, and targets would get twice what they
+// can run.
+const orphanTimeout = 150 * time.Millisecond
 
-// session is one daemon's work.
+// session holds the work of one daemon and the decisions not yet sent to it.
 type session struct {
-	id    uint64
-	works map[uint64]*entry
-	turns []fireflypath.Turn
+	id        uint64
+	entries   map[uint64]*entry
+	decisions []fireflypath.Turn
 }
 
+// entry is one request of a session.
 type entry struct {
 	work    fireflypath.Work
 	session *session
 	number  uint64
 }
 
-// New returns a dispatcher without work.
+// New returns a Dispatcher without work.
 func New(pool string, sched Scheduler) *Dispatcher {
 	return &Dispatcher{
-		pool: pool, sched: sched, sessions: map[string]*session{}, entries: map[*fireflypath.Work]*entry{},
+		pool: pool, scheduler: sched, sessions: map[string]*session{}, entries: map[*fireflypath.Work]*entry{},
 		identities: map[string]string{},
 	}
 }
 
-// OpenSession starts a session with a daemon. What was known of an earlier one ends:
-// the daemon tells everything anew.
+// OpenSession starts a session with a daemon. It replaces an earlier session:
+// the daemon reports all its work again.
 func (d *Dispatcher) OpenSession(now time.Time, daemon string, id uint64) {
 	d.CloseSession(now, daemon)
-	d.release(now, daemon)
-	d.sessions[daemon] = &session{id: id, works: map[uint64]*entry{}}
+	d.releaseOrphans(now, daemon)
+	d.sessions[daemon] = &session{id: id, entries: map[uint64]*entry{}}
 }
 
-// CloseSession ends the session with a daemon: its waiting work is no longer here. What it has
-// at targets goes on.
+// CloseSession ends the session with a daemon and removes its waiting work. Its
+// work in flight becomes orphaned.
 func (d *Dispatcher) CloseSession(now time.Time, daemon string) {
 	s := d.sessions[daemon]
 	if s == nil {
 		return
 	}
 	delete(d.sessions, daemon)
-	numbers := make([]uint64, 0, len(s.works))
-	for n := range s.works {
+	numbers := make([]uint64, 0, len(s.entries))
+	for n := range s.entries {
 		numbers = append(numbers, n)
 	}
 	slices.Sort(numbers)
 	for _, n := range numbers {
-		e := s.works[n]
-		if d.sched.Withdraw(now, &e.work) {
-			d.forget(e)
+		e := s.entries[n]
+		if d.scheduler.Withdraw(now, &e.work) {
+			d.removeEntry(e)
 			continue
 		}
-		d.orphans = append(d.orphans, orphan{entry: e, daemon: daemon, since: now})
+		d.orphans = append(d.orphans, orphan{entry: e, daemon: daemon, orphanedAt: now})
 	}
-	d.pump(now)
+	d.dispatchWaiting(now)
 }
 
-// release ends orphans whose time is over, or whose daemon tells of them anew.
-func (d *Dispatcher) release(now time.Time, daemon string) {
+// releaseOrphans removes orphans that have timed out and those of the given
+// daemon, which reports its work again.
+func (d *Dispatcher) releaseOrphans(now time.Time, daemon string) {
 	d.orphans = slices.DeleteFunc(d.orphans, func(o orphan) bool {
-		over := o.daemon == daemon || now.Sub(o.since) >= orphanTime
-		if over {
-			d.drop(now, o.entry)
+		expired := o.daemon == daemon || now.Sub(o.orphanedAt) >= orphanTimeout
+		if expired {
+			d.withdraw(now, o.entry)
 		}
-		return over
+		return expired
 	})
 }
 
-// Sessions are the daemons that this one decides for, by name.
+// Sessions returns the sorted names of the daemons with a session.
 func (d *Dispatcher) Sessions() []string {
 	out := make([]string, 0, len(d.sessions))
 	for name := range d.sessions {
@@ -133,7 +139,7 @@
 	return out
 }
 
-// Apply takes in the news of a daemon with a session.
+// Apply processes a message of a daemon that has a session.
 func (d *Dispatcher) Apply(now time.Time, daemon string, news *fireflypath.News) {
 	s := d.sessions[daemon]
 	if s == nil {
@@ -141,28 +147,28 @@
 	}
 	for i := range news.Flights {
 		f := &news.Flights[i]
-		e := d.enter(now, daemon, s, &f.Offer)
+		e := d.addEntry(now, daemon, s, &f.Offer)
 		e.work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
-		d.sched.Adopt(now, &e.work, f.Target, now.Add(-f.Sent.Std()), f.Began)
+		d.scheduler.Adopt(now, &e.work, f.Target, now.Add(-f.Sent.Std()), f.Began)
 	}
 	for i := range news.Progress {
-		d.progress(now, s, &news.Progress[i])
+		d.applyProgress(now, s, &news.Progress[i])
 	}
 	for _, n := range news.Withdrawn {
-		if e := s.works[n]; e != nil {
-			d.drop(now, e)
+		if e := s.entries[n]; e != nil {
+			d.withdraw(now, e)
 		}
 	}
 	for i := range news.Offers {
-		e := d.enter(now, daemon, s, &news.Offers[i])
-		d.sheds = d.sched.Offer(now, &e.work, d.sheds[:0])
-		d.shed(now)
+		e := d.addEntry(now, daemon, s, &news.Offers[i])
+		d.sheds = d.scheduler.Offer(now, &e.work, d.sheds[:0])
+		d.refuseShed(now)
 	}
-	d.pump(now)
+	d.dispatchWaiting(now)
 }
 
-// enter makes the work of an offer.
-func (d *Dispatcher) enter(now time.Time, daemon string, s *session, o *fireflypath.Offer) *entry {
+// addEntry adds the work of an offer to a session.
+func (d *Dispatcher) addEntry(now time.Time, daemon string, s *session, o *fireflypath.Offer) *entry {
 	e := &entry{session: s, number: o.Number}
 	e.work = fireflypath.Work{
 		ID: daemon + "." + strconv.FormatUint(o.Number, 10), Rank: o.Rank, Pool: d.pool, Weight: 1,
@@ -172,150 +178,151 @@
 	if o.Leaves > 0 {
 		e.work.Leaves = now.Add(o.Leaves.Std())
 	}
-	s.works[o.Number] = e
+	s.entries[o.Number] = e
 	d.entries[&e.work] = e
 	return e
 }
 
-// progress passes an event on.
-func (d *Dispatcher) progress(now time.Time, s *session, p *fireflypath.Progress) {
-	e := s.works[p.Number]
+// applyProgress passes an event to the scheduler.
+func (d *Dispatcher) applyProgress(now time.Time, s *session, p *fireflypath.Progress) {
+	e := s.entries[p.Number]
 	if e == nil {
 		return
 	}
 	if p.Kind == fireflypath.EventUnsent {
 		e.work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWaiting)
 	}
-	d.sched.Observe(now, fireflypath.Event{
+	d.scheduler.Observe(now, fireflypath.Event{
 		Kind: p.Kind, Work: &e.work, Tokens: p.Tokens, Left: p.Left, Cached: -1,
 	})
 	if p.Kind != fireflypath.EventUnsent && p.Kind != fireflypath.EventFirst {
-		d.forget(e)
+		d.removeEntry(e)
 	}
 }
 
-// drop ends work that its daemon has taken back, wherever it is.
-func (d *Dispatcher) drop(now time.Time, e *entry) {
-	if !d.sched.Withdraw(now, &e.work) {
-		d.sched.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Work: &e.work, Left: true, Cached: -1})
+// withdraw removes work that its daemon has withdrawn, whether it waits or is
+// in flight.
+func (d *Dispatcher) withdraw(now time.Time, e *entry) {
+	if !d.scheduler.Withdraw(now, &e.work) {
+		d.scheduler.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Work: &e.work, Left: true, Cached: -1})
 	}
-	d.forget(e)
+	d.removeEntry(e)
 }
 
-func (d *Dispatcher) forget(e *entry) {
-	delete(e.session.works, e.number)
+func (d *Dispatcher) removeEntry(e *entry) {
+	delete(e.session.entries, e.number)
 	delete(d.entries, &e.work)
 }
 
-// shed turns what the scheduler gave up into refusals.
-func (d *Dispatcher) shed(now time.Time) {
+// refuseShed turns the work shed by the scheduler into refusals.
+func (d *Dispatcher) refuseShed(now time.Time) {
 	for _, s := range d.sheds {
 		e := d.entries[s.Work]
 		if e == nil {
 			continue
 		}
 		e.work.Life.Move(fireflypath.StateWaiting, fireflypath.StateShed)
-		d.sched.Withdraw(now, s.Work)
-		d.forget(e)
-		e.session.turns = append(e.session.turns, fireflypath.Turn{
+		d.scheduler.Withdraw(now, s.Work)
+		d.removeEntry(e)
+		e.session.decisions = append(e.session.decisions, fireflypath.Turn{
 			Number: e.number, Reason: s.Reason, Detail: s.Detail, Retry: fireflypath.MicrosOf(s.RetryAfter),
 		})
 	}
 }
 
-// PauseUntil has nothing placed until a time. A dispatcher that has just been chosen does not
-// know yet what those have at the targets that will choose it a moment later; it would
-// fill places that are taken.
+// PauseUntil stops dispatching until the given time. A newly elected dispatcher
+// does not yet know the work in flight of daemons that will connect a moment
+// later, and would otherwise assign slots that are in use.
 func (d *Dispatcher) PauseUntil(now, until time.Time) {
-	d.hold = until
-	d.pump(now)
+	d.pausedUntil = until
+	d.dispatchWaiting(now)
 }
 
-// pump carries out what the scheduler decides now.
-func (d *Dispatcher) pump(now time.Time) {
-	if now.Before(d.hold) {
+// dispatchWaiting dispatches all work that the scheduler can place now.
+func (d *Dispatcher) dispatchWaiting(now time.Time) {
+	if now.Before(d.pausedUntil) {
 		return
 	}
-	for d.sched.Next(now, &d.place) {
-		e := d.entries[d.place.Work]
+	for d.scheduler.Next(now, &d.placement) {
+		e := d.entries[d.placement.Work]
 		if e == nil {
 			continue
 		}
 		e.work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
-		e.session.turns = append(e.session.turns, fireflypath.Turn{
-			Number: e.number, Target: d.identities[d.place.Target], Ahead: d.place.Line, First: fireflypath.MicrosOf(d.place.First),
+		e.session.decisions = append(e.session.decisions, fireflypath.Turn{
+			Number: e.number, Target: d.identities[d.placement.Target], Ahead: d.placement.Line, First: fireflypath.MicrosOf(d.placement.First),
 		})
 	}
 }
 
-// Tick gives up what has waited too long and places what can be placed now.
+// Tick sheds work that has waited too long and dispatches what can be placed.
 func (d *Dispatcher) Tick(now time.Time) {
-	d.release(now, "")
-	d.sheds = d.sched.Expire(now, d.sheds[:0])
-	d.shed(now)
-	d.pump(now)
+	d.releaseOrphans(now, "")
+	d.sheds = d.scheduler.Expire(now, d.sheds[:0])
+	d.refuseShed(now)
+	d.dispatchWaiting(now)
 }
 
-// Wake is when Tick has something to do without news; zero means never.
+// Wake returns when Tick is due if no message arrives; zero means never.
 func (d *Dispatcher) Wake(now time.Time) time.Time {
 	if len(d.entries) == 0 {
 		return time.Time{}
 	}
-	at := d.sched.Wake(now)
-	if now.Before(d.hold) && (at.IsZero() || d.hold.Before(at)) {
-		at = d.hold
+	wakeAt := d.scheduler.Wake(now)
+	if now.Before(d.pausedUntil) && (wakeAt.IsZero() || d.pausedUntil.Before(wakeAt)) {
+		wakeAt = d.pausedUntil
 	}
 	if len(d.orphans) > 0 {
-		if due := d.orphans[0].since.Add(orphanTime); at.IsZero() || due.Before(at) {
-			at = due
+		if due := d.orphans[0].orphanedAt.Add(orphanTimeout); wakeAt.IsZero() || due.Before(wakeAt) {
+			wakeAt = due
 		}
 	}
-	return at
+	return wakeAt
 }
 
-// HasDecisions is true if there are decisions for a daemon that it has not been told.
+// HasDecisions reports whether there are decisions not yet sent to a daemon.
 func (d *Dispatcher) HasDecisions(daemon string) bool {
 	s := d.sessions[daemon]
-	return s != nil && len(s.turns) > 0
+	return s != nil && len(s.decisions) > 0
 }
 
-// TakeDecisions takes the decisions for a daemon that it has not been told.
+// TakeDecisions returns and clears the decisions not yet sent to a daemon.
 func (d *Dispatcher) TakeDecisions(daemon string) []fireflypath.Turn {
 	s := d.sessions[daemon]
 	if s == nil {
 		return nil
 	}
-	out := s.turns
-	s.turns = nil
+	out := s.decisions
+	s.decisions = nil
 	return out
 }
 
-// SetTargets replaces the targets.
+// SetTargets replaces the targets of the pool.
 func (d *Dispatcher) SetTargets(now time.Time, targets []fireflypath.Target) {
 	clear(d.identities)
 	for _, t := range targets {
 		d.identities[t.Name] = t.Identity()
 	}
-	d.sched.SetTargets(now, targets)
-	d.pump(now)
+	d.scheduler.SetTargets(now, targets)
+	d.dispatchWaiting(now)
 }
 
-// SetShare sets which targets the group sends work to.
+// SetShare sets the group's share of the targets.
 func (d *Dispatcher) SetShare(now time.Time, s fireflypath.Share) {
-	d.sched.SetShare(now, s)
-	d.pump(now)
+	d.scheduler.SetShare(now, s)
+	d.dispatchWaiting(now)
 }
 
-// UpdatePeers takes in what other daemons tell of their work; only that of daemons
-// without a session is not known here already.
-func (d *Dispatcher) UpdatePeers(now time.Time, mates []fireflypath.Mate) {
-	others := make([]fireflypath.Mate, 0, len(mates))
-	for _, m := range mates {
+// UpdatePeers updates the in-flight work of daemons without a session. The work
+// of those with a session is known already.
+func (d *Dispatcher) UpdatePeers(now time.Time, peers []fireflypath.Mate) {
+	others := make([]fireflypath.Mate, 0, len(peers))
+	for _, m := range peers {
 		if d.sessions[m.Name] == nil {
-			m.Waits = nil // their order is their own
+			m.Waits = nil // a standalone daemon orders its own queue
 			others = append(others, m)
 		}
 	}
-	d.sched.UpdatePeers(now, others)
-	d.pump(now)
+	d.scheduler.UpdatePeers(now, others)
+	d.dispatchWaiting(now)
 }
--- a/internal/decide/sched/target.go
+++ b/internal/decide/sched/target.go
@@ -232,14 +232,14 @@
 	for k := 0; k < len(s.ejected); k++ {
 		i := s.ejected[k]
 		t := &s.targets[i]
-		ejected := t.slow.State() == slow.Ejected
-		if ejected && (now.Before(t.slow.Due()) || !t.usable() || t.requests > 0) {
+		isEjected := t.slow.State() == slow.Ejected
+		if isEjected && (now.Before(t.slow.Due()) || !t.usable() || t.requests > 0) {
 			continue
 		}
 		s.ejected[k] = s.ejected[len(s.ejected)-1]
 		s.ejected = s.ejected[:len(s.ejected)-1]
 		k--
-		if ejected && t.availablePos == none {
+		if isEjected && t.availablePos == none {
 			t.availablePos = int32(len(s.available))
 			s.available = append(s.available, i)
 		}
