--- a/internal/decide/share/ledger.go
+++ b/internal/decide/share/ledger.go
@@ -6,28 +6,27 @@
 )
 
 const (
-	// loanDuration is how long a borrower uses a loan; by then two exchanges have
-	// told everybody of its demand.
+	// loanDuration is how long a borrower uses a loan. By then two exchanges have told all
+	// daemons of its demand.
 	loanDuration = 2 * time.Second
-	// lendDuration is how long the lender does without. It begins after the
-	// borrower asked and ends later than the borrower stops by its own clock,
-	// so that no part is ever used by both; the margin covers clocks that run
-	// unlike by a tenth.
+	// lendDuration is how long the lender does without the loan. It starts after the
+	// borrower's request and ends after the borrower stops by its own clock, so that no
+	// share is ever used by both. The margin allows clock rates that differ by a tenth.
 	lendDuration = loanDuration + loanDuration/10
-	// increaseDelay is how long a larger part must stand before it is used. A smaller
-	// one is used at once. Meanwhile the daemons that lose it have heard of the
-	// same demand; without it both would use it. A beat takes a millisecond or
-	// two, and 300 ms leave room for a busy host. Of 96 places, 100, 300, 600
-	// and 1,200 ms left 11.6, 13.1, 14.7 and 18.4 idle under a balancer that
-	// moves all load every 5 s (TestUnevenBalancer).
+	// increaseDelay is how long an increased share must last before it is used; a decrease
+	// applies at once. In that time the daemons that lose the share have learned of the
+	// same demand; without the delay both would use it. An exchange takes a millisecond or
+	// two, and 300 ms leave a margin for a busy host. Of 96 slots, 100, 300, 600 and 1,200
+	// ms left 11.6, 13.1, 14.7 and 18.4 idle under a load balancer that moves all load
+	// every 5 s (TestUnevenBalancer).
 	increaseDelay = 300 * time.Millisecond
 )
 
-// Ledger turns computed parts of one pool into the part in use. It is not safe
-// for concurrent use.
+// Ledger turns the computed shares of one pool, and the loans between daemons, into the
+// share in use. It is not safe for concurrent use.
 type Ledger struct {
 	computed float64
-	// recent holds recent parts, so that the smallest of them can be used.
+	// recent holds the previous computed shares, since the lowest recent one is used.
 	recent []timedAmount
 	lent   []timedAmount
 	loans  []timedAmount
@@ -36,85 +35,85 @@
 type timedAmount struct {
 	at     time.Time
 	amount float64
-	// settled is the settled part when a loan was taken.
+	// settled is the settled share when a loan was taken.
 	settled float64
 }
 
-// Update notes a newly computed part.
-func (l *Ledger) Update(now time.Time, part float64) {
+// Update records a newly computed share.
+func (l *Ledger) Update(now time.Time, share float64) {
 	l.recent = append(l.recent, timedAmount{at: now, amount: l.computed})
-	l.computed = part
+	l.computed = share
 	l.prune(now)
 }
 
-// Reset puts a part in use at once, for a daemon alone.
-func (l *Ledger) Reset(part float64) {
-	l.computed = part
+// Reset sets the share in use without delay, for a daemon that is alone.
+func (l *Ledger) Reset(share float64) {
+	l.computed = share
 	l.recent = nil
 }
 
 func (l *Ledger) prune(now time.Time) {
-	older := func(limit time.Duration) func(timedAmount) bool {
-		return func(d timedAmount) bool { return now.Sub(d.at) >= limit }
+	olderThan := func(limit time.Duration) func(timedAmount) bool {
+		return func(a timedAmount) bool { return now.Sub(a.at) >= limit }
 	}
-	l.recent = slices.DeleteFunc(l.recent, older(increaseDelay))
-	l.lent = slices.DeleteFunc(l.lent, older(lendDuration))
-	l.loans = slices.DeleteFunc(l.loans, older(loanDuration))
+	l.recent = slices.DeleteFunc(l.recent, olderThan(increaseDelay))
+	l.lent = slices.DeleteFunc(l.lent, olderThan(lendDuration))
+	l.loans = slices.DeleteFunc(l.loans, olderThan(loanDuration))
 }
 
-// settled is the settled part without loans.
+// settled is the share without loans that has lasted for increaseDelay.
 func (l *Ledger) settled() float64 {
-	least := l.computed
-	for _, d := range l.recent {
-		least = min(least, d.amount)
+	lowest := l.computed
+	for _, a := range l.recent {
+		lowest = min(lowest, a.amount)
 	}
-	return least
+	return lowest
 }
 
-// InUse is the part to use now.
+// InUse is the share to use now.
 func (l *Ledger) InUse(now time.Time) float64 {
 	l.prune(now)
 	v := l.settled()
-	for _, d := range l.lent {
-		v -= d.amount
+	for _, a := range l.lent {
+		v -= a.amount
 	}
 	return min(1, max(0, v+l.borrowed()))
 }
 
-// borrowed is what loans add to the settled part. A part that grows takes the
-// place of the loans: it grows because the lenders' parts shrink, for the same
-// demand, and both together would use those twice.
+// borrowed is what loans add to the settled share. An increase of the settled share
+// replaces loans: it comes from decreases at the lenders for the same demand, so adding
+// both would use those slots twice.
 func (l *Ledger) borrowed() float64 {
 	if len(l.loans) == 0 {
 		return 0
 	}
 	v, base := 0.0, l.loans[0].settled
-	for _, d := range l.loans {
-		v = max(0, v-max(0, d.settled-base)) + d.amount
-		base = d.settled
+	for _, a := range l.loans {
+		v = max(0, v-max(0, a.settled-base)) + a.amount
+		base = a.settled
 	}
 	return max(0, v-max(0, l.settled()-base))
 }
 
-// NextChange is when the part in use changes by itself next; zero means never.
+// NextChange is when the share in use next changes by itself; zero means never.
 func (l *Ledger) NextChange() time.Time {
 	var next time.Time
-	first := func(ds []timedAmount, after time.Duration) {
-		for _, d := range ds {
-			if t := d.at.Add(after); next.IsZero() || t.Before(next) {
+	consider := func(list []timedAmount, after time.Duration) {
+		for _, a := range list {
+			if t := a.at.Add(after); next.IsZero() || t.Before(next) {
 				next = t
 			}
 		}
 	}
-	first(l.recent, increaseDelay)
-	first(l.lent, lendDuration)
-	first(l.loans, loanDuration)
+	consider(l.recent, increaseDelay)
+	consider(l.lent, lendDuration)
+	consider(l.loans, loanDuration)
 	return next
 }
 
-// Lend gives away what is idle above the floor of n daemons, at most wanted,
-// and returns it. used is the part that running and equally urgent waiting work
-// takes. What was borrowed is not lent on.
+// Lend lends the idle share above the lender's floor for n daemons, at most wanted, and
+// returns the amount. used is the share taken by running and equally urgent waiting
+// requests. Borrowed amounts are not lent on.
 func (l *Ledger) Lend(now time.Time, wanted, used float64, n int) float64 {
 	free := l.InUse(now) - max(used, lenderFloorFraction/float64(max(1, n)))
 	free -= l.borrowed()
@@ -126,7 +125,7 @@
 	return amount
 }
 
-// Borrow takes a loan that was asked for at the given time.
+// Borrow adds a loan that was requested at the given time.
 func (l *Ledger) Borrow(asked, now time.Time, amount float64) {
 	l.prune(now)
 	if now.Sub(asked) < loanDuration && amount > 0 {
