--- a/internal/decide/dispatcher/dispatcher.go
+++ b/internal/decide/dispatcher/dispatcher.go
@@ -25,8 +25,8 @@
 // Scheduler is a scheduler that can also account for work placed by others.
 type Scheduler interface {
 	fireflypath.Scheduler
-	// Adopt counts work that is already in flight at a target.
-	Adopt(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
+	// AddInFlight counts work that is already in flight at a target.
+	AddInFlight(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
 	// UpdatePeers sets the in-flight work of daemons that schedule for
 	// themselves.
 	UpdatePeers(now time.Time, peers []fireflypath.Mate)
@@ -149,7 +149,7 @@
 		f := &news.Flights[i]
 		e := d.addEntry(now, daemon, s, &f.Offer)
 		e.work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
-		d.scheduler.Adopt(now, &e.work, f.Target, now.Add(-f.Sent.Std()), f.Began)
+		d.scheduler.AddInFlight(now, &e.work, f.Target, now.Add(-f.Sent.Std()), f.Began)
 	}
 	for i := range news.Progress {
 		d.applyProgress(now, s, &news.Progress[i])
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -19,38 +19,38 @@
 	fireflypath.Scheduler
 	Report(m *fireflypath.Mate)
 	UpdatePeers(now time.Time, mates []fireflypath.Mate)
-	// Adopt counts work that is at a target already.
-	Adopt(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
-	// Release takes all waiting work out.
-	Release() []*fireflypath.Work
-	// Flights calls fn for all work at targets, which are named by identity.
-	Flights(fn func(w *fireflypath.Work, target string, sent time.Time, began bool))
+	// AddInFlight counts work that is at a target already.
+	AddInFlight(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
+	// TakeWaiting takes all waiting work out.
+	TakeWaiting() []*fireflypath.Work
+	// EachInFlight calls fn for all work at targets, which are named by identity.
+	EachInFlight(fn func(w *fireflypath.Work, target string, sent time.Time, began bool))
 }
 
-// overdue is how long after its end waiting work is refused here that the
+// replyGrace is how long after its end waiting work is refused here that the
 // dispatcher has not refused: its word may be on the way.
-const overdue = 50 * time.Millisecond
+const replyGrace = 50 * time.Millisecond
 
 // Scheduler implements fireflypath.Scheduler. It is not safe for concurrent use.
 type Scheduler struct {
 	Local
 	// attached is true while a dispatcher decides.
 	attached bool
-	// asked is true if some other daemon has to know what this one has in flight.
-	asked  bool
-	number uint64
+	// peersNeedReports is true if some other daemon has to know what this one has in flight.
+	peersNeedReports bool
+	lastNumber       uint64
 	// numbers are those of work that the dispatcher knows; works are those of them
 	// that wait for its decision.
 	numbers map[*fireflypath.Work]uint64
-	works   map[uint64]*fireflypath.Work
-	// placed is what it decided and Next has not given out.
-	placed  []placed
-	targets map[string]fireflypath.Target
-	news    fireflypath.News
-	kicks   chan struct{}
+	pending map[uint64]*fireflypath.Work
+	// placements is what it decided and Next has not given out.
+	placements []placement
+	targets    map[string]fireflypath.Target
+	outbox     fireflypath.News
+	newsReady  chan struct{}
 }
 
-type placed struct {
+type placement struct {
 	work *fireflypath.Work
 	turn fireflypath.Turn
 }
@@ -60,7 +60,7 @@
 // New returns a scheduler that decides by itself until it is attached.
 func New(local Local) *Scheduler {
 	return &Scheduler{
-		Local: local, kicks: make(chan struct{}, 1), numbers: map[*fireflypath.Work]uint64{}, works: map[uint64]*fireflypath.Work{},
+		Local: local, newsReady: make(chan struct{}, 1), numbers: map[*fireflypath.Work]uint64{}, pending: map[uint64]*fireflypath.Work{},
 		targets: map[string]fireflypath.Target{},
 	}
 }
@@ -68,64 +68,64 @@
 // Attach turns to a new dispatcher and tells it everything.
 func (s *Scheduler) Attach(now time.Time) {
 	if s.attached {
-		s.forget()
+		s.reset()
 	}
 	s.attached = true
-	waiting := append(s.take(), s.Release()...)
-	s.Flights(func(w *fireflypath.Work, target string, sent time.Time, began bool) {
-		s.news.Flights = append(s.news.Flights, fireflypath.Flight{
+	waiting := append(s.takePending(), s.TakeWaiting()...)
+	s.EachInFlight(func(w *fireflypath.Work, target string, sent time.Time, began bool) {
+		s.outbox.Flights = append(s.outbox.Flights, fireflypath.Flight{
 			Offer: s.offer(now, w), Target: target, Sent: fireflypath.MicrosOf(now.Sub(sent)), Began: began,
 		})
 	})
 	for _, w := range waiting {
-		s.ask(now, w)
+		s.submit(now, w)
 	}
-	s.kick()
+	s.signal()
 }
 
 // Detach decides here from now on. It appends what there is no hope for to out.
 func (s *Scheduler) Detach(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	s.attached = false
-	waiting := s.take()
-	s.forget()
+	waiting := s.takePending()
+	s.reset()
 	for _, w := range waiting {
 		out = s.Local.Offer(now, w, out)
 	}
 	return out
 }
 
-// forget ends what is known between this daemon and a dispatcher.
-func (s *Scheduler) forget() {
+// reset ends what is known between this daemon and a dispatcher.
+func (s *Scheduler) reset() {
 	clear(s.numbers)
-	s.news = fireflypath.News{}
+	s.outbox = fireflypath.News{}
 }
 
-// take takes all work back that the dispatcher has not placed, in the order in which
+// takePending takes all work back that the dispatcher has not placed, in the order in which
 // it was offered.
-func (s *Scheduler) take() []*fireflypath.Work {
-	numbers := make([]uint64, 0, len(s.works))
-	for n := range s.works {
+func (s *Scheduler) takePending() []*fireflypath.Work {
+	numbers := make([]uint64, 0, len(s.pending))
+	for n := range s.pending {
 		numbers = append(numbers, n)
 	}
 	slices.Sort(numbers)
 	out := make([]*fireflypath.Work, 0, len(numbers))
 	for _, n := range numbers {
-		out = append(out, s.works[n])
+		out = append(out, s.pending[n])
 	}
-	clear(s.works)
-	for _, p := range s.placed {
+	clear(s.pending)
+	for _, p := range s.placements {
 		out = append(out, p.work)
 	}
-	s.placed = s.placed[:0]
+	s.placements = s.placements[:0]
 	return out
 }
 
-// Kicks brings something when there is something to tell the dispatcher.
-func (s *Scheduler) Kicks() <-chan struct{} { return s.kicks }
+// NewsReady brings something when there is something to tell the dispatcher.
+func (s *Scheduler) NewsReady() <-chan struct{} { return s.newsReady }
 
-func (s *Scheduler) kick() {
+func (s *Scheduler) signal() {
 	select {
-	case s.kicks <- struct{}{}:
+	case s.newsReady <- struct{}{}:
 	default:
 	}
 }
@@ -133,13 +133,13 @@
 // Attached is true while a dispatcher decides.
 func (s *Scheduler) Attached() bool { return s.attached }
 
-// Waits is true if work waits for the dispatcher.
-func (s *Scheduler) Waits() bool { return len(s.works) > 0 }
+// HasPending is true if work waits for the dispatcher.
+func (s *Scheduler) HasPending() bool { return len(s.pending) > 0 }
 
 // News takes what the dispatcher has not been told.
 func (s *Scheduler) News() fireflypath.News {
-	out := s.news
-	s.news = fireflypath.News{}
+	out := s.outbox
+	s.outbox = fireflypath.News{}
 	return out
 }
 
@@ -149,28 +149,28 @@
 // the same, each request would cost three messages to each daemon of the group.
 func (s *Scheduler) Report(m *fireflypath.Mate) {
 	m.Apart = m.Apart || !s.attached
-	if !s.attached || s.asked {
+	if !s.attached || s.peersNeedReports {
 		s.Local.Report(m)
 	}
 }
 
 // UpdatePeers takes in what the other daemons have in flight.
 func (s *Scheduler) UpdatePeers(now time.Time, mates []fireflypath.Mate) {
-	s.asked = slices.ContainsFunc(mates, func(m fireflypath.Mate) bool { return m.Apart })
+	s.peersNeedReports = slices.ContainsFunc(mates, func(m fireflypath.Mate) bool { return m.Apart })
 	s.Local.UpdatePeers(now, mates)
 }
 
-// Deliver takes in what the dispatcher decided. Refusals are appended to out;
+// ApplyDecisions takes in what the dispatcher decided. Refusals are appended to out;
 // placements come with Next.
-func (s *Scheduler) Deliver(now time.Time, turns []fireflypath.Turn, out []fireflypath.Shed) []fireflypath.Shed {
+func (s *Scheduler) ApplyDecisions(now time.Time, turns []fireflypath.Turn, out []fireflypath.Shed) []fireflypath.Shed {
 	for _, t := range turns {
-		w := s.works[t.Number]
+		w := s.pending[t.Number]
 		if w == nil {
 			continue // taken back meanwhile; the dispatcher was told
 		}
-		delete(s.works, t.Number)
+		delete(s.pending, t.Number)
 		if t.Target != "" {
-			s.placed = append(s.placed, placed{work: w, turn: t})
+			s.placements = append(s.placements, placement{work: w, turn: t})
 			continue
 		}
 		delete(s.numbers, w)
@@ -184,23 +184,23 @@
 	if !s.attached {
 		return s.Local.Offer(now, w, out)
 	}
-	s.ask(now, w)
+	s.submit(now, w)
 	return out
 }
 
-func (s *Scheduler) ask(now time.Time, w *fireflypath.Work) {
+func (s *Scheduler) submit(now time.Time, w *fireflypath.Work) {
 	o := s.offer(now, w)
-	s.works[o.Number] = w
-	s.news.Offers = append(s.news.Offers, o)
-	s.kick()
+	s.pending[o.Number] = w
+	s.outbox.Offers = append(s.outbox.Offers, o)
+	s.signal()
 }
 
 // offer describes the work to the dispatcher.
 func (s *Scheduler) offer(now time.Time, w *fireflypath.Work) fireflypath.Offer {
-	s.number++
-	s.numbers[w] = s.number
+	s.lastNumber++
+	s.numbers[w] = s.lastNumber
 	o := fireflypath.Offer{
-		Number: s.number, Rank: w.Rank, Prompt: w.Cost.Prompt, Output: w.Cost.Output, Expected: w.Output,
+		Number: s.lastNumber, Rank: w.Rank, Prompt: w.Cost.Prompt, Output: w.Cost.Output, Expected: w.Output,
 		Waited: fireflypath.MicrosOf(now.Sub(w.Arrived)), Goal: fireflypath.MicrosOf(w.Goal.Sub(now)),
 		Deadline: fireflypath.MicrosOf(w.Deadline.Sub(now)), Gap: fireflypath.MicrosOf(w.Gap), Avoid: w.Avoid,
 	}
@@ -212,17 +212,17 @@
 
 // Next gives out what the dispatcher placed, or what is decided here.
 func (s *Scheduler) Next(now time.Time, p *fireflypath.Placement) bool {
-	for len(s.placed) > 0 {
-		next := s.placed[0]
-		s.placed = s.placed[1:]
+	for len(s.placements) > 0 {
+		next := s.placements[0]
+		s.placements = s.placements[1:]
 		t, ok := s.targets[next.turn.Target]
 		if !ok || t.Drained {
 			// This daemon knows better, or not yet: a target that leaves gets nothing
 			// from a daemon that has heard of it.
-			s.again(next.work)
+			s.resubmit(next.work)
 			continue
 		}
-		s.Adopt(now, next.work, next.turn.Target, now, false)
+		s.AddInFlight(now, next.work, next.turn.Target, now, false)
 		*p = fireflypath.Placement{
 			Work: next.work, Target: t.Name, Waited: now.Sub(next.work.Arrived), Line: next.turn.Ahead,
 			First: next.turn.First.Std(), Considered: p.Considered[:0],
@@ -232,24 +232,24 @@
 	return !s.attached && s.Local.Next(now, p)
 }
 
-// again has the dispatcher decide once more.
-func (s *Scheduler) again(w *fireflypath.Work) {
+// resubmit has the dispatcher decide once more.
+func (s *Scheduler) resubmit(w *fireflypath.Work) {
 	n := s.numbers[w]
-	s.works[n] = w
-	s.tell(fireflypath.Progress{Number: n, Kind: fireflypath.EventUnsent})
+	s.pending[n] = w
+	s.addProgress(fireflypath.Progress{Number: n, Kind: fireflypath.EventUnsent})
 }
 
-func (s *Scheduler) tell(p fireflypath.Progress) {
-	s.news.Progress = append(s.news.Progress, p)
-	s.kick()
+func (s *Scheduler) addProgress(p fireflypath.Progress) {
+	s.outbox.Progress = append(s.outbox.Progress, p)
+	s.signal()
 }
 
-// leave tells that waiting work is no longer there.
-func (s *Scheduler) leave(n uint64, w *fireflypath.Work) {
-	delete(s.works, n)
+// withdrawPending tells that waiting work is no longer there.
+func (s *Scheduler) withdrawPending(n uint64, w *fireflypath.Work) {
+	delete(s.pending, n)
 	delete(s.numbers, w)
-	s.news.Withdrawn = append(s.news.Withdrawn, n)
-	s.kick()
+	s.outbox.Withdrawn = append(s.outbox.Withdrawn, n)
+	s.signal()
 }
 
 // Withdraw removes waiting work; it reports false if it was not waiting here.
@@ -258,15 +258,15 @@
 	if !known {
 		return s.Local.Withdraw(now, w)
 	}
-	_, waits := s.works[n]
-	at := slices.IndexFunc(s.placed, func(p placed) bool { return p.work == w })
+	_, waits := s.pending[n]
+	at := slices.IndexFunc(s.placements, func(p placement) bool { return p.work == w })
 	if !waits && at < 0 {
 		return false
 	}
 	if at >= 0 {
-		s.placed = slices.Delete(s.placed, at, at+1)
+		s.placements = slices.Delete(s.placements, at, at+1)
 	}
-	s.leave(n, w)
+	s.withdrawPending(n, w)
 	return true
 }
 
@@ -282,11 +282,11 @@
 		local := e
 		local.Kind = fireflypath.EventRefused
 		s.Local.Observe(now, local)
-		s.again(e.Work)
+		s.resubmit(e.Work)
 		return
 	}
 	s.Local.Observe(now, e)
-	s.tell(fireflypath.Progress{Number: n, Kind: e.Kind, Tokens: e.Tokens, Left: e.Left})
+	s.addProgress(fireflypath.Progress{Number: n, Kind: e.Kind, Tokens: e.Tokens, Left: e.Left})
 	if e.Kind != fireflypath.EventFirst {
 		delete(s.numbers, e.Work)
 	}
@@ -304,7 +304,7 @@
 // Demand summarises waiting and running work for the other daemons.
 func (s *Scheduler) Demand(now time.Time) fireflypath.Demand {
 	d := s.Local.Demand(now)
-	for _, w := range s.works {
+	for _, w := range s.pending {
 		if w.Rank < len(d.Waiting) {
 			d.Waiting[w.Rank] += w.Cost.Tokens()
 			d.Requests[w.Rank]++
--- a/internal/decide/remote/remote_test.go
+++ b/internal/decide/remote/remote_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// next is what is to be sent now.
-func next(s *remote.Scheduler, now time.Time) []fireflypath.Placement {
+// nextPlacements is what is to be sent now.
+func nextPlacements(s *remote.Scheduler, now time.Time) []fireflypath.Placement {
 	var out []fireflypath.Placement
 	var p fireflypath.Placement
 	for s.Next(now, &p) {
@@ -51,32 +51,32 @@
 // The daemon that decides for all is killed while requests wait for it. They are
 // scheduled by this daemon at once, each of them, and no caller notices more than a
 // moment of waiting.
-func TestWorkOfALostDispatcherIsScheduledHere(t *testing.T) {
+func TestPendingWorkIsScheduledLocallyAfterDetach(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(2)
 	s.Attach(start)
 	for i := range 4 {
 		is.Equal(len(s.Offer(start, work(i, start), nil)), 0)
 	}
-	is.Equal(len(next(s, start)), 0)
+	is.Equal(len(nextPlacements(s, start)), 0)
 	is.Equal(len(s.News().Offers), 4)
-	s.Deliver(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
-	is.Equal(len(next(s, start)), 1)
+	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
+	is.Equal(len(nextPlacements(s, start)), 1)
 	is.Equal(len(s.Detach(start, nil)), 0)
-	is.Equal(len(next(s, start)), 3)
+	is.Equal(len(nextPlacements(s, start)), 3)
 	// A late word of the lost one places nothing twice.
-	s.Deliver(start, []fireflypath.Turn{{Number: 2, Target: "t1"}}, nil)
-	is.Equal(len(next(s, start)), 0)
+	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 2, Target: "t1"}}, nil)
+	is.Equal(len(nextPlacements(s, start)), 0)
 }
 
 // Another daemon takes over. It is told what waits and what is at the targets.
-func TestNewDispatcherIsToldEverything(t *testing.T) {
+func TestAttachReportsWaitingAndInFlightWork(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(1)
 	for i := range 7 {
 		s.Offer(start, work(i, start), nil)
 	}
-	sent := next(s, start)
+	sent := nextPlacements(s, start)
 	is.Equal(len(sent), 3)
 	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirst, Target: "t0", Work: sent[0].Work})
 	s.Attach(start.Add(time.Second))
@@ -92,7 +92,7 @@
 
 // The dispatcher has not heard yet that a target leaves. A daemon that has sends
 // nothing there, and the request goes elsewhere.
-func TestTargetThatLeavesGetsNothing(t *testing.T) {
+func TestDrainedTargetGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(2)
 	s.Attach(start)
@@ -101,16 +101,16 @@
 	list := targets(2)
 	list[0].Drained = true
 	s.SetTargets(start, list)
-	s.Deliver(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
-	is.Equal(len(next(s, start)), 0)
+	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
+	is.Equal(len(nextPlacements(s, start)), 0)
 	is.Equal(s.News().Progress, []fireflypath.Progress{{Number: 1, Kind: fireflypath.EventUnsent}})
-	s.Deliver(start, []fireflypath.Turn{{Number: 1, Target: "t1"}}, nil)
-	is.Equal(len(next(s, start)), 1)
+	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t1"}}, nil)
+	is.Equal(len(nextPlacements(s, start)), 1)
 }
 
 // The dispatcher answers everything but one request. Its caller gets an answer all the
 // same.
-func TestForgottenWorkIsRefused(t *testing.T) {
+func TestUndecidedWorkIsRefused(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(1)
 	s.Attach(start)
@@ -124,7 +124,7 @@
 
 // Dispatchers come and go, forget and repeat themselves at any moment, and callers
 // leave. Each request is sent at most once and ends in exactly one way.
-func TestEachWorkIsGivenOutOnce(t *testing.T) {
+func TestEachRequestEndsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := scheduler(2)
 		now := start
@@ -140,7 +140,7 @@
 			for _, sh := range sheds {
 				end(sh.Work, "refused")
 			}
-			for _, p := range next(s, now) {
+			for _, p := range nextPlacements(s, now) {
 				end(p.Work, "sent")
 			}
 		}
@@ -160,7 +160,7 @@
 				if rapid.Bool().Draw(t, "placed") {
 					turn.Target = fmt.Sprintf("t%d", rapid.IntRange(0, 2).Draw(t, "target"))
 				}
-				take(s.Deliver(now, []fireflypath.Turn{turn}, nil))
+				take(s.ApplyDecisions(now, []fireflypath.Turn{turn}, nil))
 			case 5:
 				if len(all) == 0 {
 					continue
@@ -195,13 +195,13 @@
 // A dispatcher decides for a group of daemons and knows all their work. Told to each
 // other besides, every request cost each of them several messages. As soon as some
 // other places work too, it tells what it has in flight.
-func TestServedDaemonsTellEachOtherNothing(t *testing.T) {
+func TestAttachedDaemonSendsNoReports(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(1)
 	s.Attach(start)
 	s.Offer(start, work(1, start), nil)
-	s.Deliver(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
-	is.Equal(len(next(s, start)), 1)
+	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
+	is.Equal(len(nextPlacements(s, start)), 1)
 	told := func() fireflypath.Mate {
 		m := fireflypath.NewMate("a")
 		s.Report(&m)
--- a/internal/decide/slots/transfer.go
+++ b/internal/decide/slots/transfer.go
@@ -8,9 +8,9 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Adopt counts a request that another scheduler dispatched to the target with the
+// AddInFlight counts a request that another scheduler dispatched to the target with the
 // given identity.
-func (s *Scheduler) Adopt(now time.Time, w *fireflypath.Work, identity string, sent time.Time, began bool) {
+func (s *Scheduler) AddInFlight(now time.Time, w *fireflypath.Work, identity string, sent time.Time, began bool) {
 	i := slices.IndexFunc(s.ordered, func(t *target) bool { return t.id == identity })
 	if i < 0 {
 		return // that incarnation has ended, or is not known here yet
@@ -27,16 +27,16 @@
 	t.markProbe(now)
 }
 
-// Release removes and returns all waiting requests in order of arrival.
-func (s *Scheduler) Release() []*fireflypath.Work {
+// TakeWaiting removes and returns all waiting requests in order of arrival.
+func (s *Scheduler) TakeWaiting() []*fireflypath.Work {
 	out := s.waiting
 	s.waiting = nil
 	return out
 }
 
-// Flights calls fn for all requests in flight in order of dispatch. Targets are
+// EachInFlight calls fn for all requests in flight in order of dispatch. Targets are
 // named by identity.
-func (s *Scheduler) Flights(fn func(w *fireflypath.Work, target string, sent time.Time, began bool)) {
+func (s *Scheduler) EachInFlight(fn func(w *fireflypath.Work, target string, sent time.Time, began bool)) {
 	all := make([]*fireflypath.Work, 0, len(s.inFlight))
 	for w := range s.inFlight {
 		all = append(all, w)
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -47,7 +47,7 @@
 		case <-ctx.Done():
 			c.endSession(c.dispatcher, c.currentSession())
 			return
-		case <-c.sched.Kicks():
+		case <-c.sched.NewsReady():
 		case <-t.Chan():
 		}
 	}
@@ -61,7 +61,7 @@
 	var changes fireflypath.News
 	waiting := false
 	c.pool.Update(func(_ time.Time, out []fireflypath.Shed) []fireflypath.Shed {
-		changes, waiting = c.sched.News(), c.sched.Waits()
+		changes, waiting = c.sched.News(), c.sched.HasPending()
 		return out
 	})
 	interval := idleHeartbeat
@@ -214,7 +214,7 @@
 	}
 	if len(m.Turns) > 0 {
 		c.pool.Update(func(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
-			return c.sched.Deliver(now, m.Turns, out)
+			return c.sched.ApplyDecisions(now, m.Turns, out)
 		})
 	}
 	return true
--- a/internal/sim/dispatch.go
+++ b/internal/sim/dispatch.go
@@ -127,7 +127,7 @@
 }
 
 func (c *client) deliver(turns []fireflypath.Turn) {
-	c.d.shed(c.r.Deliver(c.d.w.loop.Now(), turns, nil))
+	c.d.shed(c.r.ApplyDecisions(c.d.w.loop.Now(), turns, nil))
 	c.d.pump()
 }
 
