--- a/internal/decide/remote/expire.go
+++ b/internal/decide/remote/expire.go
@@ -6,11 +6,11 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Expire appends waiting work whose time is over.
+// Expire appends the waiting requests that have expired.
 func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	out = s.Local.Expire(now, out)
 	for n, w := range s.pending {
-		if now.Before(callerGone(w).Add(replyGrace)) {
+		if now.Before(expiresAt(w).Add(replyGrace)) {
 			continue
 		}
 		s.withdrawPending(n, w)
@@ -22,30 +22,30 @@
 	return out
 }
 
-// retryAfter is told to callers whom the dispatcher left without an answer: by then
-// another one decides.
+// retryAfter is for callers whose request got no answer from the dispatcher: by then
+// another dispatcher decides.
 const retryAfter = 300 * time.Millisecond
 
-// callerGone is when the caller of waiting work leaves.
-func callerGone(w *fireflypath.Work) time.Time {
+// expiresAt is when the caller of a waiting request gives up.
+func expiresAt(w *fireflypath.Work) time.Time {
 	if !w.Leaves.IsZero() && w.Leaves.Before(w.Deadline) {
 		return w.Leaves
 	}
 	return w.Deadline
 }
 
-// Wake is when Next or Expire may have something new without an event.
+// Wake is when Next or Expire may have a result without another event.
 func (s *Scheduler) Wake(now time.Time) time.Time {
-	at := s.Local.Wake(now)
+	next := s.Local.Wake(now)
 	for _, w := range s.pending {
-		if due := callerGone(w).Add(replyGrace); at.IsZero() || due.Before(at) {
-			at = due
+		if due := expiresAt(w).Add(replyGrace); next.IsZero() || due.Before(next) {
+			next = due
 		}
 	}
-	return at
+	return next
 }
 
-// Relieve gives up waiting work of lower tiers, lowest first.
+// Relieve drops waiting requests of lower tiers, lowest tier first.
 func (s *Scheduler) Relieve(now time.Time, rank, tokens int, out []fireflypath.Shed) []fireflypath.Shed {
 	for freed := 0; freed < tokens && len(s.pending) > 0; {
 		w := s.lowestTierPending()
@@ -61,14 +61,14 @@
 	return s.Local.Relieve(now, rank, tokens, out)
 }
 
-// lowestTierPending is the work of the lowest tier that waits for the dispatcher, of equal ones
-// the newest.
+// lowestTierPending is the pending request of the lowest tier, the newest one of that
+// tier.
 func (s *Scheduler) lowestTierPending() *fireflypath.Work {
-	var low *fireflypath.Work
+	var lowest *fireflypath.Work
 	for n, w := range s.pending {
-		if low == nil || w.Rank > low.Rank || w.Rank == low.Rank && n > s.numbers[low] {
-			low = w
+		if lowest == nil || w.Rank > lowest.Rank || w.Rank == lowest.Rank && n > s.numbers[lowest] {
+			lowest = w
 		}
 	}
-	return low
+	return lowest
 }
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -1,9 +1,10 @@
-// Package remote has a pool's dispatcher decide, and decides itself while none answers.
+// Package remote lets a pool's dispatcher make the scheduling decisions, and makes them
+// locally while no dispatcher is available.
 //
-// It answers the loss of the daemon that decides for a group: killed, cut off,
-// frozen or slow. What waited there is taken back and scheduled by this daemon
-// alone until another dispatcher takes it, so that callers wait for a fraction of
-// their goal longer and none is lost.
+// It handles the loss of the daemon that runs the dispatcher: killed, partitioned, frozen
+// or slow. Requests waiting there are taken back and scheduled by this daemon alone until
+// another dispatcher takes over, so that callers wait longer by a fraction of their goal
+// and no request is lost.
 package remote
 
 import (
@@ -13,22 +14,22 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Local decides while no dispatcher does. It follows this daemon's work at the
-// targets all the time, so that what it knows is never old.
+// Local is the scheduler used while there is no dispatcher. It tracks this daemon's
+// in-flight requests all the time, so that its state is always current.
 type Local interface {
 	fireflypath.Scheduler
 	Report(m *fireflypath.Mate)
 	UpdatePeers(now time.Time, mates []fireflypath.Mate)
-	// AddInFlight counts work that is at a target already.
+	// AddInFlight counts a request that is already at a target.
 	AddInFlight(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
-	// TakeWaiting takes all waiting work out.
+	// TakeWaiting removes and returns all waiting requests.
 	TakeWaiting() []*fireflypath.Work
-	// EachInFlight calls fn for all work at targets, which are named by identity.
+	// EachInFlight calls fn for every request at a target; targets are named by identity.
 	EachInFlight(fn func(w *fireflypath.Work, target string, sent time.Time, began bool))
 }
 
-// replyGrace is how long after its end waiting work is refused here that the
-// dispatcher has not refused: its word may be on the way.
+// replyGrace is how long after its expiry a request is kept if the dispatcher has not
+// decided on it: the refusal may be on the way.
 const replyGrace = 50 * time.Millisecond
 
 // Scheduler implements fireflypath.Scheduler. It is not safe for concurrent use.
@@ -36,14 +37,15 @@
 	Local
 	// attached is true while a dispatcher decides.
 	attached bool
-	// peersNeedReports is true if some other daemon has to know what this one has in flight.
+	// peersNeedReports is true if another daemon needs to know this one's in-flight
+	// requests.
 	peersNeedReports bool
 	lastNumber       uint64
-	// numbers are those of work that the dispatcher knows; works are those of them
-	// that wait for its decision.
+	// numbers holds the requests known to the dispatcher; pending holds those that wait
+	// for its decision.
 	numbers map[*fireflypath.Work]uint64
 	pending map[uint64]*fireflypath.Work
-	// placements is what it decided and Next has not given out.
+	// placements were decided by the dispatcher and not yet returned by Next.
 	placements []placement
 	targets    map[string]fireflypath.Target
 	outbox     fireflypath.News
@@ -57,7 +59,7 @@
 
 var _ fireflypath.Scheduler = (*Scheduler)(nil)
 
-// New returns a scheduler that decides by itself until it is attached.
+// New returns a detached scheduler.
 func New(local Local) *Scheduler {
 	return &Scheduler{
 		Local: local, newsReady: make(chan struct{}, 1), numbers: map[*fireflypath.Work]uint64{}, pending: map[uint64]*fireflypath.Work{},
@@ -65,43 +67,43 @@
 	}
 }
 
-// Attach turns to a new dispatcher and tells it everything.
+// Attach switches to a new dispatcher and sends it all waiting and in-flight requests.
 func (s *Scheduler) Attach(now time.Time) {
 	if s.attached {
 		s.reset()
 	}
 	s.attached = true
-	waiting := append(s.takePending(), s.TakeWaiting()...)
+	requests := append(s.takePending(), s.TakeWaiting()...)
 	s.EachInFlight(func(w *fireflypath.Work, target string, sent time.Time, began bool) {
 		s.outbox.Flights = append(s.outbox.Flights, fireflypath.Flight{
 			Offer: s.offer(now, w), Target: target, Sent: fireflypath.MicrosOf(now.Sub(sent)), Began: began,
 		})
 	})
-	for _, w := range waiting {
+	for _, w := range requests {
 		s.submit(now, w)
 	}
 	s.signal()
 }
 
-// Detach decides here from now on. It appends what there is no hope for to out.
+// Detach switches to local scheduling. It appends requests that cannot be served to out.
 func (s *Scheduler) Detach(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	s.attached = false
-	waiting := s.takePending()
+	requests := s.takePending()
 	s.reset()
-	for _, w := range waiting {
+	for _, w := range requests {
 		out = s.Local.Offer(now, w, out)
 	}
 	return out
 }
 
-// reset ends what is known between this daemon and a dispatcher.
+// reset drops the state shared with a dispatcher.
 func (s *Scheduler) reset() {
 	clear(s.numbers)
 	s.outbox = fireflypath.News{}
 }
 
-// takePending takes all work back that the dispatcher has not placed, in the order in which
-// it was offered.
+// takePending takes back all requests that Next has not returned: the undecided ones in
+// the order in which they were offered, then the placed ones.
 func (s *Scheduler) takePending() []*fireflypath.Work {
 	numbers := make([]uint64, 0, len(s.pending))
 	for n := range s.pending {
@@ -120,7 +122,7 @@
 	return out
 }
 
-// NewsReady brings something when there is something to tell the dispatcher.
+// NewsReady signals that there is news for the dispatcher.
 func (s *Scheduler) NewsReady() <-chan struct{} { return s.newsReady }
 
 func (s *Scheduler) signal() {
@@ -130,23 +132,23 @@
 	}
 }
 
-// Attached is true while a dispatcher decides.
+// Attached reports whether a dispatcher decides.
 func (s *Scheduler) Attached() bool { return s.attached }
 
-// HasPending is true if work waits for the dispatcher.
+// HasPending reports whether requests wait for the dispatcher.
 func (s *Scheduler) HasPending() bool { return len(s.pending) > 0 }
 
-// News takes what the dispatcher has not been told.
+// News takes the messages not yet sent to the dispatcher.
 func (s *Scheduler) News() fireflypath.News {
 	out := s.outbox
 	s.outbox = fireflypath.News{}
 	return out
 }
 
-// Report tells the other daemons what this one has in flight, if work is placed by more
-// than one of them: each has to know what the others placed, or targets get as many
-// times what they can run. While one decides for all it knows everything, and told all
-// the same, each request would cost three messages to each daemon of the group.
+// Report adds this daemon's in-flight requests to the report for peers, if several daemons
+// place requests: each must know the others' placements, or targets get several times the
+// load they can run. While one dispatcher decides for all, it knows everything, and a
+// report would cost three messages to each daemon of the group for every request.
 func (s *Scheduler) Report(m *fireflypath.Mate) {
 	m.Apart = m.Apart || !s.attached
 	if !s.attached || s.peersNeedReports {
@@ -154,19 +156,19 @@
 	}
 }
 
-// UpdatePeers takes in what the other daemons have in flight.
-func (s *Scheduler) UpdatePeers(now time.Time, mates []fireflypath.Mate) {
-	s.peersNeedReports = slices.ContainsFunc(mates, func(m fireflypath.Mate) bool { return m.Apart })
-	s.Local.UpdatePeers(now, mates)
+// UpdatePeers applies the peers' reports of in-flight requests.
+func (s *Scheduler) UpdatePeers(now time.Time, peers []fireflypath.Mate) {
+	s.peersNeedReports = slices.ContainsFunc(peers, func(m fireflypath.Mate) bool { return m.Apart })
+	s.Local.UpdatePeers(now, peers)
 }
 
-// ApplyDecisions takes in what the dispatcher decided. Refusals are appended to out;
-// placements come with Next.
+// ApplyDecisions applies the dispatcher's decisions. Refusals are appended to out;
+// placements are returned by Next.
 func (s *Scheduler) ApplyDecisions(now time.Time, turns []fireflypath.Turn, out []fireflypath.Shed) []fireflypath.Shed {
 	for _, t := range turns {
 		w := s.pending[t.Number]
 		if w == nil {
-			continue // taken back meanwhile; the dispatcher was told
+			continue // taken back in the meantime; the dispatcher was informed
 		}
 		delete(s.pending, t.Number)
 		if t.Target != "" {
@@ -179,7 +181,7 @@
 	return out
 }
 
-// Offer takes work in.
+// Offer adds a request.
 func (s *Scheduler) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	if !s.attached {
 		return s.Local.Offer(now, w, out)
@@ -195,7 +197,7 @@
 	s.signal()
 }
 
-// offer describes the work to the dispatcher.
+// offer describes the request to the dispatcher.
 func (s *Scheduler) offer(now time.Time, w *fireflypath.Work) fireflypath.Offer {
 	s.lastNumber++
 	s.numbers[w] = s.lastNumber
@@ -210,15 +212,15 @@
 	return o
 }
 
-// Next gives out what the dispatcher placed, or what is decided here.
+// Next returns the dispatcher's next placement or, while detached, the local scheduler's.
 func (s *Scheduler) Next(now time.Time, p *fireflypath.Placement) bool {
 	for len(s.placements) > 0 {
 		next := s.placements[0]
 		s.placements = s.placements[1:]
 		t, ok := s.targets[next.turn.Target]
 		if !ok || t.Drained {
-			// This daemon knows better, or not yet: a target that leaves gets nothing
-			// from a daemon that has heard of it.
+			// The target is unknown here, or this daemon already knows that it is leaving,
+			// and then sends it nothing.
 			s.resubmit(next.work)
 			continue
 		}
@@ -232,7 +234,7 @@
 	return !s.attached && s.Local.Next(now, p)
 }
 
-// resubmit has the dispatcher decide once more.
+// resubmit asks the dispatcher to decide again.
 func (s *Scheduler) resubmit(w *fireflypath.Work) {
 	n := s.numbers[w]
 	s.pending[n] = w
@@ -244,7 +246,7 @@
 	s.signal()
 }
 
-// withdrawPending tells that waiting work is no longer there.
+// withdrawPending removes a waiting request and informs the dispatcher.
 func (s *Scheduler) withdrawPending(n uint64, w *fireflypath.Work) {
 	delete(s.pending, n)
 	delete(s.numbers, w)
@@ -252,25 +254,25 @@
 	s.signal()
 }
 
-// Withdraw removes waiting work; it reports false if it was not waiting here.
+// Withdraw removes a waiting request; it reports false if none was waiting here.
 func (s *Scheduler) Withdraw(now time.Time, w *fireflypath.Work) bool {
 	n, known := s.numbers[w]
 	if !known {
 		return s.Local.Withdraw(now, w)
 	}
-	_, waits := s.pending[n]
-	at := slices.IndexFunc(s.placements, func(p placement) bool { return p.work == w })
-	if !waits && at < 0 {
+	_, pending := s.pending[n]
+	i := slices.IndexFunc(s.placements, func(p placement) bool { return p.work == w })
+	if !pending && i < 0 {
 		return false
 	}
-	if at >= 0 {
-		s.placements = slices.Delete(s.placements, at, at+1)
+	if i >= 0 {
+		s.placements = slices.Delete(s.placements, i, i+1)
 	}
 	s.withdrawPending(n, w)
 	return true
 }
 
-// Observe learns from an event at a target and tells the dispatcher.
+// Observe applies an event at a target and informs the dispatcher.
 func (s *Scheduler) Observe(now time.Time, e fireflypath.Event) {
 	n, known := s.numbers[e.Work]
 	if e.Work == nil || !known {
@@ -278,7 +280,7 @@
 		return
 	}
 	if e.Kind == fireflypath.EventUnsent && s.attached {
-		// Not sent, it waits for the dispatcher again, and not here.
+		// The request was not sent, so it waits for the dispatcher again, not locally.
 		local := e
 		local.Kind = fireflypath.EventRefused
 		s.Local.Observe(now, local)
@@ -301,7 +303,7 @@
 	}
 }
 
-// Demand summarises waiting and running work for the other daemons.
+// Demand summarizes waiting and running requests for the other daemons.
 func (s *Scheduler) Demand(now time.Time) fireflypath.Demand {
 	d := s.Local.Demand(now)
 	for _, w := range s.pending {
--- a/internal/decide/remote/remote_test.go
+++ b/internal/decide/remote/remote_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// nextPlacements is what is to be sent now.
+// nextPlacements returns what is to be sent now.
 func nextPlacements(s *remote.Scheduler, now time.Time) []fireflypath.Placement {
 	var out []fireflypath.Placement
 	var p fireflypath.Placement
@@ -48,9 +48,8 @@
 	return out
 }
 
-// The daemon that decides for all is killed while requests wait for it. They are
-// scheduled by this daemon at once, each of them, and no caller notices more than a
-// moment of waiting.
+// The daemon that runs the dispatcher is killed while requests wait for it. All of them
+// are scheduled locally at once, so that callers wait only a moment longer.
 func TestPendingWorkIsScheduledLocallyAfterDetach(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(2)
@@ -64,12 +63,13 @@
 	is.Equal(len(nextPlacements(s, start)), 1)
 	is.Equal(len(s.Detach(start, nil)), 0)
 	is.Equal(len(nextPlacements(s, start)), 3)
-	// A late word of the lost one places nothing twice.
+	// A late decision of the lost dispatcher places nothing twice.
 	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 2, Target: "t1"}}, nil)
 	is.Equal(len(nextPlacements(s, start)), 0)
 }
 
-// Another daemon takes over. It is told what waits and what is at the targets.
+// Another daemon takes over as dispatcher. It is sent the waiting and the in-flight
+// requests.
 func TestAttachReportsWaitingAndInFlightWork(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(1)
@@ -90,8 +90,8 @@
 	is.Equal(s.News().Progress, []fireflypath.Progress{{Number: news.Flights[1].Number, Kind: fireflypath.EventDone, Tokens: 9}})
 }
 
-// The dispatcher has not heard yet that a target leaves. A daemon that has sends
-// nothing there, and the request goes elsewhere.
+// The dispatcher does not know yet that a target is leaving. A daemon that does sends
+// nothing there, and the request is placed elsewhere.
 func TestDrainedTargetGetsNoWork(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(2)
@@ -108,8 +108,7 @@
 	is.Equal(len(nextPlacements(s, start)), 1)
 }
 
-// The dispatcher answers everything but one request. Its caller gets an answer all the
-// same.
+// The dispatcher decides on all requests but one, whose caller must still get an answer.
 func TestUndecidedWorkIsRefused(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(1)
@@ -122,26 +121,26 @@
 	is.True(sheds[0].RetryAfter > 0)
 }
 
-// Dispatchers come and go, forget and repeat themselves at any moment, and callers
-// leave. Each request is sent at most once and ends in exactly one way.
+// Dispatchers come and go and lose or repeat decisions at any time, and callers leave.
+// Each request is sent at most once and ends in exactly one way.
 func TestEachRequestEndsExactlyOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := scheduler(2)
 		now := start
 		var all []*fireflypath.Work
-		fate := map[*fireflypath.Work]string{}
-		end := func(w *fireflypath.Work, how string) {
-			if old, ok := fate[w]; ok {
+		ends := map[*fireflypath.Work]string{}
+		finish := func(w *fireflypath.Work, how string) {
+			if old, ok := ends[w]; ok {
 				t.Fatalf("%s ended as %s and %s", w.ID, old, how)
 			}
-			fate[w] = how
+			ends[w] = how
 		}
-		take := func(sheds []fireflypath.Shed) {
+		collect := func(sheds []fireflypath.Shed) {
 			for _, sh := range sheds {
-				end(sh.Work, "refused")
+				finish(sh.Work, "refused")
 			}
 			for _, p := range nextPlacements(s, now) {
-				end(p.Work, "sent")
+				finish(p.Work, "sent")
 			}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -150,51 +149,51 @@
 			case 0, 1:
 				w := work(len(all), now)
 				all = append(all, w)
-				take(s.Offer(now, w, nil))
+				collect(s.Offer(now, w, nil))
 			case 2:
 				s.Attach(now)
 			case 3:
-				take(s.Detach(now, nil))
+				collect(s.Detach(now, nil))
 			case 4:
 				turn := fireflypath.Turn{Number: uint64(rapid.IntRange(1, len(all)+3).Draw(t, "number"))}
 				if rapid.Bool().Draw(t, "placed") {
 					turn.Target = fmt.Sprintf("t%d", rapid.IntRange(0, 2).Draw(t, "target"))
 				}
-				take(s.ApplyDecisions(now, []fireflypath.Turn{turn}, nil))
+				collect(s.ApplyDecisions(now, []fireflypath.Turn{turn}, nil))
 			case 5:
 				if len(all) == 0 {
 					continue
 				}
 				w := all[rapid.IntRange(0, len(all)-1).Draw(t, "caller")]
 				if s.Withdraw(now, w) {
-					end(w, "withdrawn")
+					finish(w, "withdrawn")
 				}
 			case 6:
-				take(s.Expire(now, nil))
+				collect(s.Expire(now, nil))
 			case 7:
 				for _, w := range all {
-					if fate[w] == "sent" {
-						fate[w] = "done"
+					if ends[w] == "sent" {
+						ends[w] = "done"
 						s.Observe(now, fireflypath.Event{Kind: fireflypath.EventDone, Target: "t0", Work: w})
 						break
 					}
 				}
-				take(nil)
+				collect(nil)
 			}
 		}
 		now = now.Add(time.Minute)
-		take(s.Expire(now, nil))
+		collect(s.Expire(now, nil))
 		for _, w := range all {
-			if _, ok := fate[w]; !ok {
-				t.Fatalf("%s was forgotten", w.ID)
+			if _, ok := ends[w]; !ok {
+				t.Fatalf("%s never ended", w.ID)
 			}
 		}
 	})
 }
 
-// A dispatcher decides for a group of daemons and knows all their work. Told to each
-// other besides, every request cost each of them several messages. As soon as some
-// other places work too, it tells what it has in flight.
+// A dispatcher that decides for a group knows all requests. If daemons also sent reports
+// to each other, every request would cost each of them several messages. Reports are sent
+// as soon as another daemon places requests too.
 func TestAttachedDaemonSendsNoReports(t *testing.T) {
 	is := is.New(t)
 	s := scheduler(1)
@@ -202,18 +201,18 @@
 	s.Offer(start, work(1, start), nil)
 	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
 	is.Equal(len(nextPlacements(s, start)), 1)
-	told := func() fireflypath.Mate {
+	report := func() fireflypath.Mate {
 		m := fireflypath.NewMate("a")
 		s.Report(&m)
 		return m
 	}
-	is.Equal(len(told().Flights), 0)
+	is.Equal(len(report().Flights), 0)
 	s.UpdatePeers(start, []fireflypath.Mate{{Name: "b", Apart: true}})
-	is.Equal(told().Flights, map[string]int{"t0": 1})
-	is.True(!told().Apart) // or the two would go on for each other's sake
+	is.Equal(report().Flights, map[string]int{"t0": 1})
+	is.True(!report().Apart) // otherwise each daemon would keep the other one reporting
 	s.UpdatePeers(start, []fireflypath.Mate{{Name: "b"}})
-	is.Equal(len(told().Flights), 0)
+	is.Equal(len(report().Flights), 0)
 	s.Detach(start, nil)
-	is.Equal(told().Flights, map[string]int{"t0": 1})
-	is.True(told().Apart)
+	is.Equal(report().Flights, map[string]int{"t0": 1})
+	is.True(report().Apart)
 }
