--- /dev/null
+++ b/internal/quarantine/entries.go
@@ -0,0 +1,239 @@
+package quarantine
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/fireflypath/fireflypath"
+	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/digest"
+	"github.com/fireflypath/fireflypath/internal/peer"
+)
+
+const (
+	// suspectTTL is how long a suspect is kept.
+	suspectTTL = 10 * time.Minute
+	// retention is how long an entry is kept after its end. While it is kept, a request that
+	// is sent again crashes one target before it is held, not three.
+	retention = 24 * time.Hour
+	// maxEntries limits the entries kept, maxPerBeat those in one heartbeat.
+	maxEntries = 1024
+	maxPerBeat = 32
+)
+
+// entry is the state of a request as known to all daemons.
+type entry struct {
+	decide.Verdict
+	// version increases with each change of the entry, at any daemon.
+	version uint64
+	// seq numbers the changes applied by this daemon; it decides which peers still need the
+	// entry.
+	seq uint64
+	// stored is true if the store holds the entry.
+	stored bool
+}
+
+// statePrecedence decides between entries of the same version, which arise when two
+// coordinators decide at the same time.
+var statePrecedence = map[decide.State]int{decide.Suspect: 1, decide.Held: 2, decide.Cleared: 3}
+
+// supersedes reports whether e replaces o.
+func (e entry) supersedes(o entry) bool {
+	return e.version > o.version || e.version == o.version && statePrecedence[e.State] > statePrecedence[o.State]
+}
+
+// recordVerdict stores a verdict made by this daemon. The caller holds mu.
+func (q *Quarantine) recordVerdict(v decide.Verdict) {
+	old := (*q.entries.Load())[v.Digest]
+	if v.State == decide.Suspect {
+		v.Until = q.deps.Clock.Now().Add(suspectTTL)
+	}
+	if v.State == decide.Cleared {
+		v.Until = q.deps.Clock.Now()
+	}
+	e := entry{Verdict: v, version: old.version + 1, stored: old.stored}
+	if v.State == decide.Held || old.stored || old.State == decide.Held {
+		q.unsaved[v.Digest] = true
+		notify(q.saveWake)
+	}
+	q.setEntry(e)
+}
+
+// setEntry replaces an entry and marks it for sending to the peers. The caller holds mu.
+func (q *Quarantine) setEntry(e entry) {
+	now := q.deps.Clock.Now()
+	q.lastSeq++
+	e.seq = q.lastSeq
+	next := maps.Clone(*q.entries.Load())
+	if next[e.Digest].stored {
+		e.stored = true
+	}
+	next[e.Digest] = e
+	prune(next, now)
+	q.entries.Store(&next)
+	q.updateGauges(now, next)
+	q.logEntry(e)
+}
+
+// prune removes outdated entries, and if there are still too many, those that end first.
+func prune(list map[digest.Digest]entry, now time.Time) {
+	maps.DeleteFunc(list, func(_ digest.Digest, e entry) bool {
+		return now.Sub(e.Until) > retention || e.State == decide.Suspect && now.After(e.Until)
+	})
+	for len(list) > maxEntries {
+		var first digest.Digest
+		for d, e := range list {
+			if o, ok := list[first]; !ok || e.Until.Before(o.Until) {
+				first = d
+			}
+		}
+		delete(list, first)
+	}
+}
+
+// updateGauges sets the gauges of held and suspect requests.
+func (q *Quarantine) updateGauges(now time.Time, list map[digest.Digest]entry) {
+	held, suspects := 0, 0
+	for _, e := range list {
+		switch {
+		case e.State == decide.Suspect:
+			suspects++
+		case e.State == decide.Held && now.Before(e.Until):
+			held++
+		}
+	}
+	q.metrics.held.Update(float64(held))
+	q.metrics.suspects.Update(float64(suspects))
+}
+
+// logEntry logs a change of a request's state.
+func (q *Quarantine) logEntry(e entry) {
+	fields := []zap.Field{zap.Stringer("digest", e.Digest), zap.String("pool", e.Pool), zap.Int("targets", e.Crashes)}
+	switch e.State {
+	case decide.Suspect:
+		q.deps.Log.Info("suspected poison request, targets crashed while running it", fields...)
+	case decide.Held:
+		q.deps.Log.Warn("poison request held, it crashes targets", append(fields, zap.Time("until", e.Until), zap.Int("times", e.Holds))...)
+	case decide.Cleared:
+		q.deps.Log.Info("request cleared, it was answered or released", fields...)
+	}
+}
+
+// mergeEntry applies an entry from another daemon or the store, and reports whether it was
+// new.
+func (q *Quarantine) mergeEntry(e entry) bool {
+	now := q.deps.Clock.Now()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if old := (*q.entries.Load())[e.Digest]; !e.supersedes(old) {
+		return false
+	}
+	q.setEntry(e)
+	q.detector.ApplyVerdict(now, e.Verdict)
+	if e.State != decide.Cleared && q.recentAnswers.contains(now, e.Digest) {
+		q.reports.add(now, observation{served: e.Digest})
+		q.wakeStep()
+	}
+	return true
+}
+
+// addToBeat adds the entries that a peer has not been sent to a heartbeat.
+func (q *Quarantine) addToBeat(to string, b *peer.Beat) {
+	unsent, more := q.unsentEntries(to)
+	for _, e := range unsent {
+		b.Holds = append(b.Holds, peer.Hold{
+			Digest: e.Digest.String(), Pool: e.Pool, State: string(e.State), Number: e.version, Until: e.Until.UnixMilli(),
+			Targets: e.Crashes, Times: e.Holds,
+		})
+	}
+	if more {
+		q.flushPeers()
+	}
+}
+
+// unsentEntries returns the entries for the next heartbeat to a peer, marks them as sent, and
+// reports whether there are more.
+func (q *Quarantine) unsentEntries(to string) (unsent []entry, more bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	after := q.sentSeq[to]
+	if after == q.lastSeq {
+		return nil, false
+	}
+	for _, e := range *q.entries.Load() {
+		if e.seq > after {
+			unsent = append(unsent, e)
+		}
+	}
+	slices.SortFunc(unsent, func(a, b entry) int { return cmp.Compare(a.seq, b.seq) })
+	q.sentSeq[to] = q.lastSeq
+	if len(unsent) <= maxPerBeat {
+		return unsent, false
+	}
+	q.sentSeq[to] = unsent[maxPerBeat-1].seq
+	return unsent[:maxPerBeat], true
+}
+
+// receiveBeat applies the entries in a peer's heartbeat and forwards new ones.
+func (q *Quarantine) receiveBeat(_ string, b *peer.Beat) {
+	changed := false
+	for _, h := range b.Holds {
+		d, err := digest.Parse(h.Digest)
+		if err != nil || statePrecedence[decide.State(h.State)] == 0 {
+			continue
+		}
+		changed = q.mergeEntry(entry{version: h.Number, Verdict: decide.Verdict{
+			Digest: d, Pool: h.Pool, State: decide.State(h.State), Until: time.UnixMilli(h.Until), Crashes: h.Targets, Holds: h.Times,
+		}}) || changed
+	}
+	if changed {
+		q.flushPeers()
+	}
+}
+
+// peerConnected makes all entries unsent for a peer with a new connection: what was sent on
+// the last one may be lost.
+func (q *Quarantine) peerConnected(o fireflypath.Member) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	delete(q.sentSeq, o.Name)
+}
+
+// Row is an entry as operators see it.
+type Row struct {
+	Digest  string    `json:"digest"`
+	Pool    string    `json:"pool"`
+	State   string    `json:"state"`
+	Targets int       `json:"targets"`
+	Times   int       `json:"times"`
+	Until   time.Time `json:"until"`
+}
+
+// List returns all entries, ordered by digest.
+func (q *Quarantine) List() []Row {
+	out := []Row{}
+	for _, e := range *q.entries.Load() {
+		out = append(out, Row{
+			Digest: e.Digest.String(), Pool: e.Pool, State: string(e.State), Targets: e.Crashes, Times: e.Holds, Until: e.Until,
+		})
+	}
+	slices.SortFunc(out, func(a, b Row) int { return cmp.Compare(a.Digest, b.Digest) })
+	return out
+}
+
+// Release clears a request and the crashes attributed to it, and reports whether it was held
+// or a suspect.
+func (q *Quarantine) Release(d digest.Digest) bool {
+	q.mu.Lock()
+	done := q.clearRequest(q.deps.Clock.Now(), d)
+	q.mu.Unlock()
+	if done {
+		q.flushPeers()
+		q.wakeStep()
+	}
+	return done
+}
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,4 +1,5 @@
-// Package quarantine shares with the other daemons which requests end targets, and holds those back.
+// Package quarantine detects poison requests, which crash the targets that run them, together
+// with the other daemons, and holds them.
 package quarantine
 
 import (
@@ -19,22 +20,23 @@
 )
 
 const (
-	// hearing is how long a suspect is served on before it is held: news cross a large
-	// fleet in well under that, and daemons that served it say so.
-	hearing = 500 * time.Millisecond
-	// backupDelay is how much longer each further keeper waits: it decides only if
-	// those before it did not.
+	// confirmationPeriod is how long a suspect is still served before it is held. Entries
+	// cross a large fleet in well under that, and daemons that served the request report it.
+	confirmationPeriod = 500 * time.Millisecond
+	// backupDelay is how much longer each further coordinator waits, so that it decides only
+	// if those before it did not.
 	backupDelay = 300 * time.Millisecond
-	// busyEvery is the pause between two steps while something is to be told or decided,
-	// saveEvery between two attempts to write, idleEvery while there is nothing to do.
-	busyEvery = 100 * time.Millisecond
-	saveEvery = time.Second
-	idleEvery = 30 * time.Second
-	// keepers is how many daemons are told what ends targets: one may be lost with it.
-	keepers = 2
+	// busyInterval is the time between steps while there is something to report or decide,
+	// saveRetryInterval between attempts to save, idleInterval while there is nothing to do.
+	busyInterval      = 100 * time.Millisecond
+	saveRetryInterval = time.Second
+	idleInterval      = 30 * time.Second
+	// coordinatorCount is the number of daemons that receive all reports, so that one may be
+	// lost with what it received.
+	coordinatorCount = 2
 )
 
-// Peers is what Quarantine needs of the endpoint.
+// Peers is the part of the peer endpoint that Quarantine uses.
 type Peers interface {
 	Handle(method string, m peer.Method)
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
@@ -44,142 +46,142 @@
 	Flush()
 }
 
-// Deps is what a Quarantine needs.
+// Deps are the dependencies of a Quarantine.
 type Deps struct {
 	// Self is this daemon's name.
 	Self string
-	// Peers and Members are nil for a daemon alone.
+	// Peers and Members are nil for a standalone daemon.
 	Peers   Peers
 	Members fireflypath.Members
-	// Store keeps what is held over the end of all daemons.
+	// Store keeps held requests across a restart of all daemons.
 	Store fireflypath.Store
-	// PoolSize counts the targets of a pool.
+	// PoolSize returns the number of targets of a pool.
 	PoolSize func(pool string) int
 	Clock    clockwork.Clock
 	Scope    tally.Scope
 	Log      *zap.Logger
 }
 
-// Quarantine knows the requests that are held. Each daemon reports the targets that end
-// under its requests to the keepers, which decide; what they decide passes from daemon
-// to daemon, and into the store for those that start later.
+// Quarantine holds poison requests. Each daemon reports target crashes during its requests to
+// the coordinators, which decide. Verdicts spread from daemon to daemon in heartbeats, and
+// are saved to the store for daemons that start later.
 type Quarantine struct {
-	deps  Deps
-	count counters
-
-	// list is what is known of requests, replaced as a whole: it is read by each request.
-	list atomic.Pointer[map[digest.Digest]entry]
-	// wake has Run make a step, unsavedWake has it save.
-	wake, unsavedWake chan struct{}
-
-	mu     sync.Mutex
-	ledger *decide.Detector
-	// judged is true while the ledger waits for nothing.
-	judged bool
-	// changes numbers what changed in the list here; told is up to where each peer knows.
-	changes uint64
-	told    map[string]uint64
-	// unsaved are entries that the store does not hold yet as they are.
+	deps    Deps
+	metrics metrics
+
+	// entries holds the known requests. It is replaced as a whole, as every request reads it.
+	entries atomic.Pointer[map[digest.Digest]entry]
+	// stepWake and saveWake make Run take a step or save at once.
+	stepWake, saveWake chan struct{}
+
+	mu       sync.Mutex
+	detector *decide.Detector
+	// detectorIdle is true while the detector has nothing to evaluate.
+	detectorIdle bool
+	// lastSeq numbers the changes of entries; sentSeq is the last change sent to each peer.
+	lastSeq uint64
+	sentSeq map[string]uint64
+	// unsaved are the requests whose entries differ from those in the store.
 	unsaved map[digest.Digest]bool
-	// failing is true while the store does not take what is to be written.
-	failing bool
-	reports reports
-	answers memory
+	// saveFailing is true while writes to the store fail.
+	saveFailing   bool
+	reports       reportLog
+	recentAnswers answerSet
 }
 
-type counters struct {
-	held, suspects               tally.Gauge
-	refused, lost, failed, saved tally.Counter
+type metrics struct {
+	held, suspects                         tally.Gauge
+	refused, crashes, failedReports, saved tally.Counter
 }
 
-// New connects to the endpoint before that serves.
+// New returns a quarantine connected to the endpoint, which must not be serving yet.
 func New(cfg decide.Config, deps Deps) *Quarantine {
 	scope := deps.Scope.SubScope("quarantine")
 	q := &Quarantine{
-		deps: deps, ledger: decide.New(cfg), judged: true, wake: make(chan struct{}, 1), unsavedWake: make(chan struct{}, 1),
-		told: map[string]uint64{}, unsaved: map[digest.Digest]bool{}, reports: newReports(), answers: newMemory(),
-		count: counters{
+		deps: deps, detector: decide.New(cfg), detectorIdle: true, stepWake: make(chan struct{}, 1), saveWake: make(chan struct{}, 1),
+		sentSeq: map[string]uint64{}, unsaved: map[digest.Digest]bool{}, reports: newReportLog(), recentAnswers: newAnswerSet(),
+		metrics: metrics{
 			held: scope.Gauge("held"), suspects: scope.Gauge("suspects"), refused: scope.Counter("refused"),
-			lost: scope.Counter("lost_targets"), failed: scope.Counter("reports_failed"), saved: scope.Counter("saved"),
+			crashes: scope.Counter("lost_targets"), failedReports: scope.Counter("reports_failed"), saved: scope.Counter("saved"),
 		},
 	}
-	q.list.Store(&map[digest.Digest]entry{})
+	q.entries.Store(&map[digest.Digest]entry{})
 	if deps.Peers != nil {
-		deps.Peers.Handle(methodReport, q.handle)
-		deps.Peers.AddSource(q.tell)
-		deps.Peers.AddSink(q.hear)
-		deps.Peers.AddUp(q.met)
+		deps.Peers.Handle(methodReport, q.handleReport)
+		deps.Peers.AddSource(q.addToBeat)
+		deps.Peers.AddSink(q.receiveBeat)
+		deps.Peers.AddUp(q.peerConnected)
 	}
 	return q
 }
 
-// Held is how long the request is held, and whether it is.
+// Held returns for how much longer the request is refused, and whether it is.
 func (q *Quarantine) Held(d digest.Digest) (time.Duration, bool) {
-	e, ok := (*q.list.Load())[d]
+	e, ok := (*q.entries.Load())[d]
 	if !ok || e.State != decide.Held {
 		return 0, false
 	}
-	left := e.Until.Sub(q.deps.Clock.Now())
-	if left <= 0 {
+	remaining := e.Until.Sub(q.deps.Clock.Now())
+	if remaining <= 0 {
 		return 0, false
 	}
-	q.count.refused.Inc(1)
-	return left, true
+	q.metrics.refused.Inc(1)
+	return remaining, true
 }
 
-// TargetCrashed takes in that a target's connection ended while it ran a request that was sent
+// TargetCrashed records that a target's connection ended while it ran a request that was sent
 // at the given time.
-func (q *Quarantine) TargetCrashed(d digest.Digest, t fireflypath.Target, began time.Time) {
+func (q *Quarantine) TargetCrashed(d digest.Digest, t fireflypath.Target, sent time.Time) {
 	now := q.deps.Clock.Now()
-	q.count.lost.Inc(1)
+	q.metrics.crashes.Inc(1)
 	q.mu.Lock()
-	q.reports.lost(now, decide.Crash{
-		Digest: d, Pool: t.Pool, Target: t.Identity(), PoolSize: q.deps.PoolSize(t.Pool), Started: began, Ended: now,
+	q.reports.recordCrash(now, decide.Crash{
+		Digest: d, Pool: t.Pool, Target: t.Identity(), PoolSize: q.deps.PoolSize(t.Pool), Started: sent, Ended: now,
 	})
 	q.mu.Unlock()
-	q.rouse()
+	q.wakeStep()
 }
 
-// Served takes in that a target answered a request whole that was sent at the given time.
-func (q *Quarantine) Served(d digest.Digest, t fireflypath.Target, began time.Time) {
+// Served records that a target answered a request completely that was sent at the given time.
+func (q *Quarantine) Served(d digest.Digest, t fireflypath.Target, sent time.Time) {
 	now := q.deps.Clock.Now()
-	e, ok := (*q.list.Load())[d]
+	e, ok := (*q.entries.Load())[d]
 	listed := ok && e.State != decide.Cleared
 	q.mu.Lock()
-	q.answers.add(now, d)
-	news := q.reports.alive(now, t.Identity(), began)
-	news = q.reports.served(now, d, listed) || news
+	q.recentAnswers.add(now, d)
+	changed := q.reports.retractCrashes(now, t.Identity(), sent)
+	changed = q.reports.recordServed(now, d, listed) || changed
 	q.mu.Unlock()
-	if news {
-		q.rouse()
+	if changed {
+		q.wakeStep()
 	}
 }
 
-// rouse has Run make a step at once.
-func (q *Quarantine) rouse() { signal(q.wake) }
+// wakeStep makes Run take a step at once.
+func (q *Quarantine) wakeStep() { notify(q.stepWake) }
 
-func signal(wake chan<- struct{}) {
+func notify(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run reports, decides and saves until the context ends. It saves beside the rest: a
-// store that does not answer must not hold up what daemons tell each other.
+// Run reports, decides and saves until the context ends. Saving runs concurrently, so that an
+// unresponsive store does not delay reports.
 func (q *Quarantine) Run(ctx context.Context) error {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { q.loop(ctx, q.unsavedWake, saveEvery, q.Save) })
-	q.loop(ctx, q.wake, busyEvery, q.Step)
+	wg.Go(func() { q.runLoop(ctx, q.saveWake, saveRetryInterval, q.Save) })
+	q.runLoop(ctx, q.stepWake, busyInterval, q.Step)
 	return ctx.Err()
 }
 
-// loop makes steps until the context ends: when it is woken, after a pause while a step
-// leaves something to do, and seldom else.
-func (q *Quarantine) loop(ctx context.Context, wake <-chan struct{}, pause time.Duration, step func(context.Context) bool) {
+// runLoop repeats a step until the context ends: when woken, after the pause while the step
+// reports more to do, and every idleInterval otherwise.
+func (q *Quarantine) runLoop(ctx context.Context, wake <-chan struct{}, pause time.Duration, step func(context.Context) bool) {
 	for {
-		wait := idleEvery
+		wait := idleInterval
 		if step(ctx) {
 			wait = pause
 		}
@@ -195,36 +197,37 @@
 	}
 }
 
-// Step reports what is new to the keepers and decides what is due here. It tells whether
-// something is left to do.
+// Step sends new observations to the coordinators and makes the decisions that are due. It
+// reports whether there is more to do.
 func (q *Quarantine) Step(ctx context.Context) bool {
-	ks := q.keepers()
-	left := q.report(ctx, ks)
-	return q.judge(place(ks, q.deps.Self)) || left
+	coordinators := q.coordinators()
+	more := q.sendReports(ctx, coordinators)
+	return q.evaluate(coordinatorIndex(coordinators, q.deps.Self)) || more
 }
 
-// judge decides what is due. A keeper waits the longer the later its place is.
-func (q *Quarantine) judge(place int) bool {
+// evaluate makes the decisions that are due and reports whether some are pending. The
+// confirmation period is longer for coordinators with a higher index.
+func (q *Quarantine) evaluate(index int) bool {
 	q.mu.Lock()
-	if q.judged {
+	if q.detectorIdle {
 		q.mu.Unlock()
 		return false
 	}
 	now := q.deps.Clock.Now()
-	verdicts, hearings := q.ledger.Evaluate(now, hearing+time.Duration(place)*backupDelay, nil)
-	q.judged = !hearings
+	verdicts, pending := q.detector.Evaluate(now, confirmationPeriod+time.Duration(index)*backupDelay, nil)
+	q.detectorIdle = !pending
 	for _, v := range verdicts {
-		q.decided(v)
+		q.recordVerdict(v)
 	}
 	q.mu.Unlock()
 	if len(verdicts) > 0 {
-		q.flush()
+		q.flushPeers()
 	}
-	return hearings
+	return pending
 }
 
-// flush tells the peers soon.
-func (q *Quarantine) flush() {
+// flushPeers makes the peers' next heartbeats go out soon.
+func (q *Quarantine) flushPeers() {
 	if q.deps.Peers != nil {
 		q.deps.Peers.Flush()
 	}
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -23,17 +23,19 @@
 )
 
 const (
-	deadly  = digest.Digest(1)
+	poison  = digest.Digest(1)
 	healthy = digest.Digest(2)
-	// stepTime is between two steps of all daemons; a beat crosses one connection in it.
-	stepTime = 50 * time.Millisecond
-	// knownIn is how soon after the third target has ended all daemons have to know.
-	knownIn = 3 * time.Second
-	// degree is how many others each daemon has a connection with.
-	degree = 6
+	// stepInterval is the time between two steps of all daemons, in which a heartbeat crosses
+	// one connection.
+	stepInterval = 50 * time.Millisecond
+	// spreadTime is the time after the third crash within which all daemons must hold the
+	// request.
+	spreadTime = 3 * time.Second
+	// peersPerDaemon is how many connections each daemon opens.
+	peersPerDaemon = 6
 )
 
-// fleet joins daemons by calls and beats without a network.
+// fleet connects daemons by direct calls and heartbeats instead of a network.
 type fleet struct {
 	t       *testing.T
 	is      *is.I
@@ -41,44 +43,45 @@
 	store   *testkit.MapStore
 	daemons []*daemon
 	calls   atomic.Int32
-	// dead daemons are out of reach; seen is what the store held when it was last read.
-	dead map[string]bool
-	seen map[string]fireflypath.Entry
+	// unreachable daemons take no calls or heartbeats; storeSeen is what the store held when
+	// it was last read.
+	unreachable map[string]bool
+	storeSeen   map[string]fireflypath.Entry
 }
 
-// daemon stands for a daemon's endpoint and its membership.
+// daemon fakes a daemon's peer endpoint and membership.
 type daemon struct {
-	f      *fleet
-	name   string
-	q      *quarantine.Quarantine
-	method peer.Method
-	source peer.Source
-	sink   peer.Sink
-	up     func(fireflypath.Member)
+	fleet       *fleet
+	name        string
+	q           *quarantine.Quarantine
+	method      peer.Method
+	source      peer.Source
+	sink        peer.Sink
+	onConnected func(fireflypath.Member)
 }
 
 func (d *daemon) Handle(_ string, m peer.Method)    { d.method = m }
 func (d *daemon) AddSource(s peer.Source)           { d.source = s }
 func (d *daemon) AddSink(s peer.Sink)               { d.sink = s }
-func (d *daemon) AddUp(up func(fireflypath.Member)) { d.up = up }
+func (d *daemon) AddUp(up func(fireflypath.Member)) { d.onConnected = up }
 func (d *daemon) Flush()                            {}
 
 func (d *daemon) Call(ctx context.Context, to fireflypath.Member, _ string, params, _ any) error {
-	d.f.calls.Add(1)
-	if d.f.dead[to.Name] || d.f.dead[d.name] {
+	d.fleet.calls.Add(1)
+	if d.fleet.unreachable[to.Name] || d.fleet.unreachable[d.name] {
 		return peer.ErrUnreachable
 	}
 	b, err := json.Marshal(params)
 	if err != nil {
 		return err
 	}
-	_, err = d.f.find(to.Name).method(ctx, d.name, b)
+	_, err = d.fleet.find(to.Name).method(ctx, d.name, b)
 	return err
 }
 
 func (d *daemon) Live() []fireflypath.Member {
 	var out []fireflypath.Member
-	for _, o := range d.f.daemons {
+	for _, o := range d.fleet.daemons {
 		out = append(out, fireflypath.Member{Name: o.name})
 	}
 	return out
@@ -99,17 +102,17 @@
 	clock := clockwork.NewFakeClock()
 	f := &fleet{
 		t: t, is: is.New(t), clock: clock, store: testkit.NewMapStore(clock),
-		dead: map[string]bool{}, seen: map[string]fireflypath.Entry{},
+		unreachable: map[string]bool{}, storeSeen: map[string]fireflypath.Entry{},
 	}
 	f.start(n)
 	return f
 }
 
-// start starts all daemons, with no memory of their own.
+// start starts n daemons without state.
 func (f *fleet) start(n int) {
-	f.daemons, f.seen = nil, map[string]fireflypath.Entry{}
+	f.daemons, f.storeSeen = nil, map[string]fireflypath.Entry{}
 	for i := range n {
-		d := &daemon{f: f, name: fmt.Sprint("d", i)}
+		d := &daemon{fleet: f, name: fmt.Sprint("d", i)}
 		d.q = quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
 			Self: d.name, Peers: d, Members: d, Store: f.store, PoolSize: func(string) int { return 12 },
 			Clock: f.clock, Scope: tally.NoopScope, Log: zap.NewNop(),
@@ -118,28 +121,28 @@
 	}
 }
 
-// step has all daemons make a step and a beat to their neighbours, and tells them what
-// changed in the store.
+// step advances the clock, lets all daemons step, save and exchange heartbeats, and delivers
+// store changes.
 func (f *fleet) step() {
-	f.clock.Advance(stepTime)
+	f.clock.Advance(stepInterval)
 	for _, d := range f.daemons {
-		if !f.dead[d.name] {
+		if !f.unreachable[d.name] {
 			d.q.Step(f.t.Context())
 			d.q.Save(f.t.Context())
 		}
 	}
 	for i, d := range f.daemons {
-		for k := range degree {
+		for k := range peersPerDaemon {
 			o := f.daemons[(i+1+k*k*7)%len(f.daemons)]
-			f.beat(d, o)
-			f.beat(o, d)
+			f.sendBeat(d, o)
+			f.sendBeat(o, d)
 		}
 	}
-	f.follow()
+	f.deliverStoreChanges()
 }
 
-func (f *fleet) beat(from, to *daemon) {
-	if from == to || f.dead[from.name] || f.dead[to.name] {
+func (f *fleet) sendBeat(from, to *daemon) {
+	if from == to || f.unreachable[from.name] || f.unreachable[to.name] {
 		return
 	}
 	var b peer.Beat
@@ -147,34 +150,34 @@
 	to.sink(from.name, &b)
 }
 
-// follow brings all daemons what changed in the store.
-func (f *fleet) follow() {
+// deliverStoreChanges tells all daemons what changed in the store.
+func (f *fleet) deliverStoreChanges() {
 	now := map[string]fireflypath.Entry{}
 	var changes []fireflypath.Entry
 	for _, e := range f.store.Snapshot() {
 		now[e.Key] = e
-		if f.seen[e.Key].Revision != e.Revision {
+		if f.storeSeen[e.Key].Revision != e.Revision {
 			changes = append(changes, e)
 		}
 	}
-	for key := range f.seen {
+	for key := range f.storeSeen {
 		if _, ok := now[key]; !ok {
 			changes = append(changes, fireflypath.Entry{Key: key, Deleted: true})
 		}
 	}
-	f.seen = now
+	f.storeSeen = now
 	for _, e := range changes {
 		for _, d := range f.daemons {
-			if !f.dead[d.name] {
+			if !f.unreachable[d.name] {
 				d.q.ApplyStoreEntry(e)
 			}
 		}
 	}
 }
 
-// run makes steps until a condition is true, and returns whether it was in time.
-func (f *fleet) run(done func() bool) bool {
-	for range int(knownIn / stepTime) {
+// stepUntil steps until the condition is true, and reports whether it was within spreadTime.
+func (f *fleet) stepUntil(done func() bool) bool {
+	for range int(spreadTime / stepInterval) {
 		f.step()
 		if done() {
 			return true
@@ -185,88 +188,89 @@
 
 func target(name string) fireflypath.Target { return fireflypath.Target{Name: name, Pool: "p"} }
 
-// end has a target end under a request of a daemon.
-func (f *fleet) end(d *daemon, work digest.Digest, name string) {
-	began := f.clock.Now()
-	f.clock.Advance(stepTime)
-	d.q.TargetCrashed(work, target(name), began)
+// crashTarget makes a target crash while it runs a daemon's request.
+func (f *fleet) crashTarget(d *daemon, request digest.Digest, name string) {
+	sent := f.clock.Now()
+	f.clock.Advance(stepInterval)
+	d.q.TargetCrashed(request, target(name), sent)
 	f.step()
 }
 
-// held counts the daemons that hold the request.
-func (f *fleet) held(work digest.Digest) int {
+// countHolding returns the number of reachable daemons that hold the request.
+func (f *fleet) countHolding(request digest.Digest) int {
 	n := 0
 	for _, d := range f.daemons {
-		if _, held := d.q.Held(work); held && !f.dead[d.name] {
+		if _, held := d.q.Held(request); held && !f.unreachable[d.name] {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *fleet) all() bool { return f.held(deadly) == len(f.daemons)-len(f.dead) }
+func (f *fleet) allHold() bool { return f.countHolding(poison) == len(f.daemons)-len(f.unreachable) }
 
-// Each daemon sees one of the targets that a request ends, in fleets of any size. One
-// that is not told sends it to the next target.
-func TestAllDaemonsHoldARequestThatEndsTargets(t *testing.T) {
+// Each daemon sees one of the crashes that a request causes. All must hold it, in fleets of any
+// size: a daemon that does not would send it to the next target.
+func TestAllDaemonsHoldPoisonRequest(t *testing.T) {
 	for _, n := range []int{1, 2, 9, 64, 295} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(t, n)
 			for i := range 3 {
-				f.end(f.daemons[i*(n-1)/2], deadly, fmt.Sprint("t", i))
+				f.crashTarget(f.daemons[i*(n-1)/2], poison, fmt.Sprint("t", i))
 			}
-			f.is.True(f.run(f.all))
-			f.is.Equal(f.held(healthy), 0)
-			f.is.True(f.calls.Load() <= 3*2) // one report of each daemon to each keeper
-			left, _ := f.daemons[0].q.Held(deadly)
+			f.is.True(f.stepUntil(f.allHold))
+			f.is.Equal(f.countHolding(healthy), 0)
+			f.is.True(f.calls.Load() <= 3*2) // one report of each daemon to each coordinator
+			left, _ := f.daemons[0].q.Held(poison)
 			f.is.True(left > 59*time.Minute && left <= time.Hour)
 		})
 	}
 }
 
-// The daemon that decides is lost with what it was told.
-func TestLostKeeperIsReplaced(t *testing.T) {
+// A coordinator is lost together with the reports it received.
+func TestLostCoordinatorIsReplaced(t *testing.T) {
 	f := newFleet(t, 9)
 	for i := range 3 {
-		f.end(f.daemons[i], deadly, fmt.Sprint("t", i))
+		f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
 		if i == 1 {
-			f.dead[keeper.Of(f.daemons[0].Live(), 1)[0].Name] = true
+			f.unreachable[keeper.Of(f.daemons[0].Live(), 1)[0].Name] = true
 		}
 	}
-	f.is.True(f.run(f.all))
+	f.is.True(f.stepUntil(f.allHold))
 }
 
-// All daemons lose power at once. They would need three more targets to know.
-func TestHeldRequestOutlivesAllDaemons(t *testing.T) {
+// After a power loss of all daemons, a held request must still be held. Without the store,
+// three more targets would crash first.
+func TestHeldRequestSurvivesFleetRestart(t *testing.T) {
 	f := newFleet(t, 9)
 	for i := range 3 {
-		f.end(f.daemons[i], deadly, fmt.Sprint("t", i))
+		f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
 	}
-	f.is.True(f.run(f.all))
-	f.is.True(f.run(func() bool { return len(f.store.Snapshot()) == 1 }))
+	f.is.True(f.stepUntil(f.allHold))
+	f.is.True(f.stepUntil(func() bool { return len(f.store.Snapshot()) == 1 }))
 	f.is.Equal(f.store.Calls("put"), 1) // one daemon writes, once
 
 	f.start(9)
-	f.follow()
-	f.is.True(f.all())
+	f.deliverStoreChanges()
+	f.is.True(f.allHold())
 }
 
-// The store is away while a request ends targets: the daemons tell each other, and what
-// they know is written when the store is back.
-func TestStoreAwayHoldsAllTheSame(t *testing.T) {
+// While the store is unavailable, daemons still tell each other which requests are held; they
+// save them once the store is back.
+func TestRequestIsHeldWithoutStore(t *testing.T) {
 	f := newFleet(t, 9)
 	f.store.SetFault(func(string, string) testkit.Fault { return testkit.Fault{Before: fireflypath.ErrUnavailable} })
 	for i := range 3 {
-		f.end(f.daemons[i], deadly, fmt.Sprint("t", i))
+		f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
 	}
-	f.is.True(f.run(f.all))
+	f.is.True(f.stepUntil(f.allHold))
 	f.store.SetFault(nil)
-	f.is.True(f.run(func() bool { return len(f.store.Snapshot()) == 1 }))
+	f.is.True(f.stepUntil(func() bool { return len(f.store.Snapshot()) == 1 }))
 }
 
-// Work that many callers ask for was on every target of a failure domain that is lost,
-// one after the other. It is served elsewhere all the while, by another daemon.
-func TestHotRequestIsHeldNowhere(t *testing.T) {
+// A request that many callers send ran on every target of a failure domain that is lost, one
+// after the other. Other daemons get it served all the while, so it must not be held.
+func TestHotRequestIsNotHeld(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		t.Run(fmt.Sprint(late), func(t *testing.T) {
 			f := newFleet(t, 9)
@@ -275,81 +279,82 @@
 				serve()
 			}
 			for i := range 6 {
-				f.end(f.daemons[i%3], healthy, fmt.Sprint("t", i))
+				f.crashTarget(f.daemons[i%3], healthy, fmt.Sprint("t", i))
 				if late {
-					serve() // what runs when it becomes a suspect is answered
+					serve() // one that is running when it becomes a suspect is answered
 				}
-				f.is.Equal(f.held(healthy), 0)
+				f.is.Equal(f.countHolding(healthy), 0)
 			}
-			f.is.True(!f.run(func() bool { return f.held(healthy) > 0 }))
+			f.is.True(!f.stepUntil(func() bool { return f.countHolding(healthy) > 0 }))
 		})
 	}
 }
 
-// A daemon's connections to healthy targets are reset: they answer what comes next.
-func TestResetConnectionsAreNoEnds(t *testing.T) {
+// Connections to healthy targets are reset. The targets answer later requests, so the resets
+// must not count as crashes.
+func TestConnectionResetsAreNotCrashes(t *testing.T) {
 	f := newFleet(t, 3)
 	for i := range 3 {
-		f.end(f.daemons[0], healthy, fmt.Sprint("t", i))
-		f.clock.Advance(stepTime)
+		f.crashTarget(f.daemons[0], healthy, fmt.Sprint("t", i))
+		f.clock.Advance(stepInterval)
 		f.daemons[0].q.Served(digest.Digest(10+i), target(fmt.Sprint("t", i)), f.clock.Now())
 	}
-	f.is.True(!f.run(func() bool { return f.held(healthy) > 0 }))
+	f.is.True(!f.stepUntil(func() bool { return f.countHolding(healthy) > 0 }))
 }
 
-// An operator has mended what the request ran into.
-func TestReleasedRequestRunsAgain(t *testing.T) {
-	for _, way := range []string{"daemon", "store"} {
-		t.Run(way, func(t *testing.T) {
+// An operator releases a request after fixing the cause of the crashes.
+func TestReleasedRequestIsServed(t *testing.T) {
+	for _, via := range []string{"daemon", "store"} {
+		t.Run(via, func(t *testing.T) {
 			f := newFleet(t, 9)
 			for i := range 3 {
-				f.end(f.daemons[i], deadly, fmt.Sprint("t", i))
+				f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
 			}
-			f.is.True(f.run(func() bool { return f.all() && len(f.store.Snapshot()) == 1 }))
+			f.is.True(f.stepUntil(func() bool { return f.allHold() && len(f.store.Snapshot()) == 1 }))
 			f.is.Equal(len(f.daemons[4].q.List()), 1)
-			if way == "daemon" {
-				f.is.True(f.daemons[4].q.Release(deadly))
-				f.is.True(!f.daemons[4].q.Release(deadly))
+			if via == "daemon" {
+				f.is.True(f.daemons[4].q.Release(poison))
+				f.is.True(!f.daemons[4].q.Release(poison))
 			} else {
-				f.is.NoErr(f.store.Delete(t.Context(), quarantine.Prefix+deadly.String(), fireflypath.AnyRevision))
+				f.is.NoErr(f.store.Delete(t.Context(), quarantine.Prefix+poison.String(), fireflypath.AnyRevision))
 			}
-			f.is.True(f.run(func() bool { return f.held(deadly) == 0 && len(f.store.Snapshot()) == 0 }))
-			f.is.True(!f.run(func() bool { return f.held(deadly) > 0 })) // and stays so
+			f.is.True(f.stepUntil(func() bool { return f.countHolding(poison) == 0 && len(f.store.Snapshot()) == 0 }))
+			f.is.True(!f.stepUntil(func() bool { return f.countHolding(poison) > 0 })) // and it is not held again
 		})
 	}
 }
 
-// Reports fail for a while, and are made again until they arrive.
-func TestReportsAreMadeAgain(t *testing.T) {
+// Reports that fail must be sent again until they are received.
+func TestFailedReportsAreRetried(t *testing.T) {
 	f := newFleet(t, 9)
 	for _, d := range f.daemons {
-		f.dead[d.name] = true
+		f.unreachable[d.name] = true
 	}
-	f.dead["d0"] = false
+	f.unreachable["d0"] = false
 	for i := range 3 {
-		f.end(f.daemons[0], deadly, fmt.Sprint("t", i))
+		f.crashTarget(f.daemons[0], poison, fmt.Sprint("t", i))
 	}
-	f.dead = map[string]bool{}
-	f.is.True(f.run(f.all))
+	f.unreachable = map[string]bool{}
+	f.is.True(f.stepUntil(f.allHold))
 }
 
-// Other programs write under the prefix.
-func TestStrangeEntriesAreNotUsed(t *testing.T) {
+// Keys written under the prefix by other programs are ignored.
+func TestForeignStoreEntriesAreIgnored(t *testing.T) {
 	f := newFleet(t, 1)
 	for _, e := range []fireflypath.Entry{
 		{Key: quarantine.Prefix + "x"},
-		{Key: quarantine.Prefix + deadly.String(), Value: []byte("{")},
-		{Key: quarantine.Prefix + deadly.String(), Deleted: true},
+		{Key: quarantine.Prefix + poison.String(), Value: []byte("{")},
+		{Key: quarantine.Prefix + poison.String(), Deleted: true},
 	} {
 		f.daemons[0].q.ApplyStoreEntry(e)
 	}
-	f.is.Equal(f.held(deadly), 0)
+	f.is.Equal(f.countHolding(poison), 0)
 	f.is.Equal(len(f.daemons[0].q.List()), 0)
 }
 
-// BenchmarkServed is what an answer costs, BenchmarkRefused what a request does.
+// BenchmarkServed measures the cost per answer, BenchmarkRefused that per request.
 func BenchmarkServed(b *testing.B) {
-	q := alone()
+	q := newStandalone()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		q.Served(digest.Digest(i%10000), target("t"), time.Time{})
@@ -357,7 +362,7 @@
 }
 
 func BenchmarkRefused(b *testing.B) {
-	q := alone()
+	q := newStandalone()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if _, held := q.Held(digest.Digest(i)); held {
@@ -366,22 +371,22 @@
 	}
 }
 
-func alone() *quarantine.Quarantine {
+func newStandalone() *quarantine.Quarantine {
 	return quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
 		Self: "d", PoolSize: func(string) int { return 12 }, Clock: clockwork.NewRealClock(), Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
 }
 
-// BenchmarkBytes tells what one report and one change of the list are on the wire.
-func BenchmarkBytes(b *testing.B) {
+// BenchmarkMessageSize reports the wire size of one report and of one changed entry.
+func BenchmarkMessageSize(b *testing.B) {
 	var report, beat int
 	for b.Loop() {
 		f := &fleet{clock: clockwork.NewFakeClock()}
-		got := f.single(&report)
-		got.q.TargetCrashed(deadly, target("i-0123456789"), f.clock.Now())
+		got := f.measuredDaemon(&report)
+		got.q.TargetCrashed(poison, target("i-0123456789"), f.clock.Now())
 		got.q.Step(b.Context())
 		var m peer.Beat
-		got.q.ApplyStoreEntry(fireflypath.Entry{Key: quarantine.Prefix + deadly.String(), Value: []byte(`{"pool":"pool-name","until":1796288695573,"targets":3,"times":1,"number":2}`)})
+		got.q.ApplyStoreEntry(fireflypath.Entry{Key: quarantine.Prefix + poison.String(), Value: []byte(`{"pool":"pool-name","until":1796288695573,"targets":3,"times":1,"number":2}`)})
 		got.source("d1", &m)
 		text, err := json.Marshal(m)
 		if err != nil {
@@ -393,48 +398,48 @@
 	b.ReportMetric(float64(beat), "B/change")
 }
 
-// BenchmarkMemory tells what a full memory of answers holds.
-func BenchmarkMemory(b *testing.B) {
+// BenchmarkAnswerSet measures the memory of a full set of recent answers.
+func BenchmarkAnswerSet(b *testing.B) {
 	const answers = 2 * 16384
 	b.ReportAllocs()
 	for b.Loop() {
-		q := alone()
+		q := newStandalone()
 		for i := range answers {
 			q.Served(digest.Digest(i), target("t"), time.Time{})
 		}
 	}
 }
 
-// single is one daemon whose reports to another are measured.
-func (f *fleet) single(report *int) *daemon {
-	d := &daemon{f: f, name: "d0"}
+// measuredDaemon returns a daemon that stores the size of its reports in report.
+func (f *fleet) measuredDaemon(report *int) *daemon {
+	d := &daemon{fleet: f, name: "d0"}
 	d.q = quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
-		Self: "d0", Peers: &measured{daemon: d, bytes: report}, Members: d, PoolSize: func(string) int { return 12 },
+		Self: "d0", Peers: &measuringPeers{daemon: d, size: report}, Members: d, PoolSize: func(string) int { return 12 },
 		Clock: f.clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
-	f.daemons = []*daemon{d, {f: f, name: "d1"}}
+	f.daemons = []*daemon{d, {fleet: f, name: "d1"}}
 	return d
 }
 
-// measured notes how long a report is.
-type measured struct {
+// measuringPeers records the size of the last report.
+type measuringPeers struct {
 	*daemon
-	bytes *int
+	size *int
 }
 
-func (m *measured) Call(_ context.Context, _ fireflypath.Member, _ string, params, _ any) error {
+func (m *measuringPeers) Call(_ context.Context, _ fireflypath.Member, _ string, params, _ any) error {
 	b, err := json.Marshal(params)
-	*m.bytes = len(b)
+	*m.size = len(b)
 	return err
 }
 
-// The store takes calls and answers none. Daemons that wait for it report nothing
-// meanwhile, and the request ends one target after the other.
-func TestSilentStoreHoldsUpNoReport(t *testing.T) {
+// The store accepts calls and never answers. Daemons that waited for it would send no reports
+// meanwhile, and the request would crash one target after the other.
+func TestUnresponsiveStoreDoesNotDelayReports(t *testing.T) {
 	clock := clockwork.NewRealClock()
-	silent := &silentStore{called: make(chan struct{}, 1), end: make(chan struct{})}
+	store := &unresponsiveStore{called: make(chan struct{}, 1), end: make(chan struct{})}
 	q := quarantine.New(decide.Config{MinCrashes: 2, HoldTime: time.Hour}, quarantine.Deps{
-		Self: "d", Store: silent, PoolSize: func(string) int { return 12 }, Clock: clock, Scope: tally.NoopScope, Log: zap.NewNop(),
+		Self: "d", Store: store, PoolSize: func(string) int { return 12 }, Clock: clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -442,32 +447,32 @@
 		defer close(ended)
 		_ = q.Run(ctx)
 	}()
-	end := func(work digest.Digest, name string) {
-		began := clock.Now()
-		time.Sleep(stepTime)
-		q.TargetCrashed(work, target(name), began)
+	end := func(request digest.Digest, name string) {
+		sent := clock.Now()
+		time.Sleep(stepInterval)
+		q.TargetCrashed(request, target(name), sent)
 	}
 	for i := range 5 {
-		end(deadly, fmt.Sprint("t", i))
+		end(poison, fmt.Sprint("t", i))
 	}
-	<-silent.called // it is held, and being saved
+	<-store.called // the request is held and being saved
 	end(healthy, "t5")
 	end(healthy, "t6")
 	for len(q.List()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
-	close(silent.end)
+	close(store.end)
 	<-ended
 }
 
-// silentStore answers no write before its end.
-type silentStore struct {
+// unresponsiveStore answers no write until end is closed.
+type unresponsiveStore struct {
 	fireflypath.Store
 	called, end chan struct{}
 }
 
-func (s *silentStore) Put(ctx context.Context, _ string, _ []byte, _ uint64, _ fireflypath.LeaseID) (uint64, error) {
+func (s *unresponsiveStore) Put(ctx context.Context, _ string, _ []byte, _ uint64, _ fireflypath.LeaseID) (uint64, error) {
 	select {
 	case s.called <- struct{}{}:
 	default:
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -17,241 +17,250 @@
 
 const (
 	methodReport = "quarantine"
-	// reportTime bounds a report, which is made again if it fails.
-	reportTime = 250 * time.Millisecond
-	// reportAge is how long what was seen is told to a new keeper.
-	reportAge = 2 * time.Minute
-	// maxReports bounds what is kept to be told, perReport one message.
-	maxReports = 512
-	perReport  = 128
-	// servedEvery is how often it is told that a request was served.
-	servedEvery = time.Second
+	// reportTimeout limits one attempt to send a report; a failed report is sent again.
+	reportTimeout = 250 * time.Millisecond
+	// reportRetention is how long an observation is kept for a coordinator that takes over.
+	reportRetention = 2 * time.Minute
+	// maxReports limits the observations kept, maxPerReport those in one message.
+	maxReports   = 512
+	maxPerReport = 128
+	// servedReportInterval is the minimum time between two reports that a request was
+	// served.
+	servedReportInterval = time.Second
 )
 
-// item is one thing that this daemon has seen. One of its fields is set.
-type item struct {
-	number uint64
-	at     time.Time
-	loss   *decide.Crash
-	served digest.Digest
-	alive  string
+// observation is one thing that this daemon has to report. Exactly one of crash, served and
+// aliveTarget is set.
+type observation struct {
+	seq         uint64
+	recordedAt  time.Time
+	crash       *decide.Crash
+	served      digest.Digest
+	aliveTarget string
 }
 
-// reports is what this daemon has seen and whom it has told.
-type reports struct {
-	number uint64
-	items  []item
-	// acked is up to which number each life of a keeper was told.
+// reportLog holds this daemon's observations and which coordinators have received them.
+type reportLog struct {
+	lastSeq      uint64
+	observations []observation
+	// acked is the last observation that each incarnation of a coordinator acknowledged.
 	acked map[fireflypath.Member]uint64
 }
 
-func newReports() reports {
-	return reports{acked: map[fireflypath.Member]uint64{}}
+func newReportLog() reportLog {
+	return reportLog{acked: map[fireflypath.Member]uint64{}}
 }
 
-func (r *reports) add(now time.Time, i item) {
-	r.number++
-	i.number, i.at = r.number, now
-	r.items = append(r.items, i)
-	old := func(i item) bool { return now.Sub(i.at) > reportAge }
-	r.items = slices.DeleteFunc(r.items, old)
-	if drop := len(r.items) - maxReports; drop > 0 {
-		r.items = slices.Delete(r.items, 0, drop)
+func (r *reportLog) add(now time.Time, o observation) {
+	r.lastSeq++
+	o.seq, o.recordedAt = r.lastSeq, now
+	r.observations = append(r.observations, o)
+	expired := func(o observation) bool { return now.Sub(o.recordedAt) > reportRetention }
+	r.observations = slices.DeleteFunc(r.observations, expired)
+	if drop := len(r.observations) - maxReports; drop > 0 {
+		r.observations = slices.Delete(r.observations, 0, drop)
 	}
 }
 
-func (r *reports) lost(now time.Time, l decide.Crash) {
-	r.add(now, item{loss: &l})
+func (r *reportLog) recordCrash(now time.Time, c decide.Crash) {
+	r.add(now, observation{crash: &c})
 }
 
-// served notes an answer to a request that is listed or that was reported from here, and
-// tells whether it did.
-func (r *reports) served(now time.Time, d digest.Digest, listed bool) bool {
-	if !listed && !slices.ContainsFunc(r.items, func(i item) bool { return i.loss != nil && i.loss.Digest == d }) {
+// recordServed records a complete answer to a request that has an entry or for which this
+// daemon recorded a crash. It reports whether there is something new to send.
+func (r *reportLog) recordServed(now time.Time, d digest.Digest, listed bool) bool {
+	if !listed && !slices.ContainsFunc(r.observations, func(o observation) bool { return o.crash != nil && o.crash.Digest == d }) {
 		return false
 	}
-	r.items = slices.DeleteFunc(r.items, func(i item) bool { return i.loss != nil && i.loss.Digest == d })
-	told := func(i item) bool { return i.served == d && now.Sub(i.at) < servedEvery }
-	if slices.ContainsFunc(r.items, told) {
+	r.observations = slices.DeleteFunc(r.observations, func(o observation) bool { return o.crash != nil && o.crash.Digest == d })
+	reported := func(o observation) bool { return o.served == d && now.Sub(o.recordedAt) < servedReportInterval }
+	if slices.ContainsFunc(r.observations, reported) {
 		return false
 	}
-	r.add(now, item{served: d})
+	r.add(now, observation{served: d})
 	return true
 }
 
-// alive takes back that a target has ended if it has answered what was sent to it since,
-// and tells whether it did.
-func (r *reports) alive(now time.Time, target string, began time.Time) bool {
-	wrong := func(i item) bool { return i.loss != nil && i.loss.Target == target && began.After(i.loss.Ended) }
-	if !slices.ContainsFunc(r.items, wrong) {
+// retractCrashes removes the recorded crashes of a target that has answered a request sent
+// after them, and reports whether there were any.
+func (r *reportLog) retractCrashes(now time.Time, target string, started time.Time) bool {
+	refuted := func(o observation) bool {
+		return o.crash != nil && o.crash.Target == target && started.After(o.crash.Ended)
+	}
+	if !slices.ContainsFunc(r.observations, refuted) {
 		return false
 	}
-	r.items = slices.DeleteFunc(r.items, wrong)
-	r.add(now, item{alive: target})
+	r.observations = slices.DeleteFunc(r.observations, refuted)
+	r.add(now, observation{aliveTarget: target})
 	return true
 }
 
-// news are the items that a keeper was not told.
-func (r *reports) news(k fireflypath.Member) []item {
-	acked := r.acked[life(k)]
-	i, _ := slices.BinarySearchFunc(r.items, acked+1, func(i item, n uint64) int { return int(i.number) - int(n) })
-	return r.items[i:min(len(r.items), i+perReport)]
+// unreported returns the next observations that a coordinator has not received.
+func (r *reportLog) unreported(coordinator fireflypath.Member) []observation {
+	acked := r.acked[incarnation(coordinator)]
+	i, _ := slices.BinarySearchFunc(r.observations, acked+1, func(o observation, n uint64) int { return int(o.seq) - int(n) })
+	return r.observations[i:min(len(r.observations), i+maxPerReport)]
 }
 
-// life names one life of a daemon: the next one knows nothing of what this was told.
-func life(m fireflypath.Member) fireflypath.Member {
+// incarnation identifies one run of a daemon: after a restart it has lost the reports it
+// received.
+func incarnation(m fireflypath.Member) fireflypath.Member {
 	return fireflypath.Member{Name: m.Name, Incarnation: m.Incarnation}
 }
 
-// message is a report on its way. Times are ages, in milliseconds: the clocks of hosts
-// differ.
-type message struct {
-	Losses []loss   `json:"l,omitempty"`
-	Served []string `json:"s,omitempty"`
-	Alive  []string `json:"a,omitempty"`
+// reportMessage is the wire form of a report. Times are sent as ages in milliseconds,
+// because the clocks of hosts differ.
+type reportMessage struct {
+	Crashes      []crashMessage `json:"l,omitempty"`
+	Served       []string       `json:"s,omitempty"`
+	AliveTargets []string       `json:"a,omitempty"`
 }
 
-type loss struct {
-	Digest  string `json:"d"`
-	Pool    string `json:"p"`
-	Target  string `json:"t"`
-	Targets int    `json:"n"`
-	Began   int64  `json:"b"`
-	Ended   int64  `json:"e"`
+type crashMessage struct {
+	Digest     string `json:"d"`
+	Pool       string `json:"p"`
+	Target     string `json:"t"`
+	PoolSize   int    `json:"n"`
+	StartedAgo int64  `json:"b"`
+	EndedAgo   int64  `json:"e"`
 }
 
-func (m *message) add(now time.Time, i item) {
+func (m *reportMessage) add(now time.Time, o observation) {
 	switch {
-	case i.loss != nil:
-		m.Losses = append(m.Losses, loss{
-			Digest: i.loss.Digest.String(), Pool: i.loss.Pool, Target: i.loss.Target, Targets: i.loss.PoolSize,
-			Began: now.Sub(i.loss.Started).Milliseconds(), Ended: now.Sub(i.loss.Ended).Milliseconds(),
+	case o.crash != nil:
+		m.Crashes = append(m.Crashes, crashMessage{
+			Digest: o.crash.Digest.String(), Pool: o.crash.Pool, Target: o.crash.Target, PoolSize: o.crash.PoolSize,
+			StartedAgo: now.Sub(o.crash.Started).Milliseconds(), EndedAgo: now.Sub(o.crash.Ended).Milliseconds(),
 		})
-	case i.alive != "":
-		m.Alive = append(m.Alive, i.alive)
+	case o.aliveTarget != "":
+		m.AliveTargets = append(m.AliveTargets, o.aliveTarget)
 	default:
-		m.Served = append(m.Served, i.served.String())
+		m.Served = append(m.Served, o.served.String())
 	}
 }
 
-// keepers are the daemons that decide.
-func (q *Quarantine) keepers() []fireflypath.Member {
+// coordinators returns the daemons that decide which requests are held.
+func (q *Quarantine) coordinators() []fireflypath.Member {
 	if q.deps.Members == nil {
 		return []fireflypath.Member{{Name: q.deps.Self}}
 	}
-	return keeper.Of(q.deps.Members.Live(), keepers)
+	return keeper.Of(q.deps.Members.Live(), coordinatorCount)
 }
 
-// place is a daemon's place among the keepers; one that is none comes after them.
-func place(ks []fireflypath.Member, name string) int {
-	i := slices.IndexFunc(ks, func(m fireflypath.Member) bool { return m.Name == name })
+// coordinatorIndex returns a daemon's index among the coordinators, or their number if it is
+// none of them.
+func coordinatorIndex(coordinators []fireflypath.Member, name string) int {
+	i := slices.IndexFunc(coordinators, func(m fireflypath.Member) bool { return m.Name == name })
 	if i < 0 {
-		return len(ks)
+		return len(coordinators)
 	}
 	return i
 }
 
-// report tells the keepers what they do not know yet, and whether some is left to tell.
-func (q *Quarantine) report(ctx context.Context, ks []fireflypath.Member) bool {
+// sendReports sends all coordinators what they have not received, and reports whether
+// observations are left to send.
+func (q *Quarantine) sendReports(ctx context.Context, coordinators []fireflypath.Member) bool {
 	var wg conc.WaitGroup
-	for _, k := range ks {
-		wg.Go(func() { q.reportTo(ctx, k) })
+	for _, c := range coordinators {
+		wg.Go(func() { q.sendReport(ctx, c) })
 	}
 	wg.Wait()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for m := range q.reports.acked {
-		if !slices.ContainsFunc(ks, func(k fireflypath.Member) bool { return life(k) == m }) {
+		if !slices.ContainsFunc(coordinators, func(c fireflypath.Member) bool { return incarnation(c) == m }) {
 			delete(q.reports.acked, m)
 		}
 	}
-	return slices.ContainsFunc(ks, func(k fireflypath.Member) bool { return len(q.reports.news(k)) > 0 })
+	return slices.ContainsFunc(coordinators, func(c fireflypath.Member) bool { return len(q.reports.unreported(c)) > 0 })
 }
 
-// reportTo makes one report.
-func (q *Quarantine) reportTo(ctx context.Context, k fireflypath.Member) {
+// sendReport sends one report to a coordinator.
+func (q *Quarantine) sendReport(ctx context.Context, coordinator fireflypath.Member) {
 	now := q.deps.Clock.Now()
-	var m message
+	var m reportMessage
 	q.mu.Lock()
-	news := q.reports.news(k)
+	unreported := q.reports.unreported(coordinator)
 	last := uint64(0)
-	for _, i := range news {
-		m.add(now, i)
-		last = i.number
+	for _, o := range unreported {
+		m.add(now, o)
+		last = o.seq
 	}
 	q.mu.Unlock()
 	if last == 0 {
 		return
 	}
-	if k.Name == q.deps.Self {
-		q.take(m)
+	if coordinator.Name == q.deps.Self {
+		q.applyReport(m)
 	} else {
-		ctx, cancel := context.WithTimeout(ctx, reportTime)
+		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
-		var none struct{}
-		if err := q.deps.Peers.Call(ctx, k, methodReport, m, &none); err != nil {
-			q.count.failed.Inc(1)
-			return // told again with the next step
+		var ignored struct{}
+		if err := q.deps.Peers.Call(ctx, coordinator, methodReport, m, &ignored); err != nil {
+			q.metrics.failedReports.Inc(1)
+			return // sent again with the next step
 		}
 	}
 	q.mu.Lock()
-	q.reports.acked[life(k)] = last
+	q.reports.acked[incarnation(coordinator)] = last
 	q.mu.Unlock()
 }
 
-// handle takes a report of another daemon.
-func (q *Quarantine) handle(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var m message
+// handleReport receives another daemon's report.
+func (q *Quarantine) handleReport(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var m reportMessage
 	if err := json.Unmarshal(params, &m); err != nil {
 		return nil, errors.Wrap(err, "decode report")
 	}
-	q.take(m)
-	q.rouse()
+	q.applyReport(m)
+	q.wakeStep()
 	return struct{}{}, nil
 }
 
-// take books a report.
-func (q *Quarantine) take(m message) {
+// applyReport passes a report to the detector.
+func (q *Quarantine) applyReport(m reportMessage) {
 	now := q.deps.Clock.Now()
 	q.mu.Lock()
-	q.judged = false
-	for _, l := range m.Losses {
-		if d, err := digest.Parse(l.Digest); err == nil {
-			q.ledger.RecordCrash(now, l.decoded(now, d))
+	q.detectorIdle = false
+	for _, c := range m.Crashes {
+		if d, err := digest.Parse(c.Digest); err == nil {
+			q.detector.RecordCrash(now, c.toCrash(now, d))
 		}
 	}
-	for _, target := range m.Alive {
-		q.ledger.RetractCrash(target)
+	for _, target := range m.AliveTargets {
+		q.detector.RetractCrash(target)
 	}
-	news := false
+	cleared := false
 	for _, text := range m.Served {
 		if d, err := digest.Parse(text); err == nil {
-			news = q.free(now, d) || news
+			cleared = q.clearRequest(now, d) || cleared
 		}
 	}
 	q.mu.Unlock()
-	if news {
-		q.flush()
+	if cleared {
+		q.flushPeers()
 	}
 }
 
-func (l loss) decoded(now time.Time, d digest.Digest) decide.Crash {
+// toCrash converts the ages in the message to times of this daemon's clock.
+func (c crashMessage) toCrash(now time.Time, d digest.Digest) decide.Crash {
 	return decide.Crash{
-		Digest: d, Pool: l.Pool, Target: l.Target, PoolSize: l.Targets,
-		Started: now.Add(-time.Duration(l.Began) * time.Millisecond),
-		Ended:   now.Add(-time.Duration(l.Ended) * time.Millisecond),
+		Digest: d, Pool: c.Pool, Target: c.Target, PoolSize: c.PoolSize,
+		Started: now.Add(-time.Duration(c.StartedAgo) * time.Millisecond),
+		Ended:   now.Add(-time.Duration(c.EndedAgo) * time.Millisecond),
 	}
 }
 
-// free has a request known as healthy if it is known as anything else. The caller holds mu.
-func (q *Quarantine) free(now time.Time, d digest.Digest) bool {
-	v, known := q.ledger.RecordSuccess(now, d)
-	if e, ok := (*q.list.Load())[d]; ok && e.State != decide.Cleared {
+// clearRequest marks a request as healthy, and reports whether it was known as anything
+// else. The caller holds mu.
+func (q *Quarantine) clearRequest(now time.Time, d digest.Digest) bool {
+	v, known := q.detector.RecordSuccess(now, d)
+	if e, ok := (*q.entries.Load())[d]; ok && e.State != decide.Cleared {
 		v, known = e.Verdict, true
 		v.State = decide.Cleared
 	}
 	if known {
-		q.decided(v)
+		q.recordVerdict(v)
 	}
 	return known
 }
