--- a/internal/digest/digest.go
+++ b/internal/digest/digest.go
@@ -1,4 +1,4 @@
-// Package digest tells by a few bytes whether two requests are the same work.
+// Package digest computes short hashes that identify requests for the same work.
 package digest
 
 import (
@@ -7,22 +7,23 @@
 	"strconv"
 )
 
-// Digest is equal for requests that ask for the same work. A request's id, its
-// deadline and all else that differs between two attempts of a caller is left out.
+// Digest is equal for requests for the same work. It leaves out what differs between a
+// caller's attempts, such as the request id and the deadline.
 type Digest uint64
 
-// Request is what makes a request's work.
+// Request holds the parts of a request that the digest covers.
 type Request struct {
-	// Team is whose request it is, empty on public routes. No team can make a request
-	// whose digest is that of another team's.
+	// Team is the caller's team, empty on public routes. No team can make a request with the
+	// digest of another team's request.
 	Team string
 	// Method, Host and URI are as the caller wrote them.
 	Method, Host, URI string
 	Body              []byte
 }
 
-// Of is the request's digest. The hash is a cryptographic one: callers choose their
-// bodies, and one that met another team's digest could have its requests refused.
+// Of returns the request's digest. The hash is cryptographic, because callers choose their
+// bodies: one that found a collision with another team's digest could have that team's
+// requests refused.
 func Of(r Request) Digest {
 	h := sha256.New()
 	var size [4]byte
@@ -36,14 +37,14 @@
 	return Digest(binary.BigEndian.Uint64(h.Sum(sum[:0])))
 }
 
-// String is the form that logs and operators use: 16 hexadecimal digits.
+// String returns the digest as 16 hexadecimal digits, the form used in logs and by operators.
 func (d Digest) String() string {
 	const digits = 16
 	text := strconv.FormatUint(uint64(d), 16)
 	return "0000000000000000"[:digits-len(text)] + text
 }
 
-// Parse reads the form that String writes.
+// Parse parses the form that String returns.
 func Parse(text string) (Digest, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	return Digest(n), err
--- a/internal/digest/digest_test.go
+++ b/internal/digest/digest_test.go
@@ -13,7 +13,7 @@
 	return digest.Request{Team: "red", Method: "POST", Host: "h.example", URI: "/a/b", Body: []byte("body")}
 }
 
-func TestSameWorkHasOneDigest(t *testing.T) {
+func TestDigestIdentifiesWork(t *testing.T) {
 	is := is.New(t)
 	is.Equal(digest.Of(request()), digest.Of(request()))
 	seen := map[digest.Digest]bool{digest.Of(request()): true}
@@ -23,7 +23,7 @@
 		func(r *digest.Request) { r.Host = "g.example" },
 		func(r *digest.Request) { r.URI = "/a/c" },
 		func(r *digest.Request) { r.Body = []byte("other") },
-		func(r *digest.Request) { r.Team, r.Method = "redP", "OST" }, // the same bytes, cut elsewhere
+		func(r *digest.Request) { r.Team, r.Method = "redP", "OST" }, // the same bytes with another boundary between fields
 	} {
 		r := request()
 		change(&r)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestDigestIsReadBack(t *testing.T) {
+func TestParseReadsString(t *testing.T) {
 	is := is.New(t)
 	for _, d := range []digest.Digest{0, 0xab, digest.Of(request())} {
 		is.Equal(len(d.String()), 16)
