--- a/internal/decide/sched/dispatch.go
+++ b/internal/decide/sched/dispatch.go
@@ -194,7 +194,7 @@
 		if !t.usable() || t.requests > 0 {
 			continue
 		}
-		if due := t.slow.Due(); wakeAt.IsZero() || due.Before(wakeAt) {
+		if due := t.slow.ProbeAt(); wakeAt.IsZero() || due.Before(wakeAt) {
 			wakeAt = due
 		}
 	}
--- a/internal/decide/sched/in_flight.go
+++ b/internal/decide/sched/in_flight.go
@@ -33,7 +33,7 @@
 	s.inFlightTokens[rankOf(w)] += w.Cost.Tokens()
 	s.inFlightByRank[rankOf(w)]++
 	s.drainRate.Add(now, w.Cost.Tokens())
-	t.slow.Probe()
+	t.slow.StartProbe()
 	s.prefixIndex.Store(it.target, w.Prefix)
 	s.updateAvailability(it.target)
 }
@@ -42,7 +42,7 @@
 // without a first token before it counts as slow. Waiting for the answers
 // themselves would detect it too late, as these are slow too.
 func (s *Scheduler) firstTokenTimeout(now time.Time, t *target) time.Duration {
-	sec := t.speed.Delay(now).Seconds() + float64(t.prefillTokens)/s.prefillRate(t)
+	sec := t.speed.QueueDelay(now).Seconds() + float64(t.prefillTokens)/s.prefillRate(t)
 	return max(time.Duration(overdueFactor*sec*float64(time.Second)), 2*minCompared)
 }
 
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -43,7 +43,7 @@
 		s.observeFailure(now, i, e)
 	case fireflypath.EventReport:
 		s.targets[i].report = e.Report
-		s.targets[i].window.Report(e.Report)
+		s.targets[i].window.ObserveReport(e.Report)
 	case fireflypath.EventCache:
 		if e.Dropped {
 			s.prefixIndex.Drop(i, e.Blocks)
@@ -82,12 +82,12 @@
 		uncached = max(it.work.Cost.Prompt-e.Cached, 0)
 	}
 	took := now.Sub(it.dispatchedAt)
-	if t.speed.Prefill() > 0 {
-		expected := t.speed.Delay(now).Seconds() + float64(it.prefillAhead+uncached)/t.speed.Prefill()
+	if t.speed.PrefillRate() > 0 {
+		expected := t.speed.QueueDelay(now).Seconds() + float64(it.prefillAhead+uncached)/t.speed.PrefillRate()
 		s.recordSlowness(now, t, took.Seconds(), expected)
 	}
-	t.speed.First(now, it.prefillAhead+uncached, took)
-	s.maxPrefillRate = max(s.maxPrefillRate*maxRateDecay, t.speed.Prefill())
+	t.speed.ObserveFirstToken(now, it.prefillAhead+uncached, took)
+	s.maxPrefillRate = max(s.maxPrefillRate*maxRateDecay, t.speed.PrefillRate())
 }
 
 // observeDone learns the decode speed and the accuracy of the estimate from a
@@ -102,16 +102,16 @@
 	}
 	it, t := &s.items[slot], &s.targets[i]
 	took := now.Sub(it.firstTokenAt)
-	if t.speed.Decode() > 0 && e.Tokens > 1 {
-		s.recordSlowness(now, t, took.Seconds(), float64(e.Tokens-1)/t.speed.Decode())
+	if t.speed.DecodeRate() > 0 && e.Tokens > 1 {
+		s.recordSlowness(now, t, took.Seconds(), float64(e.Tokens-1)/t.speed.DecodeRate())
 	}
-	t.speed.Done(e.Tokens, took)
-	s.maxDecodeRate = max(s.maxDecodeRate*maxRateDecay, t.speed.Decode())
+	t.speed.ObserveAnswer(e.Tokens, took)
+	s.maxDecodeRate = max(s.maxDecodeRate*maxRateDecay, t.speed.DecodeRate())
 	if out := it.work.Cost.Output; out > 0 {
 		s.outputRatio += averageWeight * (min(float64(e.Tokens)/float64(out), 1) - s.outputRatio)
 	}
 	s.margin.Sample(now.Sub(it.dispatchedAt), it.expected)
-	t.window.Done()
+	t.window.ObserveAnswer()
 	s.endFlight(now, slot)
 	s.freeSlot(slot)
 }
@@ -122,7 +122,7 @@
 	expected = max(expected, minCompared.Seconds())
 	ratio := max(took, minCompared.Seconds()) / expected
 	s.avgSlowness += averageWeight * (min(ratio, failedSlowness) - s.avgSlowness)
-	t.slow.Sample(now, ratio, s.avgSlowness)
+	t.slow.ObserveAnswer(now, ratio, s.avgSlowness)
 	s.limitEjections(t)
 }
 
@@ -130,7 +130,7 @@
 // ejected.
 func (s *Scheduler) limitEjections(t *target) {
 	if t.slow.State() == slow.Ejected && ejectedDivisor*(len(s.ejected)+1) > len(s.targets) {
-		t.slow.Spare()
+		t.slow.RevokeEjection()
 	}
 }
 
@@ -140,7 +140,7 @@
 	if !ok {
 		return
 	}
-	s.targets[i].slow.Fail(now)
+	s.targets[i].slow.ObserveFailure(now)
 	s.endFlight(now, slot)
 	w := e.Work
 	if w.Life.State() != fireflypath.StateWaiting {
@@ -156,9 +156,9 @@
 func (s *Scheduler) observeFailure(now time.Time, i int32, e fireflypath.Event) {
 	t := &s.targets[i]
 	if e.Kind == fireflypath.EventRefused {
-		t.slow.Fail(now)
+		t.slow.ObserveFailure(now)
 	} else {
-		t.slow.Sample(now, failedSlowness, s.avgSlowness)
+		t.slow.ObserveAnswer(now, failedSlowness, s.avgSlowness)
 		s.limitEjections(t)
 	}
 	if slot, ok := s.inFlightSlot(i, e.Work); ok {
--- a/internal/decide/sched/target.go
+++ b/internal/decide/sched/target.go
@@ -32,7 +32,7 @@
 	removed bool
 	leaving bool
 	window  window.Window
-	speed   speed.Speed
+	speed   speed.Estimator
 	slow    slow.Detector
 	// part is this daemon's fraction of the target's window; dither is the
 	// offset used to round it to whole requests.
@@ -233,7 +233,7 @@
 		i := s.ejected[k]
 		t := &s.targets[i]
 		isEjected := t.slow.State() == slow.Ejected
-		if isEjected && (now.Before(t.slow.Due()) || !t.usable() || t.requests > 0) {
+		if isEjected && (now.Before(t.slow.ProbeAt()) || !t.usable() || t.requests > 0) {
 			continue
 		}
 		s.ejected[k] = s.ejected[len(s.ejected)-1]
@@ -248,13 +248,13 @@
 
 // hasSpeeds reports whether the target's speeds were learned from answers.
 func (t *target) hasSpeeds() bool {
-	return t.speed.Prefill() > 0 && t.speed.Decode() > 0
+	return t.speed.PrefillRate() > 0 && t.speed.DecodeRate() > 0
 }
 
 // prefillRate returns the target's prefill speed. While it is unknown, half the
 // highest known speed is assumed.
 func (s *Scheduler) prefillRate(t *target) float64 {
-	if r := t.speed.Prefill(); r > 0 {
+	if r := t.speed.PrefillRate(); r > 0 {
 		return r
 	}
 	if s.maxPrefillRate > 0 {
@@ -266,7 +266,7 @@
 // decodeRate returns the target's decode speed. While it is unknown, half the
 // highest known speed is assumed.
 func (s *Scheduler) decodeRate(t *target) float64 {
-	if r := t.speed.Decode(); r > 0 {
+	if r := t.speed.DecodeRate(); r > 0 {
 		return r
 	}
 	if s.maxDecodeRate > 0 {
@@ -280,7 +280,7 @@
 // prompt and its output.
 func (s *Scheduler) expectedSeconds(now time.Time, t *target, w *fireflypath.Work, hit int) float64 {
 	uncached := max(w.Cost.Prompt-hit, 0)
-	queueing := max(t.speed.Delay(now).Seconds(), s.othersQueueSeconds(now, t))
+	queueing := max(t.speed.QueueDelay(now).Seconds(), s.othersQueueSeconds(now, t))
 	prefill := float64(t.prefillTokens+uncached) / s.prefillRate(t)
 	decode := s.expectedOutput(w) / s.decodeRate(t)
 	return queueing + prefill + decode
--- a/internal/decide/sched/views.go
+++ b/internal/decide/sched/views.go
@@ -47,8 +47,8 @@
 			Part:        t.part,
 			Held:        t.tokens,
 			Requests:    t.requests,
-			PrefillRate: t.speed.Prefill(),
-			DecodeRate:  t.speed.Decode(),
+			PrefillRate: t.speed.PrefillRate(),
+			DecodeRate:  t.speed.DecodeRate(),
 			Age:         now.Sub(t.report.Measured),
 		})
 	}
--- a/internal/decide/slots/choose.go
+++ b/internal/decide/slots/choose.go
@@ -72,7 +72,7 @@
 // seconds.
 func (s *Scheduler) expectedDuration(t *target, w *fireflypath.Work) float64 {
 	sec := float64(w.Cost.Prompt) / s.prefillRate(t)
-	if d := t.speed.Decode(); d > 0 {
+	if d := t.speed.DecodeRate(); d > 0 {
 		sec += float64(w.Output) / (d * float64(s.tokensPerEvent()))
 	}
 	return sec
@@ -81,13 +81,13 @@
 // speedKnown reports whether the target's prefill and decode rates are known, from
 // answers or from another daemon.
 func (t *target) speedKnown() bool {
-	return t.speed.Prefill() > 0 && t.speed.Decode() > 0
+	return t.speed.PrefillRate() > 0 && t.speed.DecodeRate() > 0
 }
 
 // score returns the expected time to the first event, in seconds, increased by the
 // target's occupancy, its queue and its failures. Lower is better.
 func (s *Scheduler) score(now time.Time, t *target, w *fireflypath.Work) float64 {
-	sec := float64(t.pendingPrefill+t.peerPrefill+w.Cost.Prompt)/s.prefillRate(t) + t.speed.Delay(now).Seconds() + 1e-3
+	sec := float64(t.pendingPrefill+t.peerPrefill+w.Cost.Prompt)/s.prefillRate(t) + t.speed.QueueDelay(now).Seconds() + 1e-3
 	occupancy := float64(s.occupied(now, t)) / float64(t.slots())
 	sec *= 1 + s.tuning.SlotPenalty*occupancy*float64(t.slots())
 	if over := s.occupied(now, t) + 1 - t.slots(); over > 0 {
@@ -106,7 +106,7 @@
 // prefillRate returns the target's prefill rate. If it is unknown, the fastest
 // known rate is assumed.
 func (s *Scheduler) prefillRate(t *target) float64 {
-	if r := t.speed.Prefill(); r > 0 {
+	if r := t.speed.PrefillRate(); r > 0 {
 		return r
 	}
 	if s.maxPrefillRate > 0 {
--- a/internal/decide/slots/observe.go
+++ b/internal/decide/slots/observe.go
@@ -45,7 +45,7 @@
 	s.inFlight[w] = f
 	t := f.target
 	t.pendingPrefill -= w.Cost.Prompt
-	t.speed.First(now, w.Cost.Prompt+f.prefillAhead, now.Sub(f.at))
+	t.speed.ObserveFirstToken(now, w.Cost.Prompt+f.prefillAhead, now.Sub(f.at))
 	s.updateFastest(t)
 	t.recordSuccess()
 }
@@ -53,8 +53,8 @@
 // updateFastest makes the target the fastest one if its prefill rate exceeds all
 // known ones.
 func (s *Scheduler) updateFastest(t *target) {
-	if t.speed.Prefill() > s.maxPrefillRate {
-		s.maxPrefillRate, s.fastest = t.speed.Prefill(), t
+	if t.speed.PrefillRate() > s.maxPrefillRate {
+		s.maxPrefillRate, s.fastest = t.speed.PrefillRate(), t
 	}
 }
 
@@ -86,7 +86,7 @@
 	case fireflypath.EventDone:
 		t.recordSuccess()
 		if !f.firstEventAt.IsZero() {
-			t.speed.Done(e.Tokens, now.Sub(f.firstEventAt))
+			t.speed.ObserveAnswer(e.Tokens, now.Sub(f.firstEventAt))
 		}
 	case fireflypath.EventRefused:
 		t.recordFailure(now, true)
--- a/internal/decide/slots/peers.go
+++ b/internal/decide/slots/peers.go
@@ -52,7 +52,7 @@
 	}
 	for _, t := range s.ordered {
 		if t.speedKnown() {
-			m.Speeds[t.id] = fireflypath.Speed{Prefill: roundToTwoDigits(t.speed.Prefill()), Decode: roundToTwoDigits(t.speed.Decode())}
+			m.Speeds[t.id] = fireflypath.Speed{Prefill: roundToTwoDigits(t.speed.PrefillRate()), Decode: roundToTwoDigits(t.speed.DecodeRate())}
 		}
 	}
 }
@@ -95,7 +95,7 @@
 			requests += m.Flights[t.id]
 			promptUnits += m.Prompts[t.id]
 			if v, ok := m.Speeds[t.id]; ok && !t.speedKnown() {
-				t.speed.Adopt(float64(v.Prefill), float64(v.Decode))
+				t.speed.AdoptRates(float64(v.Prefill), float64(v.Decode))
 				s.updateFastest(t)
 			}
 		}
--- a/internal/decide/slots/target.go
+++ b/internal/decide/slots/target.go
@@ -38,7 +38,7 @@
 	// id is the target's identity, nameHash the hash of its name.
 	id       string
 	nameHash uint64
-	speed    speed.Speed
+	speed    speed.Estimator
 	// requests counts this daemon's requests in flight, pendingPrefill the prompt
 	// tokens of those that have not received a first event.
 	requests       int
--- a/internal/decide/slots/views.go
+++ b/internal/decide/slots/views.go
@@ -54,7 +54,7 @@
 		out = append(out, fireflypath.TargetView{
 			Target: t.Name, Pool: s.pool.Name, State: state, Window: t.slots(), Part: 1,
 			Held: t.pendingPrefill, Requests: t.requests,
-			PrefillRate: t.speed.Prefill(), DecodeRate: t.speed.Decode(), Age: now.Sub(t.reportedAt),
+			PrefillRate: t.speed.PrefillRate(), DecodeRate: t.speed.DecodeRate(), Age: now.Sub(t.reportedAt),
 		})
 	}
 	return out
--- a/internal/decide/slow/detector.go
+++ b/internal/decide/slow/detector.go
@@ -50,9 +50,9 @@
 	ejectedUntil time.Time
 }
 
-// Sample records how many times longer than expected an answer took. pool is the
+// ObserveAnswer records how many times longer than expected an answer took. pool is the
 // average of that ratio over all targets, so that an overload ejects no target.
-func (d *Detector) Sample(now time.Time, ratio, pool float64) {
+func (d *Detector) ObserveAnswer(now time.Time, ratio, pool float64) {
 	if d.samples == 0 {
 		d.averageRatio = ratio
 	}
@@ -74,18 +74,18 @@
 	}
 }
 
-// Fail ejects a target that refused a request or broke off an answer.
-func (d *Detector) Fail(now time.Time) {
+// ObserveFailure ejects a target that refused a request or broke off an answer.
+func (d *Detector) ObserveFailure(now time.Time) {
 	d.eject(now)
 }
 
-// Spare revokes an ejection: the target stays in use as a slow one.
-func (d *Detector) Spare() {
+// RevokeEjection revokes an ejection: the target stays in use as a slow one.
+func (d *Detector) RevokeEjection() {
 	d.state = Slow
 }
 
-// Probe marks an ejected target as probing once the probe is sent.
-func (d *Detector) Probe() {
+// StartProbe marks an ejected target as probing once the probe is sent.
+func (d *Detector) StartProbe() {
 	if d.state == Ejected {
 		d.state = Probing
 	}
@@ -99,8 +99,8 @@
 // State returns the current state.
 func (d *Detector) State() State { return d.state }
 
-// Due returns when an ejected target may be probed.
-func (d *Detector) Due() time.Time { return d.ejectedUntil }
+// ProbeAt returns when an ejected target may be probed.
+func (d *Detector) ProbeAt() time.Time { return d.ejectedUntil }
 
 // finishProbe ejects the target again for longer, or marks it ready, by the answer
 // to a probe.
--- a/internal/decide/slow/detector_test.go
+++ b/internal/decide/slow/detector_test.go
@@ -16,23 +16,23 @@
 	is := is.New(t)
 	var d Detector
 	for range 20 {
-		d.Sample(start, 1, 1)
+		d.ObserveAnswer(start, 1, 1)
 	}
 	is.Equal(d.State(), Ready)
 	n := 0
 	for d.State() != Ejected {
-		d.Sample(start, 10, 1)
+		d.ObserveAnswer(start, 10, 1)
 		n++
 	}
 	is.True(n <= 3)
-	is.Equal(d.Due(), start.Add(minEjection))
-	d.Probe()
+	is.Equal(d.ProbeAt(), start.Add(minEjection))
+	d.StartProbe()
 	is.Equal(d.State(), Probing)
-	d.Sample(start, 10, 1)
+	d.ObserveAnswer(start, 10, 1)
 	is.Equal(d.State(), Ejected)
-	is.Equal(d.Due(), start.Add(2*minEjection))
-	d.Probe()
-	d.Sample(start, 1, 1)
+	is.Equal(d.ProbeAt(), start.Add(2*minEjection))
+	d.StartProbe()
+	d.ObserveAnswer(start, 1, 1)
 	is.Equal(d.State(), Ready)
 }
 
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	var d Detector
 	for range 50 {
-		d.Sample(start, 8, 8)
+		d.ObserveAnswer(start, 8, 8)
 	}
 	is.Equal(d.State(), Ready)
 }
--- a/internal/decide/speed/speed.go
+++ b/internal/decide/speed/speed.go
@@ -27,8 +27,8 @@
 	delayLifetime = 4 * time.Second
 )
 
-// Speed estimates the speed of one target. The zero value knows nothing.
-type Speed struct {
+// Estimator estimates the speed of one target. The zero value knows nothing.
+type Estimator struct {
 	prefillRate float64
 	decodeRate  float64
 	queueDelay  float64
@@ -36,10 +36,10 @@
 	measuredAt time.Time
 }
 
-// First updates the estimate with a first token. tokens is the number of prompt
+// ObserveFirstToken updates the estimate with a first token. tokens is the number of prompt
 // tokens that had to be prefilled since the dispatch, including those of this
 // daemon's requests ahead.
-func (s *Speed) First(now time.Time, tokens int, took time.Duration) {
+func (s *Estimator) ObserveFirstToken(now time.Time, tokens int, took time.Duration) {
 	sec := max(took.Seconds(), 1e-4)
 	if tokens >= minSampleTokens {
 		rate := float64(tokens) / sec
@@ -60,9 +60,9 @@
 	s.measuredAt = now
 }
 
-// Done updates the decode rate with a complete answer and the time since its first
+// ObserveAnswer updates the decode rate with a complete answer and the time since its first
 // token.
-func (s *Speed) Done(output int, took time.Duration) {
+func (s *Estimator) ObserveAnswer(output int, took time.Duration) {
 	if output < 2 {
 		return
 	}
@@ -73,22 +73,22 @@
 	s.decodeRate += averageWeight * (rate - s.decodeRate)
 }
 
-// Adopt sets the rates learned by another daemon if none are known.
-func (s *Speed) Adopt(prefillRate, decodeRate float64) {
+// AdoptRates sets the rates learned by another daemon if none are known.
+func (s *Estimator) AdoptRates(prefillRate, decodeRate float64) {
 	if s.prefillRate == 0 && s.decodeRate == 0 {
 		s.prefillRate, s.decodeRate = prefillRate, decodeRate
 	}
 }
 
-// Prefill returns the prefill rate in tokens per second, 0 if unknown.
-func (s *Speed) Prefill() float64 { return s.prefillRate }
+// PrefillRate returns the prefill rate in tokens per second, 0 if unknown.
+func (s *Estimator) PrefillRate() float64 { return s.prefillRate }
 
-// Decode returns the decode rate of one request in tokens per second, 0 if unknown.
-func (s *Speed) Decode() float64 { return s.decodeRate }
+// DecodeRate returns the decode rate of one request in tokens per second, 0 if unknown.
+func (s *Estimator) DecodeRate() float64 { return s.decodeRate }
 
-// Delay returns the expected wait in the target that is not explained by the
+// QueueDelay returns the expected wait in the target that is not explained by the
 // prefill of known requests. It decreases with its age.
-func (s *Speed) Delay(now time.Time) time.Duration {
+func (s *Estimator) QueueDelay(now time.Time) time.Duration {
 	if s.queueDelay < minDelay {
 		return 0
 	}
--- a/internal/decide/window/window.go
+++ b/internal/decide/window/window.go
@@ -58,18 +58,18 @@
 	w.requests = initialRequests
 }
 
-// Done grows the window after a complete answer by one request, which doubles it
+// ObserveAnswer grows the window after a complete answer by one request, which doubles it
 // with every window of answers until the batch is filled.
-func (w *Window) Done() {
+func (w *Window) ObserveAnswer() {
 	if w.requests < float64(w.limit()) {
 		w.requests++
 	}
 }
 
-// Report adjusts the window to the target's own load report, which covers the
+// ObserveReport adjusts the window to the target's own load report, which covers the
 // requests of all daemons. A daemon whose share of a small window is less than one
 // request would otherwise never see it grow.
-func (w *Window) Report(r fireflypath.Report) {
+func (w *Window) ObserveReport(r fireflypath.Report) {
 	if r.Batch > 0 {
 		w.batch = r.Batch
 	}
--- a/internal/decide/window/window_test.go
+++ b/internal/decide/window/window_test.go
@@ -16,12 +16,12 @@
 	is.Equal(w.Requests(), float64(initialRequests))
 	for range 4 {
 		n := int(w.Requests())
-		w.Report(fireflypath.Report{Running: n, Batch: 16})
+		w.ObserveReport(fireflypath.Report{Running: n, Batch: 16})
 		is.True(w.Requests() <= growthFactor*float64(n+1))
 	}
 	is.True(w.Requests() >= 16)
 	for range 100 {
-		w.Done()
+		w.ObserveAnswer()
 	}
 	is.Equal(w.Requests(), 20.0) // the batch plus a quarter
 	w.Reset()
@@ -35,10 +35,10 @@
 	is := is.New(t)
 	w := New(0)
 	for range 200 {
-		w.Done()
+		w.ObserveAnswer()
 	}
 	for range 10 {
-		w.Report(fireflypath.Report{Running: 6, Waiting: 10})
+		w.ObserveReport(fireflypath.Report{Running: 6, Waiting: 10})
 	}
 	is.True(w.Requests() <= 6)
 	is.True(w.Requests() >= 1)
