--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -198,7 +198,7 @@
 
 // mates is the number of daemons that send work to the same targets.
 func (d *Daemon) mates() int {
-	return len(d.members.Layout().Mates(d.cfg.Name))
+	return len(d.members.Layout().Members(d.cfg.Name))
 }
 
 func (d *Daemon) peersLeaving(target, _ string) {
--- a/internal/daemon/gatedmembers.go
+++ b/internal/daemon/gatedmembers.go
@@ -30,7 +30,7 @@
 	// use before they know that the quota is used up.
 	g := quotas.New(d.cfg.Name, d.peers, d.members, d.limits, quota.Tolerance{}, d.deps.Clock, d.scope)
 	d.work.Go(func() { _ = u.Run(d.ctx) })
-	d.work.Go(func() { _ = g.Run(d.ctx, func() bool { return d.members.Layout().Cells() > 1 }) })
+	d.work.Go(func() { _ = g.Run(d.ctx, func() bool { return d.members.Layout().CellCount() > 1 }) })
 	d.work.Go(d.followLayout)
 	d.work.Go(func() { _ = d.members.Run(d.ctx) })
 	d.work.Go(func() {
@@ -67,11 +67,11 @@
 // shareOf is the part of a pool's targets that this daemon's cell serves.
 func (d *Daemon) shareOf(names []string) fireflypath.Share {
 	layout := d.members.Layout()
-	if layout.Cells() == 1 {
+	if layout.CellCount() == 1 {
 		return fireflypath.Share{Default: 1}
 	}
-	mine, mates := layout.Serves(d.cfg.Name, names)
-	mixed := len(mates) > len(layout.Mates(d.cfg.Name))
+	mine, mates := layout.AssignedTargets(d.cfg.Name, names)
+	mixed := len(mates) > len(layout.Members(d.cfg.Name))
 	if len(mine) == 0 || len(mine) == len(names) {
 		return fireflypath.Share{Default: 1, Mixed: mixed}
 	}
--- a/internal/decide/cell/layout.go
+++ b/internal/decide/cell/layout.go
@@ -68,8 +68,8 @@
 	return out
 }
 
-// Cells returns the number of cells, a power of two.
-func (l *Layout) Cells() int { return 1 << l.prefixBits }
+// CellCount returns the number of cells, a power of two.
+func (l *Layout) CellCount() int { return 1 << l.prefixBits }
 
 // index returns the position of a name in l.names, or -1.
 func (l *Layout) index(name string) int { return slices.Index(l.names, name) }
@@ -86,8 +86,8 @@
 	return from, to
 }
 
-// Mates returns the daemons in the cell of self, including self.
-func (l *Layout) Mates(self string) []string {
+// Members returns the daemons in the cell of self, including self.
+func (l *Layout) Members(self string) []string {
 	i := l.index(self)
 	if i < 0 {
 		return nil
@@ -102,10 +102,10 @@
 // three or four hops.
 const meanFarNeighbours = 2
 
-// Links returns the daemons that self keeps a connection to: the others of its
+// Neighbours returns the daemons that self keeps a connection to: the others of its
 // cell, and a few in other cells, through which updates reach all cells in few hops.
 // Connections are mutual.
-func (l *Layout) Links(self string) []string {
+func (l *Layout) Neighbours(self string) []string {
 	i := l.index(self)
 	if i < 0 {
 		return nil
@@ -147,10 +147,10 @@
 // With fewer, one slow target would affect the whole cell.
 const minTargetsPerCell = 4
 
-// Serves returns the targets of one pool that self dispatches to, and the daemons
+// AssignedTargets returns the targets of one pool that self dispatches to, and the daemons
 // that share them, including self. A cell receives targets in proportion to its
 // daemons. A pool with few targets is shared by several cells, if necessary by all.
-func (l *Layout) Serves(self string, targets []string) (assigned, sharedWith []string) {
+func (l *Layout) AssignedTargets(self string, targets []string) (assigned, sharedWith []string) {
 	i := l.index(self)
 	if i < 0 {
 		return nil, nil
--- a/internal/decide/cell/layout_test.go
+++ b/internal/decide/cell/layout_test.go
@@ -27,16 +27,16 @@
 			is := is.New(t)
 			daemons := names("d", tt.daemons)
 			l := New(daemons)
-			is.Equal(l.Cells(), tt.cells)
+			is.Equal(l.CellCount(), tt.cells)
 			targets := names("t", 2700)
 			served := map[string]int{}
 			for _, d := range daemons {
-				links := l.Links(d)
+				links := l.Neighbours(d)
 				is.True(len(links) <= tt.links) // the number of connections is bounded for any fleet size
 				for _, o := range links {
-					is.True(slices.Contains(l.Links(o), d)) // connections are mutual
+					is.True(slices.Contains(l.Neighbours(o), d)) // connections are mutual
 				}
-				assigned, sharedWith := l.Serves(d, targets)
+				assigned, sharedWith := l.AssignedTargets(d, targets)
 				is.True(slices.Contains(sharedWith, d))
 				is.True(len(assigned) >= 2700/tt.cells/4)
 				for _, m := range assigned {
@@ -53,7 +53,7 @@
 func TestSmallPoolSharedByAllDaemons(t *testing.T) {
 	is := is.New(t)
 	daemons := names("d", 370)
-	assigned, sharedWith := New(daemons).Serves("d7", names("t", 3))
+	assigned, sharedWith := New(daemons).AssignedTargets("d7", names("t", 3))
 	is.Equal(len(assigned), 3)
 	is.Equal(len(sharedWith), 370)
 }
@@ -66,8 +66,8 @@
 	before, after := New(names("d", 370)), New(names("d", 371))
 	changed := 0
 	for _, d := range names("d", 370) {
-		for _, o := range before.Links(d) {
-			if !slices.Contains(after.Links(d), o) {
+		for _, o := range before.Neighbours(d) {
+			if !slices.Contains(after.Neighbours(d), o) {
 				changed++
 			}
 		}
@@ -86,7 +86,7 @@
 			d := queue[0]
 			queue = queue[1:]
 			longest = max(longest, depth[d])
-			for _, o := range l.Links(d) {
+			for _, o := range l.Neighbours(d) {
 				if _, ok := depth[o]; !ok {
 					depth[o] = depth[d] + 1
 					queue = append(queue, o)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -292,7 +292,7 @@
 // join and leave do not move the queue. Those that are leaving come last.
 func (d *Dispatch) candidates() []fireflypath.Member {
 	live := d.fleet.Live()
-	group := d.fleet.Layout().Mates(d.self)
+	group := d.fleet.Layout().Members(d.self)
 	if len(group) == 0 {
 		group = []string{d.self}
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -202,9 +202,9 @@
 		x.early.take(name, p.heard)
 	}
 	self := x.members.Self().Name
-	p.targets, p.group = layout.Serves(self, targets)
+	p.targets, p.group = layout.AssignedTargets(self, targets)
 	p.cell = p.group
-	if mates := layout.Mates(self); len(mates) < len(p.group) {
+	if mates := layout.Members(self); len(mates) < len(p.group) {
 		p.cell = mates
 	}
 	if added && started && len(p.group) > 1 {
@@ -327,7 +327,7 @@
 
 // shareOf names the targets that this daemon serves, unless it serves all.
 func (x *Exchange) shareOf(p *pool, part float64) fireflypath.Share {
-	if p.limit || x.plan.layout.Cells() == 1 {
+	if p.limit || x.plan.layout.CellCount() == 1 {
 		return fireflypath.Share{Default: part}
 	}
 	s := fireflypath.Share{Part: make(map[string]float64, len(p.targets))}
--- a/internal/member/membership.go
+++ b/internal/member/membership.go
@@ -202,8 +202,8 @@
 		}
 		l := cell.New(names)
 		m.layout.Store(l)
-		m.neighbours = l.Links(m.self.Name)
-		m.mates = l.Mates(m.self.Name)
+		m.neighbours = l.Neighbours(m.self.Name)
+		m.mates = l.Members(m.self.Name)
 		if m.peers != nil {
 			m.peers.Keep(m.neighbours)
 		}
--- a/internal/sim/daemon.go
+++ b/internal/sim/daemon.go
@@ -131,16 +131,16 @@
 	}
 	l := cell.New(names)
 	for _, d := range w.daemons {
-		mine, mates := l.Serves(d.name, targets)
+		mine, mates := l.AssignedTargets(d.name, targets)
 		share := fireflypath.Share{Default: 1}
-		if l.Cells() > 1 {
-			share = fireflypath.Share{Part: map[string]float64{}, Mixed: len(mates) > len(l.Mates(d.name))}
+		if l.CellCount() > 1 {
+			share = fireflypath.Share{Part: map[string]float64{}, Mixed: len(mates) > len(l.Members(d.name))}
 			for _, t := range mine {
 				share.Part[t] = 1
 			}
 		}
 		d.mates = d.mates[:0]
-		for _, m := range l.Mates(d.name) {
+		for _, m := range l.Members(d.name) {
 			if m != d.name {
 				d.mates = append(d.mates, byName[m])
 			}
--- a/internal/usage/send.go
+++ b/internal/usage/send.go
@@ -22,7 +22,7 @@
 // fillBeat adds to a heartbeat what changed since the last one to that peer.
 func (u *Usage) fillBeat(to string, b *peer.Beat) {
 	layout := u.fleet.Layout()
-	if !slices.Contains(layout.Mates(u.self), to) {
+	if !slices.Contains(layout.Members(u.self), to) {
 		return // it sends work to other targets
 	}
 	u.mu.Lock()
@@ -42,7 +42,7 @@
 		u.sentTo[to] = s
 	}
 	out := &peer.Usage{Whole: full}
-	if first && layout.Cells() == 1 {
+	if first && layout.CellCount() == 1 {
 		out.Levels = u.limits.Levels(now)
 	}
 	out.Flights = diff(s.inFlight, u.inFlight, 0)
@@ -55,7 +55,7 @@
 		}
 	}
 	for team, n := range u.used {
-		if layout.Cells() == 1 && (s.used[team] != n || full) {
+		if layout.CellCount() == 1 && (s.used[team] != n || full) {
 			out.Used = set(out.Used, team, n)
 			s.used[team] = n
 		}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -143,7 +143,7 @@
 func (u *Usage) Step() {
 	layout := u.fleet.Layout()
 	if u.readLocal(layout) {
-		u.peers.FlushTo(layout.Mates(u.self))
+		u.peers.FlushTo(layout.Members(u.self))
 	}
 	now := u.clock.Now()
 	u.mu.Lock()
@@ -165,7 +165,7 @@
 	if stale {
 		changed = u.readPools(version)
 	}
-	if layout.Cells() > 1 {
+	if layout.CellCount() > 1 {
 		return changed // the quota coordinators receive the usage instead
 	}
 	used := u.limits.Used()
@@ -196,13 +196,13 @@
 // work to the same targets.
 func (u *Usage) apply(now time.Time, layout *cell.Layout) {
 	live := u.fleet.Live()
-	peers := u.activePeers(now, live, layout.Mates(u.self))
+	peers := u.activePeers(now, live, layout.Members(u.self))
 	u.pools.UpdatePeers(peers)
 	if len(peers) == 0 && len(live) == 1 {
 		return // not joined yet: the fractions set at the start stay in force
 	}
 	all := len(live) + u.fleet.Missing()
-	if layout.Cells() > 1 {
+	if layout.CellCount() > 1 {
 		u.limits.SetLargeFleet(all)
 		return
 	}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -203,7 +203,7 @@
 		}
 	}
 	d.usage.Step()
-	names := d.Layout().Mates(d.name)
+	names := d.Layout().Members(d.name)
 	is.True(len(names) < 20)
 	is.Equal(len(d.peers), len(names)-1)
 }
