--- a/internal/decide/cell/layout.go
+++ b/internal/decide/cell/layout.go
@@ -147,9 +147,10 @@
 // With fewer, one slow target would affect the whole cell.
 const minTargetsPerCell = 4
 
-// AssignedTargets returns the targets of one pool that self dispatches to, and the daemons
-// that share them, including self. A cell receives targets in proportion to its
-// daemons. A pool with few targets is shared by several cells, if necessary by all.
+// AssignedTargets returns the targets of one pool that self dispatches to, and the
+// daemons that share them, including self. A cell receives targets in proportion to
+// its daemons. A pool with few targets is shared by several cells, if necessary by
+// all.
 func (l *Layout) AssignedTargets(self string, targets []string) (assigned, sharedWith []string) {
 	i := l.index(self)
 	if i < 0 {
--- a/internal/decide/place/chooser.go
+++ b/internal/decide/place/chooser.go
@@ -20,12 +20,14 @@
 	Scored Policy = iota
 	// RoundRobin chooses the targets in turn.
 	RoundRobin
-	// LeastRequests chooses the target with the fewest of this daemon's requests in flight.
-	LeastRequests
-	// PowerOfTwoChoices chooses the better of two random targets by this daemon's requests in
+	// LeastRequests chooses the target with the fewest of this daemon's requests in
 	// flight.
+	LeastRequests
+	// PowerOfTwoChoices chooses the better of two random targets by this daemon's
+	// requests in flight.
 	PowerOfTwoChoices
-	// PrefixHash chooses the target to which the prefix hashes among those available.
+	// PrefixHash chooses the target to which the prefix hashes among those
+	// available.
 	PrefixHash
 	// CachedRanking takes targets in order from a cached ranking by score, which it
 	// renews when the set of available targets changes or half of the ranking is
--- a/internal/decide/slots/peers.go
+++ b/internal/decide/slots/peers.go
@@ -80,8 +80,8 @@
 	return r, true
 }
 
-// UpdatePeers replaces what is known of the requests that other daemons have in flight and
-// waiting.
+// UpdatePeers replaces what is known of the requests that other daemons have in
+// flight and waiting.
 func (s *Scheduler) UpdatePeers(now time.Time, peers []fireflypath.Mate) {
 	s.competitors = s.competitors[:0]
 	for _, m := range peers {
--- a/internal/decide/slots/transfer.go
+++ b/internal/decide/slots/transfer.go
@@ -8,8 +8,8 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// AddInFlight counts a request that another scheduler dispatched to the target with the
-// given identity.
+// AddInFlight counts a request that another scheduler dispatched to the target with
+// the given identity.
 func (s *Scheduler) AddInFlight(now time.Time, w *fireflypath.Work, identity string, sent time.Time, began bool) {
 	i := slices.IndexFunc(s.ordered, func(t *target) bool { return t.id == identity })
 	if i < 0 {
--- a/internal/decide/slots/tuning.go
+++ b/internal/decide/slots/tuning.go
@@ -57,7 +57,8 @@
 	ScoreNoise float64 `json:"spread"`
 }
 
-// StandaloneTuning returns the tuning of a daemon that decides for itself alongside others.
+// StandaloneTuning returns the tuning of a daemon that decides for itself alongside
+// others.
 func StandaloneTuning() Tuning {
 	return Tuning{
 		MaxTargetQueue: 2, MaxWaitFraction: 0.6, MinServedRatio: 0.35, FailurePenalty: 20, SlotPenalty: 0.05,
--- a/internal/decide/slow/detector.go
+++ b/internal/decide/slow/detector.go
@@ -50,8 +50,8 @@
 	ejectedUntil time.Time
 }
 
-// ObserveAnswer records how many times longer than expected an answer took. pool is the
-// average of that ratio over all targets, so that an overload ejects no target.
+// ObserveAnswer records how many times longer than expected an answer took. pool is
+// the average of that ratio over all targets, so that an overload ejects no target.
 func (d *Detector) ObserveAnswer(now time.Time, ratio, pool float64) {
 	if d.samples == 0 {
 		d.averageRatio = ratio
--- a/internal/decide/speed/speed.go
+++ b/internal/decide/speed/speed.go
@@ -36,9 +36,9 @@
 	measuredAt time.Time
 }
 
-// ObserveFirstToken updates the estimate with a first token. tokens is the number of prompt
-// tokens that had to be prefilled since the dispatch, including those of this
-// daemon's requests ahead.
+// ObserveFirstToken updates the estimate with a first token. tokens is the number
+// of prompt tokens that had to be prefilled since the dispatch, including those of
+// this daemon's requests ahead.
 func (s *Estimator) ObserveFirstToken(now time.Time, tokens int, took time.Duration) {
 	sec := max(took.Seconds(), 1e-4)
 	if tokens >= minSampleTokens {
@@ -60,8 +60,8 @@
 	s.measuredAt = now
 }
 
-// ObserveAnswer updates the decode rate with a complete answer and the time since its first
-// token.
+// ObserveAnswer updates the decode rate with a complete answer and the time since
+// its first token.
 func (s *Estimator) ObserveAnswer(output int, took time.Duration) {
 	if output < 2 {
 		return
@@ -83,7 +83,8 @@
 // PrefillRate returns the prefill rate in tokens per second, 0 if unknown.
 func (s *Estimator) PrefillRate() float64 { return s.prefillRate }
 
-// DecodeRate returns the decode rate of one request in tokens per second, 0 if unknown.
+// DecodeRate returns the decode rate of one request in tokens per second, 0 if
+// unknown.
 func (s *Estimator) DecodeRate() float64 { return s.decodeRate }
 
 // QueueDelay returns the expected wait in the target that is not explained by the
--- a/internal/decide/window/window.go
+++ b/internal/decide/window/window.go
@@ -58,8 +58,8 @@
 	w.requests = initialRequests
 }
 
-// ObserveAnswer grows the window after a complete answer by one request, which doubles it
-// with every window of answers until the batch is filled.
+// ObserveAnswer grows the window after a complete answer by one request, which
+// doubles it with every window of answers until the batch is filled.
 func (w *Window) ObserveAnswer() {
 	if w.requests < float64(w.limit()) {
 		w.requests++
