--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -20,15 +20,15 @@
 
 // Demands are those of pools and of limits.
 func (l *limits) Demands() []fireflypath.Demand {
-	return append(l.Pools.Demands(), l.rules.Offered(l.clock.Now(), l.configs.Current())...)
+	return append(l.Pools.Demands(), l.rules.Demands(l.clock.Now(), l.configs.Current())...)
 }
 
 // ApplyShare puts a part of a pool or a limit in force.
 func (l *limits) ApplyShare(name string, s fireflypath.Share) {
 	cfg := l.configs.Current()
 	pool := slices.ContainsFunc(cfg.Pools, func(p fireflypath.Pool) bool { return p.Name == name })
-	if rule, ok := rules.Named(name); ok && !pool {
-		l.rules.Apply(cfg, rule, s.Default)
+	if rule, ok := rules.RuleOfKey(name); ok && !pool {
+		l.rules.SetShare(cfg, rule, s.Default)
 		return
 	}
 	l.Pools.ApplyShare(name, s)
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -33,7 +33,7 @@
 	l.Apply(cfg)
 	ds := l.Demands()
 	is.Equal(len(ds), 2)
-	is.Equal(ds[1].Pool, rules.Key("ours"))
+	is.Equal(ds[1].Pool, rules.DemandKey("ours"))
 	// 100 tokens take 2 s at a half, 9 s at the even part of nine daemons.
 	l.ApplyShare(ds[1].Pool, fireflypath.Share{Default: 0.5})
 	w := &fireflypath.Work{Cost: fireflypath.Cost{Prompt: 100}}
--- a/internal/decide/rules/rules.go
+++ b/internal/decide/rules/rules.go
@@ -20,8 +20,8 @@
 // stream that arrives in lumps of a second.
 const burst = time.Second
 
-// Verdict is what the rules say of a request.
-type Verdict struct {
+// Decision is what the rules say of a request.
+type Decision struct {
 	// Rule is the name of the rule that decided, empty if none matched.
 	Rule string
 	// Refused is true if the work is not let in.
@@ -54,14 +54,14 @@
 // Decide applies the first rule that matches. A limit is shared by the given
 // number of daemons, evenly unless Apply gave another part: counting together
 // would cost messages for each request.
-func (r *Rules) Decide(now time.Time, cfg *fireflypath.Config, daemons int, w *fireflypath.Work) Verdict {
+func (r *Rules) Decide(now time.Time, cfg *fireflypath.Config, daemons int, w *fireflypath.Work) Decision {
 	list := r.current(cfg).rules
 	for i := range list {
 		if matches(&list[i].Rule, w) {
 			return list[i].decide(now, daemons, w)
 		}
 	}
-	return Verdict{}
+	return Decision{}
 }
 
 func matches(r *fireflypath.Rule, w *fireflypath.Work) bool {
@@ -71,15 +71,15 @@
 		(r.Above == 0 || w.Cost.Tokens() > r.Above)
 }
 
-func (r *rule) decide(now time.Time, daemons int, w *fireflypath.Work) Verdict {
-	v := Verdict{Rule: r.Name}
+func (r *rule) decide(now time.Time, daemons int, w *fireflypath.Work) Decision {
+	v := Decision{Rule: r.Name}
 	switch r.Act {
 	case fireflypath.RuleRefuse:
 		v.Refused = true
 		v.Detail = fmt.Sprintf("rule %s refuses this work of %d estimated tokens", r.Name, w.Cost.Tokens())
 	case fireflypath.RuleLimit:
 		r.limit.offered.Add(int64(w.Cost.Tokens()))
-		v.RetryAfter = r.limit.take(now, perToken(r.Limit, r.limit.share(daemons)), w.Cost.Tokens())
+		v.RetryAfter = r.limit.admit(now, timePerToken(r.Limit, r.limit.share(daemons)), w.Cost.Tokens())
 		v.Refused = v.RetryAfter > 0
 		if v.Refused {
 			v.Detail = fmt.Sprintf("rule %s allows %d tokens a second over %d daemons", r.Name, r.Limit, max(daemons, 1))
@@ -88,8 +88,8 @@
 	return v
 }
 
-// perToken is the time that one token takes at this daemon's part of a limit.
-func perToken(tokens int, part float64) float64 {
+// timePerToken is the time that one token takes at this daemon's part of a limit.
+func timePerToken(tokens int, part float64) float64 {
 	return float64(time.Second) / part / float64(max(tokens, 1))
 }
 
@@ -139,20 +139,20 @@
 type limit struct {
 	// clock is in Unix nanoseconds.
 	clock atomic.Int64
-	// part is this daemon's part of the limit as the bits of a float64; 0 if the
+	// shareBits is this daemon's part of the limit as the bits of a float64; 0 if the
 	// daemons did not tell each other yet.
-	part atomic.Uint64
+	shareBits atomic.Uint64
 	// offered counts the tokens that came, let in or not.
 	offered atomic.Int64
 	// rate is the mean of the tokens that come in a second, as of measured; both
 	// and counted are used under Rules.mu.
-	rate     float64
-	counted  int64
-	measured time.Time
+	rate        float64
+	lastOffered int64
+	measuredAt  time.Time
 }
 
-// take books the tokens and returns 0, or returns how long there is no room.
-func (l *limit) take(now time.Time, perToken float64, tokens int) time.Duration {
+// admit books the tokens and returns 0, or returns how long there is no room.
+func (l *limit) admit(now time.Time, perToken float64, tokens int) time.Duration {
 	at := now.UnixNano()
 	for {
 		clock := l.clock.Load()
--- a/internal/decide/rules/rules_test.go
+++ b/internal/decide/rules/rules_test.go
@@ -81,7 +81,7 @@
 
 // The configuration changes while requests still carry the one before. A limit
 // that started anew with each change would let a burst through each time.
-func TestLimitSurvivesChanges(t *testing.T) {
+func TestLimitSurvivesConfigurationChanges(t *testing.T) {
 	is := is.New(t)
 	rule := fireflypath.Rule{Name: "calm", Act: fireflypath.RuleLimit, Limit: 100}
 	var r rules.Rules
@@ -136,7 +136,7 @@
 // A team's requests come here only. What comes is measured, also what the even
 // part refuses, or else the part could never grow; once it has grown, the team
 // gets what it was granted. A part of 0 means that nobody told any.
-func TestPartOfALimit(t *testing.T) {
+func TestLimitShareFollowsDemand(t *testing.T) {
 	is := is.New(t)
 	cfg := &fireflypath.Config{Rules: []fireflypath.Rule{
 		{Name: "ours", Act: fireflypath.RuleLimit, Team: "traders", Limit: 900},
@@ -149,18 +149,18 @@
 			if !r.Decide(now, cfg, 9, work("traders", "gold", 80)).Refused {
 				in += 80
 			}
-			r.Offered(now, cfg)
+			r.Demands(now, cfg)
 		}
 		return in
 	}
 	is.True(let(20) < 21*100+160)
-	d := r.Offered(now, cfg)
+	d := r.Demands(now, cfg)
 	is.Equal(len(d), 1)
 	is.Equal(d[0].Slots, 900)
 	is.True(d[0].Busy[0] > 780 && d[0].Busy[0] < 820)
-	r.Apply(cfg, "ours", 0.9)
+	r.SetShare(cfg, "ours", 0.9)
 	let(2) // the second that the clock is ahead
 	is.True(let(20) > 20*780)
-	r.Apply(cfg, "ours", 0)
+	r.SetShare(cfg, "ours", 0)
 	is.True(let(20) < 21*100+160)
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -183,8 +183,8 @@
 	for _, c := range cfg.Pools {
 		next[c.Name] = x.place(c.Name, layout, targets[c.Name], started)
 	}
-	for _, name := range rules.Shared(cfg) {
-		if key := rules.Key(name); next[key] == nil {
+	for _, name := range rules.SharedLimits(cfg) {
+		if key := rules.DemandKey(name); next[key] == nil {
 			next[key] = x.placeLimit(key, layout)
 		}
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -53,7 +53,7 @@
 func (s *site) ApplyShare(pool string, sh fireflypath.Share) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if pool == "added" || pool == rules.Key("team") {
+	if pool == "added" || pool == rules.DemandKey("team") {
 		s.beside = sh.Default
 		return
 	}
@@ -277,7 +277,7 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.cfg = &cfg
-			s.added = fireflypath.Demand{Pool: rules.Key("team"), Slots: 1000, Busy: []int{rate}}
+			s.added = fireflypath.Demand{Pool: rules.DemandKey("team"), Slots: 1000, Busy: []int{rate}}
 		}
 		watch := func(d time.Duration) {
 			for ; d > 0; d -= 20 * time.Millisecond {
