--- a/internal/decide/rules/rules.go
+++ b/internal/decide/rules/rules.go
@@ -1,9 +1,9 @@
-// Package rules applies the operators' rules for admission.
+// Package rules applies the operators' admission rules.
 //
-// The load pattern is one team or kind of work that sends more than the
-// operators have granted it, while the pools still take everything. Without
-// rules, fair shares bound such a team only once work waits; long prompts of a
-// low tier have by then been prefilled in front of the others.
+// They are for a team or kind of request that sends more than the operators granted it
+// while the pools still have capacity. Without rules, fair shares limit such a team only
+// once requests wait; by then, long prompts of a low tier have been prefilled ahead of the
+// others.
 package rules
 
 import (
@@ -15,29 +15,28 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// burst is how far ahead of its rate limited work may run: callers are told to
-// come back after a second at the least, so that less would refuse an even
-// stream that arrives in lumps of a second.
+// burst is how far requests may run ahead of a limit's rate. Callers are told to retry
+// after at least a second, so a smaller burst would refuse a steady stream that arrives in
+// one-second bursts.
 const burst = time.Second
 
-// Decision is what the rules say of a request.
+// Decision is the result of the rules for a request.
 type Decision struct {
 	// Rule is the name of the rule that decided, empty if none matched.
 	Rule string
-	// Refused is true if the work is not let in.
+	// Refused is true if the request is not admitted.
 	Refused bool
-	// Detail says why, with the figures.
+	// Detail is the reason, with the figures.
 	Detail string
-	// RetryAfter is when the limit has room; 0 means that it never has.
+	// RetryAfter is the time until the limit has room; 0 means that retrying cannot help.
 	RetryAfter time.Duration
 }
 
-// Rules decide on requests of all pools of a daemon. They hold no lock on a
-// request's path: the compiled list is swapped when the configuration is, and a
-// limit is one atomic word.
+// Rules decides on requests of all pools of a daemon. Requests take no lock: the compiled
+// list is swapped when the configuration changes, and limits are updated atomically.
 type Rules struct {
 	list atomic.Pointer[compiled]
-	// mu is held while a new configuration's list is made.
+	// mu is held while the list of a new configuration is compiled.
 	mu sync.Mutex
 }
 
@@ -51,9 +50,9 @@
 	limit *limit
 }
 
-// Decide applies the first rule that matches. A limit is shared by the given
-// number of daemons, evenly unless Apply gave another part: counting together
-// would cost messages for each request.
+// Decide applies the first matching rule. A limit is divided between the given number of
+// daemons, evenly unless SetShare set another share: a common count would cost messages
+// for every request.
 func (r *Rules) Decide(now time.Time, cfg *fireflypath.Config, daemons int, w *fireflypath.Work) Decision {
 	list := r.current(cfg).rules
 	for i := range list {
@@ -72,29 +71,29 @@
 }
 
 func (r *rule) decide(now time.Time, daemons int, w *fireflypath.Work) Decision {
-	v := Decision{Rule: r.Name}
+	dec := Decision{Rule: r.Name}
 	switch r.Act {
 	case fireflypath.RuleRefuse:
-		v.Refused = true
-		v.Detail = fmt.Sprintf("rule %s refuses this work of %d estimated tokens", r.Name, w.Cost.Tokens())
+		dec.Refused = true
+		dec.Detail = fmt.Sprintf("rule %s refuses this work of %d estimated tokens", r.Name, w.Cost.Tokens())
 	case fireflypath.RuleLimit:
 		r.limit.offered.Add(int64(w.Cost.Tokens()))
-		v.RetryAfter = r.limit.admit(now, timePerToken(r.Limit, r.limit.share(daemons)), w.Cost.Tokens())
-		v.Refused = v.RetryAfter > 0
-		if v.Refused {
-			v.Detail = fmt.Sprintf("rule %s allows %d tokens a second over %d daemons", r.Name, r.Limit, max(daemons, 1))
+		dec.RetryAfter = r.limit.admit(now, timePerToken(r.Limit, r.limit.share(daemons)), w.Cost.Tokens())
+		dec.Refused = dec.RetryAfter > 0
+		if dec.Refused {
+			dec.Detail = fmt.Sprintf("rule %s allows %d tokens a second over %d daemons", r.Name, r.Limit, max(daemons, 1))
 		}
 	}
-	return v
+	return dec
 }
 
-// timePerToken is the time that one token takes at this daemon's part of a limit.
-func timePerToken(tokens int, part float64) float64 {
-	return float64(time.Second) / part / float64(max(tokens, 1))
+// timePerToken is the time between two tokens at this daemon's share of a limit.
+func timePerToken(tokens int, share float64) float64 {
+	return float64(time.Second) / share / float64(max(tokens, 1))
 }
 
-// current is the compiled list of the configuration; limits that stay keep
-// what they have counted.
+// current returns the compiled list of the configuration. Limits that it keeps continue to
+// count.
 func (r *Rules) current(cfg *fireflypath.Config) *compiled {
 	if c := r.list.Load(); c != nil && c.cfg == cfg {
 		return c
@@ -106,7 +105,7 @@
 		return old
 	}
 	c := compile(cfg, old)
-	// A request may still carry the configuration before; the newer list stays.
+	// A request may still carry the previous configuration; the newer list is kept.
 	if old == nil || cfg.Generation >= old.cfg.Generation {
 		r.list.Store(c)
 	}
@@ -131,27 +130,27 @@
 	return c
 }
 
-// limit is a virtual scheduling clock: it runs ahead of real time by the cost of
-// what was let in. Work enters while the clock is less than burst ahead,
-// however long it is, and pays afterwards: request lengths vary by a factor of
-// a hundred, and a limit that long work could never pass would not be a limit
-// but a refusal.
+// limit is a rate limiter by virtual scheduling (GCRA): its clock runs ahead of real time
+// by the cost of the admitted requests. A request of any length is admitted while the
+// clock is less than burst ahead, and its cost is charged afterwards: request lengths vary
+// by a factor of a hundred, and a limit that long requests could never pass would refuse
+// them for good.
 type limit struct {
-	// clock is in Unix nanoseconds.
+	// clock is a Unix time in nanoseconds.
 	clock atomic.Int64
-	// shareBits is this daemon's part of the limit as the bits of a float64; 0 if the
-	// daemons did not tell each other yet.
+	// shareBits is this daemon's share of the limit as the bits of a float64; 0 if the
+	// daemons have not exchanged demands yet.
 	shareBits atomic.Uint64
-	// offered counts the tokens that came, let in or not.
+	// offered counts the tokens of all requests, admitted or not.
 	offered atomic.Int64
-	// rate is the mean of the tokens that come in a second, as of measured; both
-	// and counted are used under Rules.mu.
+	// rate is the mean number of offered tokens per second as of measuredAt. These three
+	// fields are guarded by Rules.mu.
 	rate        float64
 	lastOffered int64
 	measuredAt  time.Time
 }
 
-// admit books the tokens and returns 0, or returns how long there is no room.
+// admit counts the tokens and returns 0, or returns the time until there is room.
 func (l *limit) admit(now time.Time, perToken float64, tokens int) time.Duration {
 	at := now.UnixNano()
 	for {
--- a/internal/decide/rules/rules_test.go
+++ b/internal/decide/rules/rules_test.go
@@ -38,80 +38,80 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var r rules.Rules
-			v := r.Decide(start, cfg, 1, tc.w)
-			is.Equal(v.Rule, tc.rule)
-			is.Equal(v.Refused, tc.refused)
-			is.Equal(v.RetryAfter, time.Duration(0)) // a retry as it is cannot help
+			dec := r.Decide(start, cfg, 1, tc.w)
+			is.Equal(dec.Rule, tc.rule)
+			is.Equal(dec.Refused, tc.refused)
+			is.Equal(dec.RetryAfter, time.Duration(0)) // retrying the same request cannot help
 		})
 	}
 }
 
-// A hot team sends ten times its limit for a minute, a tenth of it in requests
-// a hundred times as long. It gets its limit, long work included, and a caller
-// who comes back after the time it was given is let in.
+// A hot team sends ten times its limit for a minute, a tenth of it in requests a hundred
+// times as long. It gets its limit, including long requests, and a caller who comes back
+// after the given Retry-After is admitted.
 func TestHotTeamGetsItsLimit(t *testing.T) {
 	is := is.New(t)
 	cfg := &fireflypath.Config{Rules: []fireflypath.Rule{{Name: "calm", Act: fireflypath.RuleLimit, Team: "millers", Limit: 1000}}}
 	var r rules.Rules
-	passed, long, back := 0, 0, time.Time{}
+	admitted, long, retryAt := 0, 0, time.Time{}
 	for i := range 6000 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		tokens := 10
 		if i%10 == 0 {
 			tokens = 1000
 		}
-		v := r.Decide(now, cfg, 2, work("millers", "gold", tokens))
-		if !back.IsZero() && !now.Before(back) {
-			is.True(!v.Refused) // the retry-after was true
+		dec := r.Decide(now, cfg, 2, work("millers", "gold", tokens))
+		if !retryAt.IsZero() && !now.Before(retryAt) {
+			is.True(!dec.Refused) // the caller came back when it was told to
 		}
-		back = time.Time{}
-		if v.Refused {
-			back = now.Add(v.RetryAfter)
+		retryAt = time.Time{}
+		if dec.Refused {
+			retryAt = now.Add(dec.RetryAfter)
 			continue
 		}
-		passed += tokens
+		admitted += tokens
 		if tokens == 1000 {
 			long++
 		}
 	}
 	is.True(long > 0)
-	t.Logf("%d tokens in 60 s at 500 a second for this daemon, %d long", passed, long)
-	is.True(passed >= 30_000 && passed <= 30_000+1500) // the burst and one long request above
+	t.Logf("%d tokens in 60 s at 500 a second for this daemon, %d long", admitted, long)
+	is.True(admitted >= 30_000 && admitted <= 30_000+1500) // plus the burst and one long request
 }
 
-// The configuration changes while requests still carry the one before. A limit
-// that started anew with each change would let a burst through each time.
+// The configuration changes while requests still carry the previous one. If a limit
+// restarted with each change, each change would admit another burst.
 func TestLimitSurvivesConfigurationChanges(t *testing.T) {
 	is := is.New(t)
 	rule := fireflypath.Rule{Name: "calm", Act: fireflypath.RuleLimit, Limit: 100}
 	var r rules.Rules
-	passed := 0
+	admitted := 0
 	for i := range 50 {
 		cfg := &fireflypath.Config{Generation: uint64(i), Rules: []fireflypath.Rule{rule}}
 		if !r.Decide(start, cfg, 1, work("t", "gold", 50)).Refused {
-			passed++
+			admitted++
 		}
 	}
-	is.Equal(passed, 2)
+	is.Equal(admitted, 2)
 }
 
 func TestLimitIsExactUnderContention(t *testing.T) {
 	is := is.New(t)
 	cfg := &fireflypath.Config{Rules: []fireflypath.Rule{{Name: "calm", Act: fireflypath.RuleLimit, Limit: 1000}}}
 	var r rules.Rules
-	var passed atomic.Int64
+	var admitted atomic.Int64
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
 			for range 1000 {
 				if !r.Decide(start, cfg, 1, work("t", "gold", 10)).Refused {
-					passed.Add(10)
+					admitted.Add(10)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	is.Equal(passed.Load(), int64(1000))
+	is.Equal(admitted.Load(), int64(1000))
 }
 
 // BenchmarkDecide measures a request that no rule matches.
@@ -133,9 +133,9 @@
 	}
 }
 
-// A team's requests come here only. What comes is measured, also what the even
-// part refuses, or else the part could never grow; once it has grown, the team
-// gets what it was granted. A part of 0 means that nobody told any.
+// All of a team's requests arrive at one daemon. Demand includes what the even share
+// refuses, since otherwise the share could never grow; once it has grown, the team gets
+// what it was granted. A share of 0 means that no demand was exchanged.
 func TestLimitShareFollowsDemand(t *testing.T) {
 	is := is.New(t)
 	cfg := &fireflypath.Config{Rules: []fireflypath.Rule{
@@ -143,7 +143,7 @@
 	}}
 	var r rules.Rules
 	now := start
-	let := func(seconds int) (in int) {
+	admitted := func(seconds int) (in int) {
 		for range 10 * seconds {
 			now = now.Add(100 * time.Millisecond)
 			if !r.Decide(now, cfg, 9, work("traders", "gold", 80)).Refused {
@@ -153,14 +153,14 @@
 		}
 		return in
 	}
-	is.True(let(20) < 21*100+160)
+	is.True(admitted(20) < 21*100+160)
 	d := r.Demands(now, cfg)
 	is.Equal(len(d), 1)
 	is.Equal(d[0].Slots, 900)
 	is.True(d[0].Busy[0] > 780 && d[0].Busy[0] < 820)
 	r.SetShare(cfg, "ours", 0.9)
-	let(2) // the second that the clock is ahead
-	is.True(let(20) > 20*780)
+	admitted(2) // the clock is up to a second ahead
+	is.True(admitted(20) > 20*780)
 	r.SetShare(cfg, "ours", 0)
-	is.True(let(20) < 21*100+160)
+	is.True(admitted(20) < 21*100+160)
 }
