--- a/internal/decide/deadline/margin.go
+++ b/internal/decide/deadline/margin.go
@@ -1,9 +1,9 @@
-// Package deadline tells whether work can still end in time.
+// Package deadline estimates whether work can still meet its deadline.
 //
-// It answers overload. A queue that is longer than its callers wait serves
-// every request too late: all prefill is done and thrown away, and goodput
-// falls to nothing while the targets are busy. Refusing at once what cannot end
-// in time keeps the answers that are given worth something.
+// It protects goodput under overload. If the queue is longer than callers wait,
+// every request is served too late: all prefill is wasted and goodput drops to
+// zero while the targets are busy. Refusing at once what cannot be completed in
+// time keeps the remaining answers useful.
 package deadline
 
 import (
@@ -12,56 +12,60 @@
 )
 
 const (
-	// least is the margin before anything is known of the estimates' errors.
-	least = 1.1
-	// most bounds the margin: beyond it work would be refused that mostly ends
-	// in time.
-	most = 2.0
-	// spread is how many mean deviations the margin covers; three cover about 98
-	// of 100 answers of a normal spread.
-	spread = 3
-	// tight is the part of the margin that is kept in the end: a third of three
-	// deviations leaves about one answer of six late.
-	tight = 1.0 / 3
-	// smooth weighs a new answer: about fifty answers.
-	smooth = 0.02
+	// minFactor is the smallest factor, and the one used before any answer.
+	minFactor = 1.1
+	// maxFactor is the largest factor. Beyond it, work would be refused that is
+	// mostly completed in time.
+	maxFactor = 2.0
+	// deviations is the number of mean deviations covered by the margin; three
+	// cover about 98 of 100 normally distributed answer times.
+	deviations = 3
+	// tightFraction is the part of the margin kept by TightFactor. One third of
+	// three deviations leaves about one answer in six late.
+	tightFraction = 1.0 / 3
+	// sampleWeight is the weight of a new answer in the moving averages, which
+	// thus cover about fifty answers.
+	sampleWeight = 0.02
 )
 
-// Margin learns by how much answers take longer than was expected.
+// Margin learns how much longer than expected answers take.
 type Margin struct {
-	mean, dev float64
-	n         int
+	mean, deviation float64
+	samples         int
 }
 
-// Sample takes how long an answer took and what had been expected.
-func (m *Margin) Sample(took, expected time.Duration) {
+// Observe records the actual and the expected time of an answer.
+func (m *Margin) Observe(took, expected time.Duration) {
 	if expected <= 0 {
 		return
 	}
-	r := min(float64(took)/float64(expected), 4)
-	if m.n == 0 {
-		m.mean = r
+	ratio := min(float64(took)/float64(expected), 4)
+	if m.samples == 0 {
+		m.mean = ratio
 	}
-	m.n++
-	m.mean += smooth * (r - m.mean)
-	m.dev += smooth * (math.Abs(r-m.mean) - m.dev)
+	m.samples++
+	m.mean += sampleWeight * (ratio - m.mean)
+	m.deviation += sampleWeight * (math.Abs(ratio-m.mean) - m.deviation)
 }
 
-// Factor is what an expected time is multiplied with to be held by nearly all.
+// Factor returns the factor by which to multiply an expected time so that
+// nearly all answers are covered.
 func (m *Margin) Factor() float64 {
-	if m.n == 0 {
-		return least
+	if m.samples == 0 {
+		return minFactor
 	}
-	return min(max(m.mean+spread*m.dev, least), most)
+	return min(max(m.mean+deviations*m.deviation, minFactor), maxFactor)
 }
 
-// Tight is the factor when nothing better is to be hoped for: work that waits
-// for a safer place until it is too late is refused with certainty.
-func (m *Margin) Tight() float64 {
-	return 1 + (m.Factor()-1)*tight
+// TightFactor returns a smaller factor for work that has no better option: if
+// it waits for a safer target until it is too late, it is certain to be
+// refused.
+func (m *Margin) TightFactor() float64 {
+	return 1 + (m.Factor()-1)*tightFraction
 }
 
-// Latest is when work that is expected to run so long must start.
-func Latest(deadline time.Time, expected time.Duration, factor float64) time.Time {
+// LatestStart returns when work with the given expected time must start to meet
+// its deadline.
+func LatestStart(deadline time.Time, expected time.Duration, factor float64) time.Time {
 	return deadline.Add(-time.Duration(float64(expected) * factor))
 }
--- a/internal/decide/sched/admit.go
+++ b/internal/decide/sched/admit.go
@@ -116,7 +116,7 @@
 // latestStart returns when the work must start to meet its deadline at the
 // fastest target.
 func (s *Scheduler) latestStart(w *fireflypath.Work) time.Time {
-	return deadline.Latest(w.Deadline, s.minDuration(w), s.margin.Tight())
+	return deadline.LatestStart(w.Deadline, s.minDuration(w), s.margin.TightFactor())
 }
 
 // startsTooLate reports whether the work is expected to wait past its latest
--- a/internal/decide/sched/choose.go
+++ b/internal/decide/sched/choose.go
@@ -39,15 +39,15 @@
 	s.choice = s.options[s.chooser.Choose(key, s.options)]
 	factor := s.margin.Factor()
 	if s.urgent(now, it) && s.riskAllowed(w) {
-		factor = s.margin.Tight()
+		factor = s.margin.TightFactor()
 	}
 	if s.critical(now, it) {
 		factor = 1
 	}
-	if s.targets[s.choice.Target].hasSpeeds() && deadline.Latest(w.Deadline, s.expectedDuration(), factor).Before(now) {
+	if s.targets[s.choice.Target].hasSpeeds() && deadline.LatestStart(w.Deadline, s.expectedDuration(), factor).Before(now) {
 		return false
 	}
-	return !s.longGate.Long(s.prefillSeconds(w)) || s.longGate.Open(s.totalParts, w.Team)
+	return !s.longPrefills.IsLong(s.prefillSeconds(w)) || s.longPrefills.Allow(s.totalParts, w.Team)
 }
 
 // expectedDuration returns how long the work takes at the target in s.choice.
--- a/internal/decide/sched/in_flight.go
+++ b/internal/decide/sched/in_flight.go
@@ -16,9 +16,9 @@
 	it.phase = phaseInFlight
 	it.target, it.dispatchedAt, it.firstTokenAt = s.choice.Target, now, time.Time{}
 	it.uncached, it.prefillAhead = max(w.Cost.Prompt-s.cachedTokens(it.target), 0), t.prefillTokens
-	it.expected, it.longPrefill = s.expectedDuration(), s.longGate.Long(s.prefillSeconds(w))
+	it.expected, it.longPrefill = s.expectedDuration(), s.longPrefills.IsLong(s.prefillSeconds(w))
 	if it.longPrefill {
-		s.longGate.Start(w.Team)
+		s.longPrefills.Start(w.Team)
 	}
 	t.requests++
 	t.tokens += w.Cost.Tokens()
@@ -52,7 +52,7 @@
 	t.prefilling--
 	t.firstTokenDue = now.Add(s.firstTokenTimeout(now, t))
 	if it.longPrefill {
-		s.longGate.End(it.work.Team)
+		s.longPrefills.End(it.work.Team)
 	}
 }
 
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -110,7 +110,7 @@
 	if out := it.work.Cost.Output; out > 0 {
 		s.outputRatio += averageWeight * (min(float64(e.Tokens)/float64(out), 1) - s.outputRatio)
 	}
-	s.margin.Sample(now.Sub(it.dispatchedAt), it.expected)
+	s.margin.Observe(now.Sub(it.dispatchedAt), it.expected)
 	t.window.Done()
 	s.endFlight(now, slot)
 	s.freeSlot(slot)
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -100,9 +100,9 @@
 
 	// reliefUntil is the time until which new work ranked below reliefRank may
 	// not wait.
-	reliefUntil time.Time
-	reliefRank  int
-	longGate    *long.Gate
+	reliefUntil  time.Time
+	reliefRank   int
+	longPrefills *long.Limiter
 	// totalParts is the sum of this daemon's parts of the usable targets.
 	totalParts float64
 	// fastReserved is true while fast targets are reserved for tiers above the
@@ -164,20 +164,20 @@
 func New(cfg Config) *Scheduler {
 	cfg.Pool = withDefaultLimits(cfg.Pool)
 	s := &Scheduler{
-		cfg:         cfg,
-		queue:       fair.New(),
-		chooser:     place.New(cfg.Placement, cfg.Seed),
-		prefixIndex: prefix.New(),
-		damper:      retry.New(),
-		reserve:     reserve.New(),
-		longGate:    long.New(),
-		rng:         rand.New(rand.NewPCG(cfg.Seed, 2)),
-		slotOf:      make(map[*fireflypath.Work]int32),
-		targetIndex: make(map[string]int32),
-		share:       fireflypath.Share{Default: 1},
-		drainRate:   rate.Meter{Horizon: rateHorizon},
-		outputRatio: 1,
-		avgSlowness: 1,
+		cfg:          cfg,
+		queue:        fair.New(),
+		chooser:      place.New(cfg.Placement, cfg.Seed),
+		prefixIndex:  prefix.New(),
+		damper:       retry.New(),
+		reserve:      reserve.New(),
+		longPrefills: long.New(),
+		rng:          rand.New(rand.NewPCG(cfg.Seed, 2)),
+		slotOf:       make(map[*fireflypath.Work]int32),
+		targetIndex:  make(map[string]int32),
+		share:        fireflypath.Share{Default: 1},
+		drainRate:    rate.Meter{Horizon: rateHorizon},
+		outputRatio:  1,
+		avgSlowness:  1,
 	}
 	for i := range s.arrivalRates {
 		s.arrivalRates[i].Horizon = rateHorizon
