--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -15,7 +15,7 @@
 
 const (
 	// maxBufferedAnswer is the size in bytes up to which a response is read completely
-	// before it is forwarded. If it breaks off, the caller gets a proper error or another
+	// before it is forwarded. If it breaks off, the caller gets a clear error or another
 	// target's response instead of a truncated one.
 	maxBufferedAnswer = 256 << 10
 	// chunkSize is the read size for larger responses.
@@ -86,10 +86,11 @@
 	return g.relayLong(c, att, a, body)
 }
 
-// relayLong forwards a response that is too long to buffer, as it arrives.
-func (g *Gate) relayLong(c *call, att *attempt, a *http1.Answer, begin []byte) (outcome, *refusal) {
+// relayLong forwards a response that is too long to buffer: first what was buffered of it,
+// then the rest as it arrives.
+func (g *Gate) relayLong(c *call, att *attempt, a *http1.Answer, buffered []byte) (outcome, *refusal) {
 	g.writeHeader(c, a, a.Length)
-	if _, err := c.w.Write(begin); err != nil {
+	if _, err := c.w.Write(buffered); err != nil {
 		return g.callerLeft(c, att)
 	}
 	buf := make([]byte, chunkSize)
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -77,7 +77,7 @@
 		return ref
 	case c.savedFailure != nil && !c.headerWritten:
 		g.writeHeader(c, c.savedFailure.answer, int64(len(c.savedFailure.body)))
-		// net/http ends the connection of a caller that disconnected.
+		// An error means that the caller disconnected, which net/http detects by itself.
 		_, _ = c.w.Write(c.savedFailure.body)
 		return nil
 	case c.mayHaveRun && ref.status == http.StatusServiceUnavailable:
@@ -214,7 +214,7 @@
 			g.markFailed(c, att)
 			return outcomeUnknown, nil
 		}
-		g.deps.Log.Info("connection to target failed", zap.String("request", c.id), zap.String("target", att.target.Name), logs.Cause(err))
+		g.deps.Log.Info("request not sent to target", zap.String("request", c.id), zap.String("target", att.target.Name), logs.Cause(err))
 		if ref := g.requeueUnsent(c, att, unsent); ref != nil {
 			return outcomeDone, g.finishFailed(c, ref)
 		}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -65,7 +65,7 @@
 	metrics      *metrics
 	steps        []step
 	mu           sync.Mutex
-	// callerAllowances tell callers that retry from new ones, by route.
+	// callerAllowances distinguish callers that retry from new ones, by route.
 	callerAllowances map[string]*allowance.Meter
 	// draining is true once a planned shutdown began.
 	draining atomic.Bool
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -589,15 +589,15 @@
 // the response to another request.
 func TestLateAnswerOfFrozenTargetIsDiscarded(t *testing.T) {
 	is := is.New(t)
-	wake, woke := make(chan struct{}), make(chan struct{})
+	resume, resumed := make(chan struct{}), make(chan struct{})
 	s := startSite(t, func(cfg *fireflypath.Config) {
 		for i := range cfg.Routes {
 			cfg.Routes[i].Goal = fireflypath.Duration(20 * time.Millisecond)
 		}
 	}, func(n int, w http.ResponseWriter, r *http.Request) {
 		if n == 1 {
-			<-wake
-			defer close(woke)
+			<-resume
+			defer close(resumed)
 		}
 		io.WriteString(w, "answer to "+r.URL.Path+" by "+r.Header.Get("T-Target"))
 	})
@@ -619,8 +619,8 @@
 	frozen := s.requests()[0].Header.Get("T-Target")
 	is.True(strings.HasPrefix(first, "answer to /safe/first by "))
 	is.True(!strings.HasSuffix(first, frozen)) // another target answered
-	close(wake)
-	<-woke
+	close(resume)
+	<-resumed
 	for i := range 5 {
 		path := fmt.Sprint("/safe/next", i)
 		is.True(strings.HasPrefix(ask(path), "answer to "+path+" by "))
@@ -632,16 +632,16 @@
 // response once the target resumes.
 func TestNonIdempotentRequestWaitsForFrozenTarget(t *testing.T) {
 	is := is.New(t)
-	wake := make(chan struct{})
+	resume := make(chan struct{})
 	s := startSite(t, func(cfg *fireflypath.Config) {
 		for i := range cfg.Routes {
 			cfg.Routes[i].Goal = fireflypath.Duration(20 * time.Millisecond)
 		}
 	}, func(_ int, w http.ResponseWriter, _ *http.Request) {
-		<-wake
+		<-resume
 		io.WriteString(w, "the packet")
 	})
-	time.AfterFunc(100*time.Millisecond, func() { close(wake) }) // after the time limit for idempotent requests
+	time.AfterFunc(100*time.Millisecond, func() { close(resume) }) // after the time limit for idempotent requests
 	resp, body, err := s.post("/once/", "b")
 	is.NoErr(err)
 	is.Equal(resp.StatusCode, 200)
--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -59,8 +59,8 @@
 	bucket *quota.Bucket
 	// demand measures the requested units by tier, whether granted or not.
 	demand [quotas.Tiers]rate.Meter
-	// unlimitedUntil is until when requests of the highest tiers, unlimitedTiers of
-	// them, are granted without limit, as the team's quota coordinator allowed.
+	// unlimitedUntil is until when requests of the highest unlimitedTiers tiers are granted
+	// without limit, as the quota's coordinator allowed.
 	unlimitedUntil time.Time
 	unlimitedTiers int
 	// reportedUse is the usage that was reported to the coordinator so far.
@@ -116,9 +116,10 @@
 	}
 }
 
-// SetUnlimitedTiers grants the team's highest tiers, as many as given, all they request until the
-// given time. When that ends for the lowest tier, the bucket starts empty: it was not
-// charged meanwhile, and this daemon's part of the burst was spent by the unlimited grants.
+// SetUnlimitedTiers grants requests of the team's highest tiers, as many tiers as given,
+// without limit until the given time. When that ends for the lowest tier, the bucket starts
+// empty: it was not charged meanwhile, and this daemon's part of the burst was spent by the
+// unlimited grants.
 func (l *Limits) SetUnlimitedTiers(now time.Time, name string, tiers int, until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/gate/quarantine.go
+++ b/internal/gate/quarantine.go
@@ -21,11 +21,11 @@
 
 // refuseIfHeld refuses a quarantined request. It runs before quota is taken.
 func (g *Gate) refuseIfHeld(c *call) *refusal {
-	left, held := g.deps.Quarantine.Held(c.digest)
+	remaining, held := g.deps.Quarantine.Held(c.digest)
 	if !held {
 		return nil
 	}
-	return notRun(reasonHeld, "targets have ended under this request, it is held as "+c.digest.String(), left)
+	return notRun(reasonHeld, "targets have ended under this request, it is held as "+c.digest.String(), remaining)
 }
 
 // releaseUnsent ends an attempt that has a target but was not sent.
@@ -37,7 +37,8 @@
 	})
 }
 
-// reportCrash reports an attempt whose connection was ended by the target.
+// reportCrash reports an attempt whose connection was ended by the target, or whose target's
+// host fell silent.
 func (g *Gate) reportCrash(c *call, att *attempt, err error) {
 	if c.ctx.Err() != nil || att.timedOut.Load() || !http1.Ended(err) {
 		return // the connection was ended by this daemon or the caller
--- a/internal/gate/refusal.go
+++ b/internal/gate/refusal.go
@@ -64,7 +64,7 @@
 	}
 	c.headerWritten = true
 	c.w.WriteHeader(ref.status)
-	// net/http ends the connection of a caller that disconnected.
+	// An error means that the caller disconnected, which net/http detects by itself.
 	_, _ = c.w.Write(body)
 }
 
--- a/internal/gate/steps.go
+++ b/internal/gate/steps.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// defaultTimeout is the time limit of requests without a deadline on routes without a
-	// timeout.
+	// defaultTimeout is the time limit on routes without a timeout; a caller's deadline can
+	// only shorten it.
 	defaultTimeout = 30 * time.Second
 	// defaultGoal is the time-to-first-byte goal of routes that set none.
 	defaultGoal = time.Second
@@ -155,9 +155,9 @@
 	if text := c.r.Header.Get(g.headers.Deadline); text != "" {
 		ms, err := strconv.ParseFloat(text, 64)
 		if err == nil && ms > 0 {
-			left := time.Duration(ms * float64(time.Millisecond))
-			limit = min(limit, left)
-			c.callerElapsed = g.estimateElapsed(c, left)
+			remaining := time.Duration(ms * float64(time.Millisecond))
+			limit = min(limit, remaining)
+			c.callerElapsed = g.estimateElapsed(c, remaining)
 		}
 	}
 	c.deadline = c.arrived.Add(limit)
@@ -182,9 +182,9 @@
 	return nil
 }
 
-// estimateElapsed estimates for how long the caller has been trying, from the time that its
-// deadline leaves.
-func (g *Gate) estimateElapsed(c *call, left time.Duration) time.Duration {
+// estimateElapsed estimates for how long the caller has been trying, from the time remaining
+// until its deadline.
+func (g *Gate) estimateElapsed(c *call, remaining time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m := g.callerAllowances[c.route.Name]
@@ -192,7 +192,7 @@
 		m = &allowance.Meter{}
 		g.callerAllowances[c.route.Name] = m
 	}
-	return m.Elapsed(c.arrived, left)
+	return m.Elapsed(c.arrived, remaining)
 }
 
 // estimateOutput returns the expected number of output tokens: the caller's hint, limited to
@@ -207,18 +207,18 @@
 
 // takeQuota takes the request's units from its team's quota.
 func (g *Gate) takeQuota(c *call) *refusal {
-	taken := g.deps.Limits.Take(c.arrived, c.team, c.quotaUnits, c.route.Rank)
-	if taken.Unconfirmed {
+	grant := g.deps.Limits.Take(c.arrived, c.team, c.quotaUnits, c.route.Rank)
+	if grant.Unconfirmed {
 		c.unconfirmed = true
 		g.metrics.unconfirmedUnits.Inc(int64(c.quotaUnits))
 	}
-	if taken.OK {
+	if grant.OK {
 		g.deps.Limits.CountRequest(c.arrived, c.pool)
 		return nil
 	}
 	c.quotaUnits = 0
 	return &refusal{
-		status: http.StatusTooManyRequests, reason: reasonQuota, retryAfter: taken.Wait,
+		status: http.StatusTooManyRequests, reason: reasonQuota, retryAfter: grant.Wait,
 		detail: "the team's quota is used up",
 	}
 }
