--- a/internal/decide/floor/floor.go
+++ b/internal/decide/floor/floor.go
@@ -39,14 +39,14 @@
 	return &Floor{part: part}
 }
 
-// Ask counts work of a tier that was asked for.
-func (f *Floor) Ask(now time.Time, tier int) {
+// CountOffered counts work of a tier that was asked for.
+func (f *Floor) CountOffered(now time.Time, tier int) {
 	f.pass(now)
 	f.asked[index(tier)]++
 }
 
-// Serve counts work of a tier that got a place.
-func (f *Floor) Serve(now time.Time, tier int) {
+// CountServed counts work of a tier that got a place.
+func (f *Floor) CountServed(now time.Time, tier int) {
 	f.pass(now)
 	f.served[index(tier)]++
 }
--- a/internal/decide/floor/floor_test.go
+++ b/internal/decide/floor/floor_test.go
@@ -21,13 +21,13 @@
 		now = now.Add(50 * time.Millisecond)
 		tier := 0
 		for t := range 2 {
-			f.Ask(now, t)
+			f.CountOffered(now, t)
 			asked[t]++
 		}
 		if f.Due(now, 1) {
 			tier = 1
 		}
-		f.Serve(now, tier)
+		f.CountServed(now, tier)
 		served[tier]++
 	}
 	return [2]float64{served[0] / asked[0], served[1] / asked[1]}
@@ -54,14 +54,14 @@
 	now := start
 	for range 200 {
 		now = now.Add(50 * time.Millisecond)
-		f.Ask(now, 1)
-		f.Serve(now, 1)
+		f.CountOffered(now, 1)
+		f.CountServed(now, 1)
 	}
 	for range 60 { // three seconds
 		now = now.Add(50 * time.Millisecond)
-		f.Ask(now, 0)
-		f.Serve(now, 0)
-		f.Ask(now, 1)
+		f.CountOffered(now, 0)
+		f.CountServed(now, 0)
+		f.CountOffered(now, 1)
 		is.True(!f.Due(now, 1))
 	}
 }
@@ -73,7 +73,7 @@
 	is.True(!f.Due(start, 3))
 	is.Equal(f.Rate(start, 3), 0.0)
 	for range 3 {
-		f.Ask(start, 3)
+		f.CountOffered(start, 3)
 	}
 	is.True(!f.Due(start, 3))
 }
--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -101,7 +101,7 @@
 func (s *Scheduler) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	s.lowestRank = max(s.lowestRank, w.Rank)
 	s.arrivals[min(max(w.Rank, 0), numTiers-1)].Add(now, 1)
-	s.floor.Ask(now, w.Rank)
+	s.floor.CountOffered(now, w.Rank)
 	s.completions.Pass(now, len(s.waiting) > 0)
 	wait, known := s.expectedWait(now, w)
 	if known && wait > time.Duration(s.tuning.MaxWaitFraction*float64(leavesAt(w).Sub(now))) && !s.admitStarved(now, w) {
@@ -196,7 +196,7 @@
 
 func (s *Scheduler) dispatch(now time.Time, w *fireflypath.Work, t *target, p *fireflypath.Placement) {
 	s.inFlight[w] = dispatched{target: t, at: now, prefillAhead: t.pendingPrefill + t.peerPrefill}
-	s.floor.Serve(now, w.Rank)
+	s.floor.CountServed(now, w.Rank)
 	t.requests++
 	t.pendingPrefill += w.Cost.Prompt
 	t.markProbe(now)
