--- a/internal/decide/cell/layout_test.go
+++ b/internal/decide/cell/layout_test.go
@@ -32,7 +32,7 @@
 			served := map[string]int{}
 			for _, d := range daemons {
 				links := l.Neighbours(d)
-				is.True(len(links) <= tt.links) // the number of connections is bounded for any fleet size
+				is.True(len(links) <= tt.links) // the number of connections stays small in any fleet
 				for _, o := range links {
 					is.True(slices.Contains(l.Neighbours(o), d)) // connections are mutual
 				}
--- a/internal/decide/slots/target.go
+++ b/internal/decide/slots/target.go
@@ -64,8 +64,8 @@
 	reportedAt       time.Time
 	// unassigned is true for a target that only other daemons dispatch to.
 	unassigned bool
-	// leaving is true if the target itself signalled that it takes no more
-	// requests.
+	// leaving is true if this daemon itself observed that the target accepts no
+	// more requests.
 	leaving bool
 	// failureRate is the moving average of the fraction of requests that failed.
 	failureRate float64
