--- a/internal/exchange/borrow.go
+++ b/internal/exchange/borrow.go
@@ -16,173 +16,177 @@
 
 const (
 	methodBorrow = "borrow"
-	// askEvery is the time between two rounds of questions, in which all pools
-	// that are short ask together. With nine daemons that are short half of the
-	// time, questions of each pool by itself four times a second cost 10 KB/s of
-	// the letter's 3, twice a second together 0.9.
-	askEvery = time.Second
-	// askMax bounds the pause of a pool whose questions bring nothing, as when
-	// all daemons are short.
-	askMax = 4 * time.Second
-	// askPeers is how many daemons are asked at once, those with most idle first.
-	askPeers = 3
-	// askTimeout is far above a millisecond or two; a loan that comes later is
-	// worth little of its two seconds.
-	askTimeout = 500 * time.Millisecond
+	// borrowInterval is the time between two rounds of loan requests. All pools that are
+	// short of slots ask together. With nine daemons that are short half of the time,
+	// requests for each pool by itself four times a second took 10 KB/s of the 3 KB/s
+	// for control traffic; joint requests twice a second took 0.9 KB/s.
+	borrowInterval = time.Second
+	// maxRetryDelay bounds the delay between the requests for a pool that bring no loan,
+	// for example because all daemons are short.
+	maxRetryDelay = 4 * time.Second
+	// maxLenders is how many daemons are asked at once, those with the most idle slots
+	// first.
+	maxLenders = 3
+	// borrowTimeout is far above the normal one or two milliseconds. A loan lasts two
+	// seconds; one that arrives later than this is worth little.
+	borrowTimeout = 500 * time.Millisecond
 )
 
-// borrowAsk asks for parts of several pools in one call.
-type borrowAsk struct {
-	Lines []borrowLine `json:"l"`
+// borrowRequest asks for loans for several pools in one call.
+type borrowRequest struct {
+	Loans []loanRequest `json:"l"`
 }
 
-// borrowLine is the need for one pool.
-type borrowLine struct {
+// loanRequest asks for a loan for one pool.
+type loanRequest struct {
 	Pool string `json:"p"`
-	// Rank is the highest tier that waits; Part is the wanted part of the windows.
-	Rank int     `json:"r"`
-	Part float64 `json:"w"`
+	// Rank is the highest tier that waits. Fraction is the wanted fraction of the
+	// windows.
+	Rank     int     `json:"r"`
+	Fraction float64 `json:"w"`
 }
 
-// borrowReply gives a part for each line of the question.
-type borrowReply struct {
-	Parts []float64 `json:"p"`
+// borrowResponse has the lent fraction for each loan of the request.
+type borrowResponse struct {
+	Fractions []float64 `json:"p"`
 }
 
-// request is a question to one peer.
-type request struct {
-	to  string
-	ask borrowAsk
+// peerRequest is a request to one peer.
+type peerRequest struct {
+	to      string
+	request borrowRequest
 }
 
-// lack is what one pool is short of.
-type lack struct {
+// shortage is what one pool is short of.
+type shortage struct {
 	pool    *pool
-	line    borrowLine
+	loan    loanRequest
 	lenders []string
 }
 
-// needy collects what this daemon is short of, by the peer to ask. The caller
-// holds mu.
-func (x *Exchange) needy(now time.Time) []request {
-	if now.Sub(x.lastAsk) < askEvery {
+// borrowRequests returns the loan requests that are due, by peer. The caller holds mu.
+func (x *Exchange) borrowRequests(now time.Time) []peerRequest {
+	if now.Sub(x.lastBorrow) < borrowInterval {
 		return nil
 	}
-	var lacks []lack
+	var shortages []shortage
 	offers := map[string]int{}
 	for name, p := range x.pools {
-		rank, wanted := p.short(now)
-		if wanted <= 0 || p.asking || now.Sub(p.asked) < p.pause {
+		rank, wanted := p.shortfall(now)
+		if wanted <= 0 || p.asking || now.Sub(p.askedAt) < p.retryDelay {
 			continue
 		}
-		l := lack{pool: p, line: borrowLine{Pool: name, Rank: rank, Part: wanted}, lenders: x.idlest(p, rank)}
-		for _, n := range l.lenders {
+		s := shortage{pool: p, loan: loanRequest{Pool: name, Rank: rank, Fraction: wanted}, lenders: x.idlePeers(p, rank)}
+		for _, n := range s.lenders {
 			offers[n]++
 		}
-		lacks = append(lacks, l)
+		shortages = append(shortages, s)
 	}
 	if len(offers) == 0 {
 		return nil
 	}
-	x.lastAsk = now
-	return requests(now, lacks, most(offers))
+	x.lastBorrow = now
+	return groupByLender(now, shortages, topLenders(offers))
 }
 
-// most names the peers that can help most pools.
-func most(offers map[string]int) []string {
+// topLenders returns the peers that can lend to the most pools.
+func topLenders(offers map[string]int) []string {
 	names := slices.Sorted(maps.Keys(offers))
 	slices.SortStableFunc(names, func(a, b string) int { return offers[b] - offers[a] })
-	return names[:min(askPeers, len(names))]
+	return names[:min(maxLenders, len(names))]
 }
 
-// requests sorts the needs by peer, one call for each.
-func requests(now time.Time, lacks []lack, peers []string) []request {
-	out := make([]request, len(peers))
+// groupByLender groups the shortages into one request per peer.
+func groupByLender(now time.Time, shortages []shortage, peers []string) []peerRequest {
+	out := make([]peerRequest, len(peers))
 	for i, n := range peers {
 		out[i].to = n
 	}
-	for _, l := range lacks {
+	for _, s := range shortages {
 		lenders := 0
 		for _, n := range peers {
-			if slices.Contains(l.lenders, n) {
+			if slices.Contains(s.lenders, n) {
 				lenders++
 			}
 		}
 		if lenders == 0 {
 			continue
 		}
-		l.pool.asked, l.pool.asking = now, true
-		l.pool.pause = min(askMax, max(askEvery, 2*l.pool.pause))
-		l.line.Part = max(l.line.Part/float64(lenders), 1/float64(l.pool.fresh.Slots))
-		l.line.Part = math.Ceil(l.line.Part*partDigits) / partDigits
+		s.pool.askedAt, s.pool.asking = now, true
+		s.pool.retryDelay = min(maxRetryDelay, max(borrowInterval, 2*s.pool.retryDelay))
+		s.loan.Fraction = max(s.loan.Fraction/float64(lenders), 1/float64(s.pool.current.Slots))
+		s.loan.Fraction = math.Ceil(s.loan.Fraction*fractionPrecision) / fractionPrecision
 		for i, n := range peers {
-			if slices.Contains(l.lenders, n) {
-				out[i].ask.Lines = append(out[i].ask.Lines, l.line)
+			if slices.Contains(s.lenders, n) {
+				out[i].request.Loans = append(out[i].request.Loans, s.loan)
 			}
 		}
 	}
-	return slices.DeleteFunc(out, func(r request) bool { return len(r.ask.Lines) == 0 })
+	return slices.DeleteFunc(out, func(r peerRequest) bool { return len(r.request.Loans) == 0 })
 }
 
-// short is the rank that waits and the part that it needs above the one in use.
-func (p *pool) short(now time.Time) (int, float64) {
-	waiting := sum(p.fresh.Requests)
+// shortfall returns the highest rank that waits and the fraction of the windows that
+// the waiting requests need beyond the fraction in use.
+func (p *pool) shortfall(now time.Time) (int, float64) {
+	waiting := sum(p.current.Requests)
 	use := p.ledger.InUse(now)
-	slots := float64(p.fresh.Slots)
-	if waiting == 0 || slots == 0 || float64(sum(p.fresh.Busy)) < use*slots-1 {
+	slots := float64(p.current.Slots)
+	if waiting == 0 || slots == 0 || float64(sum(p.current.Busy)) < use*slots-1 {
 		return 0, 0
 	}
-	rank := slices.IndexFunc(p.fresh.Requests, func(v int) bool { return v > 0 })
+	rank := slices.IndexFunc(p.current.Requests, func(v int) bool { return v > 0 })
 	return rank, min(1-use, float64(waiting)/slots)
 }
 
-// idlest names the mates that seem to have most idle slots, by their lines.
-func (x *Exchange) idlest(p *pool, rank int) []string {
+// idlePeers returns the peers with an idle slot according to their demand, those with the
+// most idle slots first.
+func (x *Exchange) idlePeers(p *pool, rank int) []string {
 	self := x.members.Self().Name
-	free := map[string]float64{}
+	idle := map[string]float64{}
 	var names []string
 	for i, n := range p.cell {
-		d := p.heard[n]
-		if n == self || i >= len(p.parts) {
+		d := p.received[n]
+		if n == self || i >= len(p.fractions) {
 			continue
 		}
 		urgent := d.Requests[:min(len(d.Requests), rank+1)]
-		free[n] = p.parts[i]*float64(p.fresh.Slots) - float64(sum(d.Busy)+sum(urgent))
-		if free[n] >= 1 {
+		idle[n] = p.fractions[i]*float64(p.current.Slots) - float64(sum(d.Busy)+sum(urgent))
+		if idle[n] >= 1 {
 			names = append(names, n)
 		}
 	}
-	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(free[b], free[a]) })
+	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(idle[b], idle[a]) })
 	return names
 }
 
-// ask sends the questions; each pool has one round of them under way.
-func (x *Exchange) ask(ctx context.Context, rs []request) {
+// sendBorrowRequests sends loan requests. Each pool has at most one round of them in
+// progress.
+func (x *Exchange) sendBorrowRequests(ctx context.Context, rs []peerRequest) {
 	for _, r := range rs {
-		to, ok := x.find(r.to)
+		to, ok := x.findPeer(r.to)
 		if !ok {
-			x.answered(r)
+			x.finishRequest(r)
 			continue
 		}
 		x.wg.Go(func() {
-			defer x.answered(r)
+			defer x.finishRequest(r)
 			asked := x.clock.Now()
-			ctx, cancel := context.WithTimeout(ctx, askTimeout)
+			ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 			defer cancel()
-			var reply borrowReply
-			x.count.asked.Inc(1)
-			err := x.peers.Call(ctx, to, methodBorrow, r.ask, &reply)
-			if err != nil || len(reply.Parts) != len(r.ask.Lines) {
+			var resp borrowResponse
+			x.metrics.asked.Inc(1)
+			err := x.peers.Call(ctx, to, methodBorrow, r.request, &resp)
+			if err != nil || len(resp.Fractions) != len(r.request.Loans) {
 				return
 			}
-			for i, l := range r.ask.Lines {
-				x.Borrow(l.Pool, asked, reply.Parts[i])
+			for i, l := range r.request.Loans {
+				x.Borrow(l.Pool, asked, resp.Fractions[i])
 			}
 		})
 	}
 }
 
-func (x *Exchange) find(name string) (fireflypath.Member, bool) {
+func (x *Exchange) findPeer(name string) (fireflypath.Member, bool) {
 	for _, m := range x.members.Live() {
 		if m.Name == name {
 			return m, true
@@ -191,36 +195,36 @@
 	return fireflypath.Member{}, false
 }
 
-func (x *Exchange) answered(r request) {
+func (x *Exchange) finishRequest(r peerRequest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, l := range r.ask.Lines {
+	for _, l := range r.request.Loans {
 		if p := x.pools[l.Pool]; p != nil {
 			p.asking = false
 		}
 	}
 }
 
-// Borrow uses a part that a peer gave, by a question asked at that time.
-func (x *Exchange) Borrow(name string, asked time.Time, part float64) {
-	if part <= 0 {
+// Borrow adds a fraction that a peer lent to a request made at the time asked.
+func (x *Exchange) Borrow(name string, asked time.Time, fraction float64) {
+	if fraction <= 0 {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if p := x.pools[name]; p != nil {
-		p.ledger.Borrow(asked, x.clock.Now(), part)
-		p.pause = askEvery
-		x.count.borrowed.Inc(1)
+		p.ledger.Borrow(asked, x.clock.Now(), fraction)
+		p.retryDelay = borrowInterval
+		x.metrics.borrowed.Inc(1)
 	}
 }
 
-// Lend gives away a part that work of the rank and above does not need here.
-// The smaller part is in force before Lend returns.
+// Lend gives away a fraction of a pool's windows that work of the rank and above does
+// not need here. The smaller fraction is in force before Lend returns.
 func (x *Exchange) Lend(name string, rank int, wanted float64) float64 {
-	x.refresh()
-	x.applying.Lock()
-	defer x.applying.Unlock()
+	x.readDemands()
+	x.applyMu.Lock()
+	defer x.applyMu.Unlock()
 	x.mu.Lock()
 	p := x.pools[name]
 	if p == nil {
@@ -229,51 +233,51 @@
 	}
 	now := x.clock.Now()
 	used := 0.0
-	if slots := float64(p.fresh.Slots); slots > 0 {
-		urgent := p.fresh.Requests[:min(len(p.fresh.Requests), rank+1)]
-		used = float64(sum(p.fresh.Busy)+sum(urgent)) / slots
+	if slots := float64(p.current.Slots); slots > 0 {
+		urgent := p.current.Requests[:min(len(p.current.Requests), rank+1)]
+		used = float64(sum(p.current.Busy)+sum(urgent)) / slots
 	}
-	got := p.ledger.Lend(now, wanted, used, len(p.group))
-	if got == 0 {
+	lent := p.ledger.Lend(now, wanted, used, len(p.group))
+	if lent == 0 {
 		x.mu.Unlock()
 		return 0
 	}
 	p.applied = p.ledger.InUse(now)
 	s := x.shareOf(p, p.applied)
 	x.mu.Unlock()
-	x.count.lent.Inc(1)
+	x.metrics.lent.Inc(1)
 	x.cluster.ApplyShare(name, s)
-	return got
+	return lent
 }
 
-// freePart is the most that goes with the work given up in one answer of a
-// relief round. The other daemon asks for more again if it is
-// short; more here would stand idle if it is not.
-const freePart = 0.05
+// maxReliefFraction is the most that is lent along with the work shed in one response of
+// a relief round. The borrower asks again if it needs more; if it does not, more would be
+// idle there.
+const maxReliefFraction = 0.05
 
-// Free lends a part to a daemon for whose work of the rank lower work was given
-// up here.
+// Free lends a fraction to a daemon for whose work of the rank lower-ranked work was shed
+// here.
 func (x *Exchange) Free(pool string, rank, _ int) float64 {
-	return x.Lend(pool, rank, freePart)
+	return x.Lend(pool, rank, maxReliefFraction)
 }
 
-func (x *Exchange) answerBorrow(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var ask borrowAsk
-	if err := json.Unmarshal(params, &ask); err != nil {
-		return nil, errors.Wrap(err, "decode the question for a loan")
+func (x *Exchange) handleBorrow(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var req borrowRequest
+	if err := json.Unmarshal(params, &req); err != nil {
+		return nil, errors.Wrap(err, "decode loan request")
 	}
-	r := borrowReply{Parts: make([]float64, len(ask.Lines))}
-	for i, l := range ask.Lines {
-		r.Parts[i] = brieflyDown(x.Lend(l.Pool, l.Rank, l.Part))
+	resp := borrowResponse{Fractions: make([]float64, len(req.Loans))}
+	for i, l := range req.Loans {
+		resp.Fractions[i] = roundDown(x.Lend(l.Pool, l.Rank, l.Fraction))
 	}
-	return r, nil
+	return resp, nil
 }
 
-// partDigits is the precision of parts on the wire: of 10,000 slots one. All
-// digits of a float took a fifth of the bytes of questions for loans.
-const partDigits = 10_000
+// fractionPrecision is the precision of fractions on the wire: one of 10,000 slots. With
+// all digits of a float, the fractions took a fifth of the bytes of loan requests.
+const fractionPrecision = 10_000
 
-// brieflyDown rounds a part down, so that no more is borrowed than was lent.
-func brieflyDown(part float64) float64 {
-	return math.Floor(part*partDigits) / partDigits
+// roundDown rounds a fraction down, so that no more is borrowed than was lent.
+func roundDown(fraction float64) float64 {
+	return math.Floor(fraction*fractionPrecision) / fractionPrecision
 }
--- a/internal/exchange/early.go
+++ b/internal/exchange/early.go
@@ -2,21 +2,21 @@
 
 import "github.com/fireflypath/fireflypath/internal/peer"
 
-// maxEarly bounds the pools that lines are kept for before they are known. One
-// command adds a pool; more than this is not one daemon's lag.
-const maxEarly = 64
+// maxEarlyPools bounds the unknown pools whose demands are kept. One command adds one
+// pool; a daemon does not lag behind by more than this many.
+const maxEarlyPools = 64
 
-// early holds peers' lines for pools that the configuration here does not have
-// yet. A peer tells a line once and then only when it changes, so a line that
-// came before the configuration and was dropped would be missing for as long as
-// the peer's load is steady: this daemon would take the peer for idle and use
-// its part of the windows as well.
-type early map[string]map[string]peer.Demand
+// earlyDemands holds the peers' demands for pools that the configuration here does not
+// contain yet, by pool and peer. A peer sends a demand once and then only when it
+// changes. A demand dropped because it arrived before the configuration would be missing
+// for as long as the peer's load is steady. This daemon would consider the peer idle and
+// use its fraction of the windows as well.
+type earlyDemands map[string]map[string]peer.Demand
 
-// keep notes a line.
-func (e early) keep(from string, d peer.Demand) {
+// add records a demand.
+func (e earlyDemands) add(from string, d peer.Demand) {
 	if e[d.Pool] == nil {
-		if len(e) >= maxEarly {
+		if len(e) >= maxEarlyPools {
 			return
 		}
 		e[d.Pool] = map[string]peer.Demand{}
@@ -24,8 +24,8 @@
 	e[d.Pool][from] = d
 }
 
-// take moves the lines of a pool.
-func (e early) take(pool string, to map[string]peer.Demand) {
+// moveTo moves the demands for a pool to another map.
+func (e earlyDemands) moveTo(pool string, to map[string]peer.Demand) {
 	for from, d := range e[pool] {
 		to[from] = d
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,4 +1,8 @@
-// Package exchange shares the windows of targets with the other daemons.
+// Package exchange splits the concurrency windows of targets between daemons.
+//
+// Daemons exchange their demand for each pool. Each daemon computes the same split from it
+// and uses its own fraction of the windows. A daemon that is short of slots borrows from
+// idle ones until the next exchange.
 package exchange
 
 import (
@@ -20,115 +24,120 @@
 )
 
 const (
-	// roundEvery is the time between two summaries. The letter's 3 KB/s hold
-	// about twelve peers' lines a second in each direction.
-	roundEvery = time.Second
-	// stepEvery is how often parts that settle or loans that end are looked at,
-	// and how soon a daemon short of slots asks for a loan.
-	stepEvery = 100 * time.Millisecond
-	// joinGrace is how long a daemon that hears nobody keeps to the floor after
-	// its start. Alone it would use whole windows that others use already.
-	joinGrace = 3 * time.Second
-	// least is the smallest change of a part that is put in force.
-	least = 0.002
+	// announceInterval is the time between two announcements of the demand. The limit of
+	// 3 KB/s for control traffic has room for the demands of about twelve peers a second
+	// in each direction.
+	announceInterval = time.Second
+	// stepInterval is how often larger fractions that become usable and loans that end
+	// are checked for. A daemon that is short of slots asks for a loan within that time.
+	stepInterval = 100 * time.Millisecond
+	// joinGracePeriod is how long after its start a daemon that knows no peers keeps to
+	// the floor. It would otherwise use whole windows that other daemons use already.
+	joinGracePeriod = 3 * time.Second
+	// minFractionChange is the smallest change of a fraction that is applied.
+	minFractionChange = 0.002
 )
 
-// Exchange tells the daemons of the same cell what waits and runs here, and
-// puts this daemon's part of the windows in force.
+// Exchange sends the waiting and running work of this daemon to the daemons of its cell and
+// applies this daemon's fraction of the windows.
 type Exchange struct {
-	members *member.Membership
-	peers   *peer.Endpoint
-	configs fireflypath.Configs
-	cluster fireflypath.Cluster
-	clock   clockwork.Clock
-	count   counters
-	started time.Time
-	// alone is true for a daemon that has no way to find others.
-	alone bool
-	wg    conc.WaitGroup
+	members   *member.Membership
+	peers     *peer.Endpoint
+	configs   fireflypath.Configs
+	cluster   fireflypath.Cluster
+	clock     clockwork.Clock
+	metrics   metrics
+	startedAt time.Time
+	// standalone is true for a daemon that has no way to find others.
+	standalone bool
+	wg         conc.WaitGroup
 
-	// applying is held while a part is taken from its ledger and put in force,
-	// and before mu. Without it a part read before a loan could be put in force
-	// after the loan's smaller one, and both daemons would use the difference.
-	applying sync.Mutex
+	// applyMu is held while a fraction is read from its ledger and applied. It is locked
+	// before mu. Without it, a fraction read before a loan could be applied after the
+	// smaller one that the loan leaves, and both daemons would use the difference.
+	applyMu sync.Mutex
 
 	mu    sync.Mutex
 	pools map[string]*pool
-	early early
-	// sent holds what each peer was told last.
-	sent map[string]map[string]peer.Demand
-	plan plan
-	// lastAsk is when peers were last asked for loans.
-	lastAsk time.Time
+	early earlyDemands
+	// sentTo holds the demands that each peer was sent last, by peer and pool.
+	sentTo   map[string]map[string]peer.Demand
+	topology topology
+	// lastBorrow is when peers were last asked for loans.
+	lastBorrow time.Time
 }
 
-type counters struct {
+type metrics struct {
 	rounds, applied, asked, borrowed, lent tally.Counter
 }
 
 // pool is the state of one pool.
 type pool struct {
 	ledger share.Ledger
-	// told is this daemon's line as the others know it; parts are computed from
-	// it and not from the newest, so that all compute from the same lines.
-	told peer.Demand
-	// fresh is the newest line, for lending and borrowing.
-	fresh peer.Demand
-	heard map[string]peer.Demand
-	// group are the daemons that serve the same targets, cell those of them
-	// that exchange lines with this one.
+	// announced is the demand of this daemon that the others know. Fractions are
+	// computed from it and not from the current demand, so that all daemons compute
+	// them from the same values.
+	announced peer.Demand
+	// current is the current demand, used for lending and borrowing.
+	current  peer.Demand
+	received map[string]peer.Demand
+	// group lists the daemons that serve the same targets, cell those of them that
+	// exchange demands with this one.
 	group, cell []string
 	targets     []string
-	// limit is true for a rule's limit, which is split like a window.
-	limit     bool
-	applied   float64
-	appliedTo int
-	known     bool
-	// parts are those of the cell at the last split, in its order.
-	parts  []float64
-	asked  time.Time
-	asking bool
-	// pause is the time to the next question; it grows while questions bring nothing.
-	pause time.Duration
+	// isLimit is true for the limit of a rule, which is split like a window.
+	isLimit bool
+	// applied is the fraction that was applied last, for appliedTargets targets.
+	// everApplied is true once there is one.
+	applied        float64
+	appliedTargets int
+	everApplied    bool
+	// fractions are those of the daemons of cell after the last split, in its order.
+	fractions []float64
+	askedAt   time.Time
+	asking    bool
+	// retryDelay is the time until the next loan request. It grows while requests bring
+	// no loan.
+	retryDelay time.Duration
 }
 
-// plan is what the groups were made from.
-type plan struct {
+// topology identifies the layout and configuration that the groups were computed from.
+type topology struct {
 	layout     *cell.Layout
 	generation uint64
 }
 
-// New connects the exchange to the endpoint, before that serves. alone is true
-// for a daemon that has no way to find others.
+// New registers the exchange with the endpoint. It must be called before the endpoint
+// serves. standalone is true for a daemon that has no way to find others.
 func New(members *member.Membership, peers *peer.Endpoint, configs fireflypath.Configs, cluster fireflypath.Cluster,
-	alone bool, clock clockwork.Clock, scope tally.Scope,
+	standalone bool, clock clockwork.Clock, scope tally.Scope,
 ) *Exchange {
 	scope = scope.SubScope("share")
 	x := &Exchange{
 		members: members, peers: peers, configs: configs, cluster: cluster, clock: clock,
-		started: clock.Now(), alone: alone, pools: map[string]*pool{}, early: early{}, sent: map[string]map[string]peer.Demand{},
-		count: counters{
+		startedAt: clock.Now(), standalone: standalone, pools: map[string]*pool{}, early: earlyDemands{}, sentTo: map[string]map[string]peer.Demand{},
+		metrics: metrics{
 			rounds: scope.Counter("rounds"), applied: scope.Counter("applied"),
 			asked: scope.Counter("asked"), borrowed: scope.Counter("borrowed"), lent: scope.Counter("lent"),
 		},
 	}
-	peers.AddSource(x.tell)
-	peers.AddSink(x.hear)
-	peers.AddUp(x.met)
-	peers.Handle(methodBorrow, x.answerBorrow)
+	peers.AddSource(x.fillBeat)
+	peers.AddSink(x.receive)
+	peers.AddUp(x.resetPeer)
+	peers.Handle(methodBorrow, x.handleBorrow)
 	return x
 }
 
-// Run exchanges until the context ends.
+// Run exchanges demands until the context ends.
 func (x *Exchange) Run(ctx context.Context) error {
 	defer x.wg.Wait()
-	t := x.clock.NewTicker(stepEvery)
+	t := x.clock.NewTicker(stepInterval)
 	defer t.Stop()
-	var last time.Time
+	var lastAnnounced time.Time
 	for {
-		if x.clock.Since(last) >= roundEvery {
-			last = x.clock.Now()
-			x.round()
+		if x.clock.Since(lastAnnounced) >= announceInterval {
+			lastAnnounced = x.clock.Now()
+			x.announce()
 		}
 		x.step(ctx)
 		select {
@@ -139,152 +148,154 @@
 	}
 }
 
-// round takes new summaries and tells them.
-func (x *Exchange) round() {
-	x.refresh()
+// announce updates the announced demands, recomputes the fractions and sends the demands
+// to the peers.
+func (x *Exchange) announce() {
+	x.readDemands()
 	x.mu.Lock()
 	for _, p := range x.pools {
-		if matters(p.told, p.fresh) {
-			p.told = p.fresh
+		if changedEnough(p.announced, p.current) {
+			p.announced = p.current
 		}
 	}
 	x.computeAll()
 	x.mu.Unlock()
-	x.count.rounds.Inc(1)
-	x.peers.Flush() // takes the place of the connections' own beats
+	x.metrics.rounds.Inc(1)
+	x.peers.Flush() // replaces the next regular heartbeat of the connections
 }
 
-// refresh reads the newest demands of the pools.
-func (x *Exchange) refresh() {
-	ds := x.cluster.Demands()
+// readDemands reads the current demands of the pools.
+func (x *Exchange) readDemands() {
+	demands := x.cluster.Demands()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.arrange()
-	for _, d := range ds {
+	x.updateTopology()
+	for _, d := range demands {
 		if p := x.pools[d.Pool]; p != nil {
-			p.fresh = short(d)
+			p.current = wireDemand(d)
 		}
 	}
 }
 
-// arrange makes the groups again if daemons or pools changed. The caller holds mu.
-func (x *Exchange) arrange() {
+// updateTopology recomputes the groups if daemons or pools changed. The caller holds mu.
+func (x *Exchange) updateTopology() {
 	cfg, layout := x.configs.Current(), x.members.Layout()
-	if x.plan == (plan{layout, cfg.Generation}) {
+	if x.topology == (topology{layout, cfg.Generation}) {
 		return
 	}
-	started := x.plan.generation > 0
-	x.plan = plan{layout, cfg.Generation}
+	initialized := x.topology.generation > 0
+	x.topology = topology{layout, cfg.Generation}
 	targets := map[string][]string{}
 	for _, t := range cfg.Targets {
 		targets[t.Pool] = append(targets[t.Pool], t.Name)
 	}
 	next := make(map[string]*pool, len(cfg.Pools))
 	for _, c := range cfg.Pools {
-		next[c.Name] = x.place(c.Name, layout, targets[c.Name], started)
+		next[c.Name] = x.updatePool(c.Name, layout, targets[c.Name], initialized)
 	}
 	for _, name := range rules.Shared(cfg) {
 		if key := rules.Key(name); next[key] == nil {
-			next[key] = x.placeLimit(key, layout)
+			next[key] = x.updateLimit(key, layout)
 		}
 	}
 	x.pools = next
 	x.computeAll()
 }
 
-// place finds who shares a pool with this daemon. The caller holds mu.
-func (x *Exchange) place(name string, layout *cell.Layout, targets []string, started bool) *pool {
+// updatePool determines which daemons share a pool with this one. It creates the state of
+// a new pool. The caller holds mu.
+func (x *Exchange) updatePool(name string, layout *cell.Layout, targets []string, initialized bool) *pool {
 	p := x.pools[name]
 	added := p == nil
 	if added {
-		p = &pool{heard: map[string]peer.Demand{}, told: peer.Demand{Pool: name}, fresh: peer.Demand{Pool: name}}
-		p.ledger.Reset(share.FloorFraction) // until others are heard, or joinGrace is over
-		x.early.take(name, p.heard)
+		p = &pool{received: map[string]peer.Demand{}, announced: peer.Demand{Pool: name}, current: peer.Demand{Pool: name}}
+		p.ledger.Reset(share.FloorFraction) // until peers are known or joinGracePeriod is over
+		x.early.moveTo(name, p.received)
 	}
 	self := x.members.Self().Name
 	p.targets, p.group = layout.Serves(self, targets)
 	p.cell = p.group
-	if mates := layout.Mates(self); len(mates) < len(p.group) {
-		p.cell = mates
+	if cell := layout.Mates(self); len(cell) < len(p.group) {
+		p.cell = cell
 	}
-	if added && started && len(p.group) > 1 {
+	if added && initialized && len(p.group) > 1 {
 		p.ledger.Reset(share.Floor(len(p.group), x.members.Missing()))
 	}
-	for name := range p.heard {
+	for name := range p.received {
 		if !slices.Contains(p.cell, name) {
-			delete(p.heard, name)
+			delete(p.received, name)
 		}
 	}
 	return p
 }
 
-// placeLimit does the same for a rule's limit, which all daemons share. It
-// starts with the even part: a limit at the floor would refuse work that the
-// operator has granted. The caller holds mu.
-func (x *Exchange) placeLimit(key string, layout *cell.Layout) *pool {
+// updateLimit does the same for the limit of a rule, which all daemons share. A new limit
+// starts with an even split: at the floor it would refuse work that the operator has
+// granted. The caller holds mu.
+func (x *Exchange) updateLimit(key string, layout *cell.Layout) *pool {
 	added := x.pools[key] == nil
-	p := x.place(key, layout, nil, false)
-	p.limit = true
+	p := x.updatePool(key, layout, nil, false)
+	p.isLimit = true
 	if added {
 		p.ledger.Reset(1 / float64(max(1, len(p.group))))
 	}
 	return p
 }
 
-// computeAll computes all parts. The caller holds mu.
+// computeAll computes the fractions of all pools. The caller holds mu.
 func (x *Exchange) computeAll() {
 	for _, p := range x.pools {
 		x.compute(p)
 	}
 }
 
-// compute splits a pool's windows among the cell. A pool with too few targets
-// for a cell of its own is split evenly between cells first, because daemons of
-// other cells do not tell their demand here.
+// compute splits a pool's windows among the daemons of the cell. If the pool has too few
+// targets to give each cell its own, the windows are first split evenly between cells,
+// because daemons of other cells do not send their demand here. The caller holds mu.
 func (x *Exchange) compute(p *pool) {
 	self := x.members.Self().Name
-	lines := make([]share.Demand, 0, len(p.cell))
+	demands := make([]share.Demand, 0, len(p.cell))
 	at := -1
 	for _, name := range p.cell {
-		d := p.heard[name]
+		d := p.received[name]
 		if name == self {
-			at, d = len(lines), p.told
+			at, d = len(demands), p.announced
 		}
-		lines = append(lines, share.Demand{Name: name, Slots: d.Slots, Running: d.Busy, Waiting: d.Requests})
+		demands = append(demands, share.Demand{Name: name, Slots: d.Slots, Running: d.Busy, Waiting: d.Requests})
 	}
 	if at < 0 {
 		return
 	}
-	p.parts = share.Split(lines, x.members.Missing())
-	part := p.parts[at]
+	p.fractions = share.Split(demands, x.members.Missing())
+	fraction := p.fractions[at]
 	if len(p.group) > len(p.cell) {
-		part *= float64(len(p.cell)) / float64(len(p.group))
+		fraction *= float64(len(p.cell)) / float64(len(p.group))
 	}
 	now := x.clock.Now()
 	switch {
 	case len(p.group) > 1:
-		p.ledger.Update(now, part)
-	case x.alone || now.Sub(x.started) > joinGrace:
-		p.ledger.Reset(part)
+		p.ledger.Update(now, fraction)
+	case x.standalone || now.Sub(x.startedAt) > joinGracePeriod:
+		p.ledger.Reset(fraction)
 	}
 }
 
-// step puts parts in force, and asks for loans.
+// step applies the fractions in use and asks for loans.
 func (x *Exchange) step(ctx context.Context) {
-	x.refresh()
+	x.readDemands()
 	x.apply()
 	x.mu.Lock()
-	asks := x.needy(x.clock.Now())
+	requests := x.borrowRequests(x.clock.Now())
 	x.mu.Unlock()
-	x.ask(ctx, asks)
+	x.sendBorrowRequests(ctx, requests)
 }
 
-// Begin is the share that a pool starts with here. Without it a pool that the
-// operator adds would have whole windows until the next step, at each daemon.
+// Begin returns the share that a pool starts with. Without it, each daemon would use whole
+// windows of a pool that the operator adds until its next step.
 func (x *Exchange) Begin(name string) fireflypath.Share {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.arrange()
+	x.updateTopology()
 	p := x.pools[name]
 	if p == nil {
 		return fireflypath.Share{}
@@ -292,10 +303,10 @@
 	return x.shareOf(p, p.ledger.InUse(x.clock.Now()))
 }
 
-// apply puts parts in force that changed.
+// apply applies the fractions that changed.
 func (x *Exchange) apply() {
-	x.applying.Lock()
-	defer x.applying.Unlock()
+	x.applyMu.Lock()
+	defer x.applyMu.Unlock()
 	x.mu.Lock()
 	now := x.clock.Now()
 	type change struct {
@@ -304,19 +315,19 @@
 	}
 	var changes []change
 	for name, p := range x.pools {
-		use := p.ledger.InUse(now)
+		fraction := p.ledger.InUse(now)
 		if len(p.group) == 0 {
 			continue
 		}
-		if p.known && abs(use-p.applied) < least && p.appliedTo == len(p.targets) {
+		if p.everApplied && abs(fraction-p.applied) < minFractionChange && p.appliedTargets == len(p.targets) {
 			continue
 		}
-		p.applied, p.appliedTo, p.known = use, len(p.targets), true
-		changes = append(changes, change{name, x.shareOf(p, use)})
+		p.applied, p.appliedTargets, p.everApplied = fraction, len(p.targets), true
+		changes = append(changes, change{name, x.shareOf(p, fraction)})
 	}
 	x.mu.Unlock()
 	for _, c := range changes {
-		x.count.applied.Inc(1)
+		x.metrics.applied.Inc(1)
 		x.cluster.ApplyShare(c.pool, c.share)
 	}
 }
@@ -325,19 +336,20 @@
 	return max(v, -v)
 }
 
-// shareOf names the targets that this daemon serves, unless it serves all.
-func (x *Exchange) shareOf(p *pool, part float64) fireflypath.Share {
-	if p.limit || x.plan.layout.Cells() == 1 {
-		return fireflypath.Share{Default: part}
+// shareOf returns a share with the given fraction of each target that this daemon serves,
+// or of all targets if it serves all.
+func (x *Exchange) shareOf(p *pool, fraction float64) fireflypath.Share {
+	if p.isLimit || x.topology.layout.Cells() == 1 {
+		return fireflypath.Share{Default: fraction}
 	}
 	s := fireflypath.Share{Part: make(map[string]float64, len(p.targets))}
 	for _, t := range p.targets {
-		s.Part[t] = part
+		s.Part[t] = fraction
 	}
 	return s
 }
 
-// Part is the part of a pool's windows in use here, for operators.
+// Part returns the fraction of a pool's windows in use here, for operators.
 func (x *Exchange) Part(name string) float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -347,26 +359,26 @@
 	return 0
 }
 
-// tell adds the lines that a daemon of the cell does not know yet.
-func (x *Exchange) tell(to string, b *peer.Beat) {
+// fillBeat adds the demands that a daemon of the cell does not know yet to a heartbeat.
+func (x *Exchange) fillBeat(to string, b *peer.Beat) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	sent := x.sent[to]
+	sent := x.sentTo[to]
 	for name, p := range x.pools {
-		if !slices.Contains(p.cell, to) || sent[name].Equal(p.told) {
+		if !slices.Contains(p.cell, to) || sent[name].Equal(p.announced) {
 			continue
 		}
 		if sent == nil {
 			sent = map[string]peer.Demand{}
-			x.sent[to] = sent
+			x.sentTo[to] = sent
 		}
-		sent[name] = p.told
-		b.Demands = append(b.Demands, p.told)
+		sent[name] = p.announced
+		b.Demands = append(b.Demands, p.announced)
 	}
 }
 
-// hear takes a peer's lines.
-func (x *Exchange) hear(from string, b *peer.Beat) {
+// receive records the demands in a peer's heartbeat.
+func (x *Exchange) receive(from string, b *peer.Beat) {
 	if len(b.Demands) == 0 {
 		return
 	}
@@ -376,17 +388,18 @@
 		p := x.pools[d.Pool]
 		switch {
 		case p == nil:
-			x.early.keep(from, d)
+			x.early.add(from, d)
 		case slices.Contains(p.cell, from):
-			p.heard[from] = d
+			p.received[from] = d
 			x.compute(p)
 		}
 	}
 }
 
-// met forgets what was told to a daemon: it may be another incarnation.
-func (x *Exchange) met(m fireflypath.Member) {
+// resetPeer makes the next heartbeat to a daemon carry all demands: it may be a new
+// incarnation.
+func (x *Exchange) resetPeer(m fireflypath.Member) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	delete(x.sent, m.Name)
+	delete(x.sentTo, m.Name)
 }
