--- a/internal/decide/remote/expire.go
+++ b/internal/decide/remote/expire.go
@@ -6,69 +6,69 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Expire appends waiting work whose time is over.
+// Expire appends the waiting requests that have expired.
 func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	out = s.Local.Expire(now, out)
-	for n, w := range s.works {
-		if now.Before(end(w).Add(overdue)) {
+	for n, w := range s.pending {
+		if now.Before(expiresAt(w).Add(replyGrace)) {
 			continue
 		}
-		s.leave(n, w)
+		s.withdrawPending(n, w)
 		out = append(out, fireflypath.Shed{
 			Work: w, Reason: fireflypath.ReasonDeadline, Detail: "its time is over and the dispatcher has not answered",
-			RetryAfter: retry,
+			RetryAfter: retryAfter,
 		})
 	}
 	return out
 }
 
-// retry is told to callers whom the dispatcher left without an answer: by then
-// another one decides.
-const retry = 300 * time.Millisecond
+// retryAfter is for callers whose request got no answer from the dispatcher: by then
+// another dispatcher decides.
+const retryAfter = 300 * time.Millisecond
 
-// end is when the caller of waiting work leaves.
-func end(w *fireflypath.Work) time.Time {
+// expiresAt is when the caller of a waiting request gives up.
+func expiresAt(w *fireflypath.Work) time.Time {
 	if !w.Leaves.IsZero() && w.Leaves.Before(w.Deadline) {
 		return w.Leaves
 	}
 	return w.Deadline
 }
 
-// Wake is when Next or Expire may have something new without an event.
+// Wake is when Next or Expire may have a result without another event.
 func (s *Scheduler) Wake(now time.Time) time.Time {
-	at := s.Local.Wake(now)
-	for _, w := range s.works {
-		if due := end(w).Add(overdue); at.IsZero() || due.Before(at) {
-			at = due
+	next := s.Local.Wake(now)
+	for _, w := range s.pending {
+		if due := expiresAt(w).Add(replyGrace); next.IsZero() || due.Before(next) {
+			next = due
 		}
 	}
-	return at
+	return next
 }
 
-// Relieve gives up waiting work of lower tiers, lowest first.
+// Relieve drops waiting requests of lower tiers, lowest tier first.
 func (s *Scheduler) Relieve(now time.Time, rank, tokens int, out []fireflypath.Shed) []fireflypath.Shed {
-	for freed := 0; freed < tokens && len(s.works) > 0; {
-		w := s.lowest()
+	for freed := 0; freed < tokens && len(s.pending) > 0; {
+		w := s.lowestTierPending()
 		if w.Rank <= rank {
 			break
 		}
 		s.Withdraw(now, w)
 		freed += max(w.Cost.Tokens(), 1)
 		out = append(out, fireflypath.Shed{
-			Work: w, Reason: fireflypath.ReasonFull, Detail: "gave way to work of a higher tier", RetryAfter: retry,
+			Work: w, Reason: fireflypath.ReasonFull, Detail: "gave way to work of a higher tier", RetryAfter: retryAfter,
 		})
 	}
 	return s.Local.Relieve(now, rank, tokens, out)
 }
 
-// lowest is the work of the lowest tier that waits for the dispatcher, of equal ones
-// the newest.
-func (s *Scheduler) lowest() *fireflypath.Work {
-	var low *fireflypath.Work
-	for n, w := range s.works {
-		if low == nil || w.Rank > low.Rank || w.Rank == low.Rank && n > s.numbers[low] {
-			low = w
+// lowestTierPending is the pending request of the lowest tier, the newest one of that
+// tier.
+func (s *Scheduler) lowestTierPending() *fireflypath.Work {
+	var lowest *fireflypath.Work
+	for n, w := range s.pending {
+		if lowest == nil || w.Rank > lowest.Rank || w.Rank == lowest.Rank && n > s.numbers[lowest] {
+			lowest = w
 		}
 	}
-	return low
+	return lowest
 }
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -1,9 +1,10 @@
-// Package remote has a pool's dispatcher decide, and decides itself while none answers.
+// Package remote lets a pool's dispatcher make the scheduling decisions, and makes them
+// locally while no dispatcher is available.
 //
-// It answers the loss of the daemon that decides for a group: killed, cut off,
-// frozen or slow. What waited there is taken back and scheduled by this daemon
-// alone until another dispatcher takes it, so that callers wait for a fraction of
-// their goal longer and none is lost.
+// It handles the loss of the daemon that runs the dispatcher: killed, partitioned, frozen
+// or slow. Requests waiting there are taken back and scheduled by this daemon alone until
+// another dispatcher takes over, so that callers wait longer by a fraction of their goal
+// and no request is lost.
 package remote
 
 import (
@@ -13,164 +14,165 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Local decides while no dispatcher does. It follows this daemon's work at the
-// targets all the time, so that what it knows is never old.
+// Local is the scheduler used while there is no dispatcher. It tracks this daemon's
+// in-flight requests all the time, so that its state is always current.
 type Local interface {
 	fireflypath.Scheduler
 	Report(m *fireflypath.Mate)
 	UpdatePeers(now time.Time, mates []fireflypath.Mate)
-	// Adopt counts work that is at a target already.
-	Adopt(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
-	// Release takes all waiting work out.
-	Release() []*fireflypath.Work
-	// Flights calls fn for all work at targets, which are named by identity.
-	Flights(fn func(w *fireflypath.Work, target string, sent time.Time, began bool))
+	// AddInFlight counts a request that is already at a target.
+	AddInFlight(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
+	// TakeWaiting removes and returns all waiting requests.
+	TakeWaiting() []*fireflypath.Work
+	// EachInFlight calls fn for every request at a target; targets are named by identity.
+	EachInFlight(fn func(w *fireflypath.Work, target string, sent time.Time, began bool))
 }
 
-// overdue is how long after its end waiting work is refused here that the
-// dispatcher has not refused: its word may be on the way.
-const overdue = 50 * time.Millisecond
+// replyGrace is how long after its expiry a request is kept if the dispatcher has not
+// decided on it: the refusal may be on the way.
+const replyGrace = 50 * time.Millisecond
 
 // Scheduler implements fireflypath.Scheduler. It is not safe for concurrent use.
 type Scheduler struct {
 	Local
 	// attached is true while a dispatcher decides.
 	attached bool
-	// asked is true if some other daemon has to know what this one has in flight.
-	asked  bool
-	number uint64
-	// numbers are those of work that the dispatcher knows; works are those of them
-	// that wait for its decision.
+	// peersNeedReports is true if another daemon needs to know this one's in-flight
+	// requests.
+	peersNeedReports bool
+	lastNumber       uint64
+	// numbers holds the requests known to the dispatcher; pending holds those that wait
+	// for its decision.
 	numbers map[*fireflypath.Work]uint64
-	works   map[uint64]*fireflypath.Work
-	// placed is what it decided and Next has not given out.
-	placed  []placed
-	targets map[string]fireflypath.Target
-	news    fireflypath.News
-	kicks   chan struct{}
+	pending map[uint64]*fireflypath.Work
+	// placements were decided by the dispatcher and not yet returned by Next.
+	placements []placement
+	targets    map[string]fireflypath.Target
+	outbox     fireflypath.News
+	newsReady  chan struct{}
 }
 
-type placed struct {
+type placement struct {
 	work *fireflypath.Work
 	turn fireflypath.Turn
 }
 
 var _ fireflypath.Scheduler = (*Scheduler)(nil)
 
-// New returns a scheduler that decides by itself until it is attached.
+// New returns a detached scheduler.
 func New(local Local) *Scheduler {
 	return &Scheduler{
-		Local: local, kicks: make(chan struct{}, 1), numbers: map[*fireflypath.Work]uint64{}, works: map[uint64]*fireflypath.Work{},
+		Local: local, newsReady: make(chan struct{}, 1), numbers: map[*fireflypath.Work]uint64{}, pending: map[uint64]*fireflypath.Work{},
 		targets: map[string]fireflypath.Target{},
 	}
 }
 
-// Attach turns to a new dispatcher and tells it everything.
+// Attach switches to a new dispatcher and sends it all waiting and in-flight requests.
 func (s *Scheduler) Attach(now time.Time) {
 	if s.attached {
-		s.forget()
+		s.reset()
 	}
 	s.attached = true
-	waiting := append(s.take(), s.Release()...)
-	s.Flights(func(w *fireflypath.Work, target string, sent time.Time, began bool) {
-		s.news.Flights = append(s.news.Flights, fireflypath.Flight{
+	requests := append(s.takePending(), s.TakeWaiting()...)
+	s.EachInFlight(func(w *fireflypath.Work, target string, sent time.Time, began bool) {
+		s.outbox.Flights = append(s.outbox.Flights, fireflypath.Flight{
 			Offer: s.offer(now, w), Target: target, Sent: fireflypath.MicrosOf(now.Sub(sent)), Began: began,
 		})
 	})
-	for _, w := range waiting {
-		s.ask(now, w)
+	for _, w := range requests {
+		s.submit(now, w)
 	}
-	s.kick()
+	s.signal()
 }
 
-// Detach decides here from now on. It appends what there is no hope for to out.
+// Detach switches to local scheduling. It appends requests that cannot be served to out.
 func (s *Scheduler) Detach(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	s.attached = false
-	waiting := s.take()
-	s.forget()
-	for _, w := range waiting {
+	requests := s.takePending()
+	s.reset()
+	for _, w := range requests {
 		out = s.Local.Offer(now, w, out)
 	}
 	return out
 }
 
-// forget ends what is known between this daemon and a dispatcher.
-func (s *Scheduler) forget() {
+// reset drops the state shared with a dispatcher.
+func (s *Scheduler) reset() {
 	clear(s.numbers)
-	s.news = fireflypath.News{}
+	s.outbox = fireflypath.News{}
 }
 
-// take takes all work back that the dispatcher has not placed, in the order in which
-// it was offered.
-func (s *Scheduler) take() []*fireflypath.Work {
-	numbers := make([]uint64, 0, len(s.works))
-	for n := range s.works {
+// takePending takes back all requests that Next has not returned: the undecided ones in
+// the order in which they were offered, then the placed ones.
+func (s *Scheduler) takePending() []*fireflypath.Work {
+	numbers := make([]uint64, 0, len(s.pending))
+	for n := range s.pending {
 		numbers = append(numbers, n)
 	}
 	slices.Sort(numbers)
 	out := make([]*fireflypath.Work, 0, len(numbers))
 	for _, n := range numbers {
-		out = append(out, s.works[n])
+		out = append(out, s.pending[n])
 	}
-	clear(s.works)
-	for _, p := range s.placed {
+	clear(s.pending)
+	for _, p := range s.placements {
 		out = append(out, p.work)
 	}
-	s.placed = s.placed[:0]
+	s.placements = s.placements[:0]
 	return out
 }
 
-// Kicks brings something when there is something to tell the dispatcher.
-func (s *Scheduler) Kicks() <-chan struct{} { return s.kicks }
+// NewsReady signals that there is news for the dispatcher.
+func (s *Scheduler) NewsReady() <-chan struct{} { return s.newsReady }
 
-func (s *Scheduler) kick() {
+func (s *Scheduler) signal() {
 	select {
-	case s.kicks <- struct{}{}:
+	case s.newsReady <- struct{}{}:
 	default:
 	}
 }
 
-// Attached is true while a dispatcher decides.
+// Attached reports whether a dispatcher decides.
 func (s *Scheduler) Attached() bool { return s.attached }
 
-// Waits is true if work waits for the dispatcher.
-func (s *Scheduler) Waits() bool { return len(s.works) > 0 }
+// HasPending reports whether requests wait for the dispatcher.
+func (s *Scheduler) HasPending() bool { return len(s.pending) > 0 }
 
-// News takes what the dispatcher has not been told.
+// News takes the messages not yet sent to the dispatcher.
 func (s *Scheduler) News() fireflypath.News {
-	out := s.news
-	s.news = fireflypath.News{}
+	out := s.outbox
+	s.outbox = fireflypath.News{}
 	return out
 }
 
-// Report tells the other daemons what this one has in flight, if work is placed by more
-// than one of them: each has to know what the others placed, or targets get as many
-// times what they can run. While one decides for all it knows everything, and told all
-// the same, each request would cost three messages to each daemon of the group.
+// Report adds this daemon's in-flight requests to the report for peers, if several daemons
+// place requests: each must know the others' placements, or targets get several times the
+// load they can run. While one dispatcher decides for all, it knows everything, and a
+// report would cost three messages to each daemon of the group for every request.
 func (s *Scheduler) Report(m *fireflypath.Mate) {
 	m.Apart = m.Apart || !s.attached
-	if !s.attached || s.asked {
+	if !s.attached || s.peersNeedReports {
 		s.Local.Report(m)
 	}
 }
 
-// UpdatePeers takes in what the other daemons have in flight.
-func (s *Scheduler) UpdatePeers(now time.Time, mates []fireflypath.Mate) {
-	s.asked = slices.ContainsFunc(mates, func(m fireflypath.Mate) bool { return m.Apart })
-	s.Local.UpdatePeers(now, mates)
+// UpdatePeers applies the peers' reports of in-flight requests.
+func (s *Scheduler) UpdatePeers(now time.Time, peers []fireflypath.Mate) {
+	s.peersNeedReports = slices.ContainsFunc(peers, func(m fireflypath.Mate) bool { return m.Apart })
+	s.Local.UpdatePeers(now, peers)
 }
 
-// Deliver takes in what the dispatcher decided. Refusals are appended to out;
-// placements come with Next.
-func (s *Scheduler) Deliver(now time.Time, turns []fireflypath.Turn, out []fireflypath.Shed) []fireflypath.Shed {
+// ApplyDecisions applies the dispatcher's decisions. Refusals are appended to out;
+// placements are returned by Next.
+func (s *Scheduler) ApplyDecisions(now time.Time, turns []fireflypath.Turn, out []fireflypath.Shed) []fireflypath.Shed {
 	for _, t := range turns {
-		w := s.works[t.Number]
+		w := s.pending[t.Number]
 		if w == nil {
-			continue // taken back meanwhile; the dispatcher was told
+			continue // taken back in the meantime; the dispatcher was informed
 		}
-		delete(s.works, t.Number)
+		delete(s.pending, t.Number)
 		if t.Target != "" {
-			s.placed = append(s.placed, placed{work: w, turn: t})
+			s.placements = append(s.placements, placement{work: w, turn: t})
 			continue
 		}
 		delete(s.numbers, w)
@@ -179,28 +181,28 @@
 	return out
 }
 
-// Offer takes work in.
+// Offer adds a request.
 func (s *Scheduler) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	if !s.attached {
 		return s.Local.Offer(now, w, out)
 	}
-	s.ask(now, w)
+	s.submit(now, w)
 	return out
 }
 
-func (s *Scheduler) ask(now time.Time, w *fireflypath.Work) {
+func (s *Scheduler) submit(now time.Time, w *fireflypath.Work) {
 	o := s.offer(now, w)
-	s.works[o.Number] = w
-	s.news.Offers = append(s.news.Offers, o)
-	s.kick()
+	s.pending[o.Number] = w
+	s.outbox.Offers = append(s.outbox.Offers, o)
+	s.signal()
 }
 
-// offer describes the work to the dispatcher.
+// offer describes the request to the dispatcher.
 func (s *Scheduler) offer(now time.Time, w *fireflypath.Work) fireflypath.Offer {
-	s.number++
-	s.numbers[w] = s.number
+	s.lastNumber++
+	s.numbers[w] = s.lastNumber
 	o := fireflypath.Offer{
-		Number: s.number, Rank: w.Rank, Prompt: w.Cost.Prompt, Output: w.Cost.Output, Expected: w.Output,
+		Number: s.lastNumber, Rank: w.Rank, Prompt: w.Cost.Prompt, Output: w.Cost.Output, Expected: w.Output,
 		Waited: fireflypath.MicrosOf(now.Sub(w.Arrived)), Goal: fireflypath.MicrosOf(w.Goal.Sub(now)),
 		Deadline: fireflypath.MicrosOf(w.Deadline.Sub(now)), Gap: fireflypath.MicrosOf(w.Gap), Avoid: w.Avoid,
 	}
@@ -210,19 +212,19 @@
 	return o
 }
 
-// Next gives out what the dispatcher placed, or what is decided here.
+// Next returns the dispatcher's next placement or, while detached, the local scheduler's.
 func (s *Scheduler) Next(now time.Time, p *fireflypath.Placement) bool {
-	for len(s.placed) > 0 {
-		next := s.placed[0]
-		s.placed = s.placed[1:]
+	for len(s.placements) > 0 {
+		next := s.placements[0]
+		s.placements = s.placements[1:]
 		t, ok := s.targets[next.turn.Target]
 		if !ok || t.Drained {
-			// This daemon knows better, or not yet: a target that leaves gets nothing
-			// from a daemon that has heard of it.
-			s.again(next.work)
+			// The target is unknown here, or this daemon already knows that it is leaving,
+			// and then sends it nothing.
+			s.resubmit(next.work)
 			continue
 		}
-		s.Adopt(now, next.work, next.turn.Target, now, false)
+		s.AddInFlight(now, next.work, next.turn.Target, now, false)
 		*p = fireflypath.Placement{
 			Work: next.work, Target: t.Name, Waited: now.Sub(next.work.Arrived), Line: next.turn.Ahead,
 			First: next.turn.First.Std(), Considered: p.Considered[:0],
@@ -232,45 +234,45 @@
 	return !s.attached && s.Local.Next(now, p)
 }
 
-// again has the dispatcher decide once more.
-func (s *Scheduler) again(w *fireflypath.Work) {
+// resubmit asks the dispatcher to decide again.
+func (s *Scheduler) resubmit(w *fireflypath.Work) {
 	n := s.numbers[w]
-	s.works[n] = w
-	s.tell(fireflypath.Progress{Number: n, Kind: fireflypath.EventUnsent})
+	s.pending[n] = w
+	s.addProgress(fireflypath.Progress{Number: n, Kind: fireflypath.EventUnsent})
 }
 
-func (s *Scheduler) tell(p fireflypath.Progress) {
-	s.news.Progress = append(s.news.Progress, p)
-	s.kick()
+func (s *Scheduler) addProgress(p fireflypath.Progress) {
+	s.outbox.Progress = append(s.outbox.Progress, p)
+	s.signal()
 }
 
-// leave tells that waiting work is no longer there.
-func (s *Scheduler) leave(n uint64, w *fireflypath.Work) {
-	delete(s.works, n)
+// withdrawPending removes a waiting request and informs the dispatcher.
+func (s *Scheduler) withdrawPending(n uint64, w *fireflypath.Work) {
+	delete(s.pending, n)
 	delete(s.numbers, w)
-	s.news.Withdrawn = append(s.news.Withdrawn, n)
-	s.kick()
+	s.outbox.Withdrawn = append(s.outbox.Withdrawn, n)
+	s.signal()
 }
 
-// Withdraw removes waiting work; it reports false if it was not waiting here.
+// Withdraw removes a waiting request; it reports false if none was waiting here.
 func (s *Scheduler) Withdraw(now time.Time, w *fireflypath.Work) bool {
 	n, known := s.numbers[w]
 	if !known {
 		return s.Local.Withdraw(now, w)
 	}
-	_, waits := s.works[n]
-	at := slices.IndexFunc(s.placed, func(p placed) bool { return p.work == w })
-	if !waits && at < 0 {
+	_, pending := s.pending[n]
+	i := slices.IndexFunc(s.placements, func(p placement) bool { return p.work == w })
+	if !pending && i < 0 {
 		return false
 	}
-	if at >= 0 {
-		s.placed = slices.Delete(s.placed, at, at+1)
+	if i >= 0 {
+		s.placements = slices.Delete(s.placements, i, i+1)
 	}
-	s.leave(n, w)
+	s.withdrawPending(n, w)
 	return true
 }
 
-// Observe learns from an event at a target and tells the dispatcher.
+// Observe applies an event at a target and informs the dispatcher.
 func (s *Scheduler) Observe(now time.Time, e fireflypath.Event) {
 	n, known := s.numbers[e.Work]
 	if e.Work == nil || !known {
@@ -278,15 +280,15 @@
 		return
 	}
 	if e.Kind == fireflypath.EventUnsent && s.attached {
-		// Not sent, it waits for the dispatcher again, and not here.
+		// The request was not sent, so it waits for the dispatcher again, not locally.
 		local := e
 		local.Kind = fireflypath.EventRefused
 		s.Local.Observe(now, local)
-		s.again(e.Work)
+		s.resubmit(e.Work)
 		return
 	}
 	s.Local.Observe(now, e)
-	s.tell(fireflypath.Progress{Number: n, Kind: e.Kind, Tokens: e.Tokens, Left: e.Left})
+	s.addProgress(fireflypath.Progress{Number: n, Kind: e.Kind, Tokens: e.Tokens, Left: e.Left})
 	if e.Kind != fireflypath.EventFirst {
 		delete(s.numbers, e.Work)
 	}
@@ -301,10 +303,10 @@
 	}
 }
 
-// Demand summarises waiting and running work for the other daemons.
+// Demand summarizes waiting and running requests for the other daemons.
 func (s *Scheduler) Demand(now time.Time) fireflypath.Demand {
 	d := s.Local.Demand(now)
-	for _, w := range s.works {
+	for _, w := range s.pending {
 		if w.Rank < len(d.Waiting) {
 			d.Waiting[w.Rank] += w.Cost.Tokens()
 			d.Requests[w.Rank]++
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -213,10 +213,10 @@
 		x.early.moveTo(name, p.received)
 	}
 	self := x.members.Self().Name
-	p.targets, p.group = layout.Serves(self, targets)
+	p.targets, p.group = layout.AssignedTargets(self, targets)
 	p.cell = p.group
-	if cell := layout.Mates(self); len(cell) < len(p.group) {
-		p.cell = cell
+	if members := layout.Members(self); len(members) < len(p.group) {
+		p.cell = members
 	}
 	if added && initialized && len(p.group) > 1 {
 		p.ledger.Reset(share.Floor(len(p.group), x.members.Missing()))
@@ -339,7 +339,7 @@
 // shareOf returns a share with the given fraction of each target that this daemon serves,
 // or of all targets if it serves all.
 func (x *Exchange) shareOf(p *pool, fraction float64) fireflypath.Share {
-	if p.isLimit || x.topology.layout.Cells() == 1 {
+	if p.isLimit || x.topology.layout.CellCount() == 1 {
 		return fireflypath.Share{Default: fraction}
 	}
 	s := fireflypath.Share{Part: make(map[string]float64, len(p.targets))}
