--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -193,8 +193,8 @@
 	for _, c := range cfg.Pools {
 		next[c.Name] = x.updatePool(c.Name, layout, targets[c.Name], initialized)
 	}
-	for _, name := range rules.Shared(cfg) {
-		if key := rules.Key(name); next[key] == nil {
+	for _, name := range rules.SharedLimits(cfg) {
+		if key := rules.DemandKey(name); next[key] == nil {
 			next[key] = x.updateLimit(key, layout)
 		}
 	}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -54,7 +54,7 @@
 func (d *daemon) ApplyShare(pool string, sh fireflypath.Share) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if pool == "added" || pool == rules.Key("team") {
+	if pool == "added" || pool == rules.DemandKey("team") {
 		d.addedFraction = sh.Default
 		return
 	}
@@ -278,7 +278,7 @@
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.cfg = &cfg
-			d.added = fireflypath.Demand{Pool: rules.Key("team"), Slots: 1000, Busy: []int{rate}}
+			d.added = fireflypath.Demand{Pool: rules.DemandKey("team"), Slots: 1000, Busy: []int{rate}}
 		}
 		watch := func(duration time.Duration) {
 			for ; duration > 0; duration -= 20 * time.Millisecond {
