--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -221,8 +221,8 @@
 			f.is.True(f.stepUntil(f.allHold))
 			f.is.Equal(f.countHolding(healthy), 0)
 			f.is.True(f.calls.Load() <= 3*2) // one report of each daemon to each coordinator
-			left, _ := f.daemons[0].q.Held(poison)
-			f.is.True(left > 59*time.Minute && left <= time.Hour)
+			remaining, _ := f.daemons[0].q.Held(poison)
+			f.is.True(remaining > 59*time.Minute && remaining <= time.Hour)
 		})
 	}
 }
@@ -271,16 +271,16 @@
 // A request that many callers send ran on every target of a failure domain that is lost, one
 // after the other. Other daemons get it served all the while, so it must not be held.
 func TestHotRequestIsNotHeld(t *testing.T) {
-	for _, late := range []bool{false, true} {
-		t.Run(fmt.Sprint(late), func(t *testing.T) {
+	for _, servedAfterCrash := range []bool{false, true} {
+		t.Run(fmt.Sprint(servedAfterCrash), func(t *testing.T) {
 			f := newFleet(t, 9)
 			serve := func() { f.daemons[8].q.Served(healthy, target("other"), f.clock.Now()) }
-			if !late {
+			if !servedAfterCrash {
 				serve()
 			}
 			for i := range 6 {
 				f.crashTarget(f.daemons[i%3], healthy, fmt.Sprint("t", i))
-				if late {
+				if servedAfterCrash {
 					serve() // one that is running when it becomes a suspect is answered
 				}
 				f.is.Equal(f.countHolding(healthy), 0)
@@ -382,12 +382,12 @@
 	var report, beat int
 	for b.Loop() {
 		f := &fleet{clock: clockwork.NewFakeClock()}
-		got := f.measuredDaemon(&report)
-		got.q.TargetCrashed(poison, target("i-0123456789"), f.clock.Now())
-		got.q.Step(b.Context())
+		d := f.measuredDaemon(&report)
+		d.q.TargetCrashed(poison, target("i-0123456789"), f.clock.Now())
+		d.q.Step(b.Context())
 		var m peer.Beat
-		got.q.ApplyStoreEntry(fireflypath.Entry{Key: quarantine.Prefix + poison.String(), Value: []byte(`{"pool":"pool-name","until":1796288695573,"targets":3,"times":1,"number":2}`)})
-		got.source("d1", &m)
+		d.q.ApplyStoreEntry(fireflypath.Entry{Key: quarantine.Prefix + poison.String(), Value: []byte(`{"pool":"pool-name","until":1796288695573,"targets":3,"times":1,"number":2}`)})
+		d.source("d1", &m)
 		text, err := json.Marshal(m)
 		if err != nil {
 			b.Fatal(err)
@@ -442,28 +442,28 @@
 		Self: "d", Store: store, PoolSize: func(string) int { return 12 }, Clock: clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		_ = q.Run(ctx)
 	}()
-	end := func(request digest.Digest, name string) {
+	crash := func(request digest.Digest, name string) {
 		sent := clock.Now()
 		time.Sleep(stepInterval)
 		q.TargetCrashed(request, target(name), sent)
 	}
 	for i := range 5 {
-		end(poison, fmt.Sprint("t", i))
+		crash(poison, fmt.Sprint("t", i))
 	}
 	<-store.called // the request is held and being saved
-	end(healthy, "t5")
-	end(healthy, "t6")
+	crash(healthy, "t5")
+	crash(healthy, "t6")
 	for len(q.List()) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
 	close(store.end)
-	<-ended
+	<-stopped
 }
 
 // unresponsiveStore answers no write until end is closed.
