--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -110,9 +110,9 @@
 // windows hands shares over in relief rounds.
 type windows struct{ d *Daemon }
 
-// Free implements relief.Windows.
-func (w windows) Free(pool string, rank, tokens int) float64 {
-	return w.d.exchange.Free(pool, rank, tokens)
+// LendForRelief implements relief.Windows.
+func (w windows) LendForRelief(pool string, rank, tokens int) float64 {
+	return w.d.exchange.LendForRelief(pool, rank, tokens)
 }
 
 // Borrow implements relief.Windows.
@@ -172,7 +172,7 @@
 	single := d.deps.Store == nil && len(d.cfg.Peers.Seeds) == 0
 	d.exchange = exchange.New(d.members, d.peers, d.deps.Configs,
 		&limits{d.pools, &d.rules, d.deps.Configs, clock}, single, clock, d.scope)
-	d.pools.Begin(d.exchange.Begin)
+	d.pools.Begin(d.exchange.InitialShare)
 	d.board = leaving.New(d.cfg.Name, d.mates, d.peers, d.peersLeaving, d.peersBack, clock, d.scope)
 	if d.deps.Leaving == nil {
 		d.deps.Leaving, d.deps.Back = d.board.Leaving, d.board.Back
--- a/internal/exchange/borrow.go
+++ b/internal/exchange/borrow.go
@@ -255,9 +255,9 @@
 // idle there.
 const maxReliefFraction = 0.05
 
-// Free lends a fraction to a daemon for whose work of the rank lower-ranked work was shed
+// LendForRelief lends a fraction to a daemon for whose work of the rank lower-ranked work was shed
 // here.
-func (x *Exchange) Free(pool string, rank, _ int) float64 {
+func (x *Exchange) LendForRelief(pool string, rank, _ int) float64 {
 	return x.Lend(pool, rank, maxReliefFraction)
 }
 
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -290,9 +290,9 @@
 	x.sendBorrowRequests(ctx, requests)
 }
 
-// Begin returns the share that a pool starts with. Without it, each daemon would use whole
+// InitialShare returns the share that a pool starts with. Without it, each daemon would use whole
 // windows of a pool that the operator adds until its next step.
-func (x *Exchange) Begin(name string) fireflypath.Share {
+func (x *Exchange) InitialShare(name string) fireflypath.Share {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.updateTopology()
@@ -349,8 +349,8 @@
 	return s
 }
 
-// Part returns the fraction of a pool's windows in use here, for operators.
-func (x *Exchange) Part(name string) float64 {
+// Fraction returns the fraction of a pool's windows in use here, for operators.
+func (x *Exchange) Fraction(name string) float64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if p := x.pools[name]; p != nil {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -245,7 +245,7 @@
 		}
 		addNext := func(known, waiting int) {
 			all[known-1].add(waiting)
-			is.True(all[known-1].exchange.Begin("added").Default > 0.033)
+			is.True(all[known-1].exchange.InitialShare("added").Default > 0.033)
 			time.Sleep(100 * time.Millisecond) // the next step
 			watch(4*time.Second, known)
 		}
--- a/internal/relief/rounds.go
+++ b/internal/relief/rounds.go
@@ -39,8 +39,8 @@
 // Windows hands parts of windows over together with the work given up. It may
 // be nil.
 type Windows interface {
-	// Free gives a part of a pool's windows for tokens of work of a rank.
-	Free(pool string, rank, tokens int) float64
+	// LendForRelief gives a part of a pool's windows for tokens of work of a rank.
+	LendForRelief(pool string, rank, tokens int) float64
 	// Borrow uses such a part, asked for at that time.
 	Borrow(pool string, asked time.Time, part float64)
 }
@@ -369,7 +369,7 @@
 		}
 		r.count.freed.Inc(int64(a.Freed[i]))
 		if r.windows != nil {
-			a.Part += r.windows.Free(q.Pool, n.Rank, a.Freed[i])
+			a.Part += r.windows.LendForRelief(q.Pool, n.Rank, a.Freed[i])
 		}
 	}
 	return a, nil
