--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -174,7 +174,7 @@
 		sum  float64
 	}{{2, 1}, {6, 3.0 / 9}}
 	for _, tt := range tests {
-		t.Run(fmt.Sprint(tt.dead, " dead"), func(t *testing.T) {
+		t.Run(fmt.Sprint(tt.dead, " die"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				all := start(t, testkit.NewNetwork(), 9)
