--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -30,7 +30,7 @@
 
 // One request asks for more than the burst. It is let through by a full bucket
 // and paid back; refused for good, its caller could never get it.
-func TestRequestLargerThanTheBurst(t *testing.T) {
+func TestFullBucketAdmitsRequestLargerThanBurst(t *testing.T) {
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 100, Burst: 200}, quota.Tolerance{}, 1)
 	now := start.Add(time.Minute)
@@ -43,7 +43,7 @@
 
 // Half of the daemons are not heard. This one counts on its part only, so that
 // two halves that do not hear each other give out the quota once.
-func TestPartOfAFleetGivesOutItsPart(t *testing.T) {
+func TestFractionLimitsPartitionedDaemons(t *testing.T) {
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 100, Burst: 100}, quota.Tolerance{}, 0.5)
 	now, used := start, 0.0
@@ -91,7 +91,7 @@
 				told[d] += n
 				for o := range copies {
 					if o != d {
-						copies[o].Heard(now, n)
+						copies[o].DeductRemoteUse(now, n)
 					}
 				}
 			}
@@ -112,17 +112,17 @@
 }
 
 // A quota is cut far down while its bucket is full.
-func TestLowerQuotaHoldsAtOnce(t *testing.T) {
+func TestLowerQuotaAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 1000, Burst: 5000}, quota.Tolerance{}, 1)
 	now := start.Add(time.Minute)
-	b.Set(now, fireflypath.Quota{Rate: 10, Burst: 10})
+	b.SetQuota(now, fireflypath.Quota{Rate: 10, Burst: 10})
 	is.Equal(b.Level(now), 10.0)
 }
 
 // A team sends several times its quota, most of it low work. Its highest work
 // still gets through: by order of arrival it would get a fifth.
-func TestTeamsHighestWorkGoesFirst(t *testing.T) {
+func TestHighestTierOfTeamIsServedFirst(t *testing.T) {
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 1000, Burst: 1000}, quota.Tolerance{}, 1)
 	now := start
--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -94,7 +94,7 @@
 	}
 	l.fraction, l.perTeamFractions = fraction, false
 	for _, t := range l.teams {
-		t.bucket.SetPart(now, fraction)
+		t.bucket.SetFraction(now, fraction)
 	}
 }
 
@@ -112,7 +112,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.teams[name]; t != nil {
-		t.bucket.SetPart(now, fraction)
+		t.bucket.SetFraction(now, fraction)
 	}
 }
 
@@ -128,7 +128,7 @@
 		return
 	}
 	if tiers < quotas.Tiers && t.unlimitedTiers == quotas.Tiers && now.Before(t.unlimitedUntil) {
-		t.bucket.Adopt(now, 0)
+		t.bucket.SetLevel(now, 0)
 	}
 	t.unlimitedTiers, t.unlimitedUntil = tiers, until
 }
@@ -197,7 +197,7 @@
 			continue
 		}
 		t.adopted = true
-		t.bucket.Adopt(now, level)
+		t.bucket.SetLevel(now, level)
 	}
 }
 
@@ -224,7 +224,7 @@
 	team.demand[tier].Add(now, int(n))
 	confirmed := now.Before(team.unlimitedUntil)
 	if l.perTeamFractions && tier < team.unlimitedTiers && confirmed {
-		team.bucket.Spend(now, n)
+		team.bucket.AddUse(now, n)
 		return Grant{OK: true}
 	}
 	wait, ok := team.bucket.Take(now, n, below)
@@ -238,7 +238,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.team(now, t.Name, t.Quota).bucket.Return(now, n)
+	l.team(now, t.Name, t.Quota).bucket.Refund(now, n)
 }
 
 // team returns the team's state with the given quota in force. The caller holds mu.
@@ -252,7 +252,7 @@
 		l.teams[name] = t
 	} else if t.quota != *q {
 		t.quota = *q
-		t.bucket.Set(now, *q)
+		t.bucket.SetQuota(now, *q)
 	}
 	return t
 }
@@ -262,7 +262,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.teams[name]; t != nil && !l.perTeamFractions {
-		t.bucket.Heard(now, n)
+		t.bucket.DeductRemoteUse(now, n)
 	}
 }
 
--- a/internal/quotas/coordinator.go
+++ b/internal/quotas/coordinator.go
@@ -61,13 +61,13 @@
 		}
 		b := q.teamBucket(now, team, *limit)
 		if !b.adopted && usage.Level != 0 {
-			b.bucket.Adopt(now, float64(usage.Level))
+			b.bucket.SetLevel(now, float64(usage.Level))
 		}
 		b.adopted = true
-		b.bucket.Heard(now, float64(usage.Used))
+		b.bucket.DeductRemoteUse(now, float64(usage.Used))
 		level := b.bucket.Level(now)
 		demand := b.updateDemand(now, from, usage.Demand)
-		enough := max(healthyFill*b.bucket.Top(), detectionDelay.Seconds()*float64(demand.fromTier(0)))
+		enough := max(healthyFill*b.bucket.Capacity(), detectionDelay.Seconds()*float64(demand.fromTier(0)))
 		g := Grant{Level: int64(level), UnlimitedTiers: Tiers}
 		// Usage above the quota is paid back over repaymentPeriod.
 		rate := max(b.bucket.Rate()+min(level, 0)/repaymentPeriod.Seconds(), minRateFraction*b.bucket.Rate())
@@ -131,7 +131,7 @@
 		q.buckets[team] = b
 	} else if b.quota != limit {
 		b.quota = limit
-		b.bucket.Set(now, limit)
+		b.bucket.SetQuota(now, limit)
 	}
 	return b
 }
