--- a/internal/exchange/borrow.go
+++ b/internal/exchange/borrow.go
@@ -255,8 +255,8 @@
 // idle there.
 const maxReliefFraction = 0.05
 
-// LendForRelief lends a fraction to a daemon for whose work of the rank lower-ranked work was shed
-// here.
+// LendForRelief lends a fraction to a daemon for whose work of the rank lower-ranked work
+// was shed here.
 func (x *Exchange) LendForRelief(pool string, rank, _ int) float64 {
 	return x.Lend(pool, rank, maxReliefFraction)
 }
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,4 +1,4 @@
-// Package spread passes configurations between daemons.
+// Package spread distributes configurations between daemons.
 package spread
 
 import (
@@ -18,17 +18,18 @@
 const (
 	methodUpdate = "config.update"
 	methodChunks = "config.chunks"
-	// callTime bounds each call to a peer; another is tried then. A reply has 256 KB of
-	// chunks at most: 0.2 s on 10 Mbit/s, and ten times that while the link is shared.
-	// A bound on all calls together would bound the size of a configuration: that of
-	// 29,000 teams is 8 MB, and 5 s for all of it were not enough on such a link, each
-	// time anew.
-	callTime = 2 * time.Second
-	// watchers per failure domain: one may be cut off or paused.
-	watchers = 2
+	// callTimeout bounds each call to a peer; if it expires, another peer is tried. A
+	// response has at most 256 KB of chunks, which take 0.2 s on a link of 10 Mbit/s and
+	// ten times that while the link is shared. A bound on all calls together would limit
+	// the size of a configuration: that of 29,000 teams is 8 MB, and on such a link every
+	// pull of it failed with a bound of 5 s.
+	callTimeout = 2 * time.Second
+	// watchersPerDomain is the number of daemons per failure domain that watch the store.
+	// One of them may be cut off or paused.
+	watchersPerDomain = 2
 )
 
-// Peers is what Spread needs of the endpoint.
+// Peers receives heartbeats and makes and serves calls between daemons.
 type Peers interface {
 	Handle(method string, m peer.Method)
 	AddSink(s peer.Sink)
@@ -36,119 +37,121 @@
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
-// Fleet is what Spread needs of the membership.
+// Fleet lists the live daemons and announces this daemon's generation to them.
 type Fleet interface {
 	Self() fireflypath.Member
 	Live() []fireflypath.Member
 	SetGeneration(generation uint64)
 }
 
-// Spread passes on the generation in force with the heartbeats, and fetches a
-// newer one from the peer that told of it.
-type Spread struct {
+// Distributor announces the generation in force with the heartbeats and pulls newer
+// generations from the peers that announce them.
+type Distributor struct {
 	configs *configuration.Registry
 	members Fleet
 	peers   Peers
 	log     *zap.Logger
-	// pulls holds one place for each pull under way, so that a slow peer does
-	// not keep this daemon from asking another.
-	pulls  chan struct{}
+	// pullSlots holds one entry for each pull in progress. There is more than one, so that
+	// a slow peer does not prevent a pull from another.
+	pullSlots chan struct{}
+	// offers holds the name of a peer that announced a newer generation.
 	offers chan string
 }
 
-// maxPulls bounds the pulls at once.
-const maxPulls = 2
+// maxConcurrentPulls bounds the pulls in progress at a time.
+const maxConcurrentPulls = 2
 
-type updateAsk struct {
+type updateRequest struct {
 	Have uint64 `json:"have"`
 }
 
-type chunksAsk struct {
+type chunksRequest struct {
 	Digests []string `json:"digests"`
 }
 
-type chunksReply struct {
+type chunksResponse struct {
 	Chunks []json.RawMessage `json:"chunks"`
 }
 
-// New connects the registry to the endpoint, before that serves.
-func New(configs *configuration.Registry, members Fleet, peers Peers, log *zap.Logger) *Spread {
-	s := &Spread{
+// New registers the methods for calls and the source of the registry's duties. It must be
+// called before the endpoint serves.
+func New(configs *configuration.Registry, members Fleet, peers Peers, log *zap.Logger) *Distributor {
+	d := &Distributor{
 		configs: configs, members: members, peers: peers, log: log,
-		pulls: make(chan struct{}, maxPulls), offers: make(chan string, 1),
+		pullSlots: make(chan struct{}, maxConcurrentPulls), offers: make(chan string, 1),
 	}
-	peers.Handle(methodUpdate, s.answerUpdate)
-	peers.Handle(methodChunks, s.answerChunks)
-	peers.AddSink(s.hear)
-	configs.SetDuty(s.duty)
-	return s
+	peers.Handle(methodUpdate, d.handleUpdate)
+	peers.Handle(methodChunks, d.handleChunks)
+	peers.AddSink(d.receive)
+	configs.SetDuty(d.duty)
+	return d
 }
 
-// Run passes on changes until the context ends.
-func (s *Spread) Run(ctx context.Context) error {
-	told := ^uint64(0)
+// Run announces and pulls generations until the context ends.
+func (d *Distributor) Run(ctx context.Context) error {
+	announced := ^uint64(0)
 	for {
-		g := s.configs.Generation()
-		if g != told {
-			told = g
-			s.members.SetGeneration(g)
-			s.peers.Flush()
+		g := d.configs.Generation()
+		if g != announced {
+			announced = g
+			d.members.SetGeneration(g)
+			d.peers.Flush()
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.configs.Changed(g):
-		case from := <-s.offers:
-			s.pull(ctx, from)
+		case <-d.configs.Changed(g):
+		case from := <-d.offers:
+			d.pull(ctx, from)
 		}
 	}
 }
 
-// hear notes a peer with a newer generation.
-func (s *Spread) hear(from string, b *peer.Beat) {
-	if b.Generation <= s.configs.Generation() {
+// receive records a peer that announces a newer generation.
+func (d *Distributor) receive(from string, b *peer.Beat) {
+	if b.Generation <= d.configs.Generation() {
 		return
 	}
 	select {
-	case s.offers <- from:
-	default: // another peer's offer waits; the next beat repeats this one
+	case d.offers <- from:
+	default: // another peer's offer is pending; the next heartbeat repeats this one
 	}
 }
 
-// pull fetches the newer generation of a peer without holding up others.
-func (s *Spread) pull(ctx context.Context, from string) {
+// pull starts to fetch the newer generation of a peer. It does not block.
+func (d *Distributor) pull(ctx context.Context, from string) {
 	var to fireflypath.Member
-	for _, m := range s.members.Live() {
+	for _, m := range d.members.Live() {
 		if m.Name == from {
 			to = m
 		}
 	}
-	if to.Name == "" || to.Generation <= s.configs.Generation() {
+	if to.Name == "" || to.Generation <= d.configs.Generation() {
 		return
 	}
 	select {
-	case s.pulls <- struct{}{}:
+	case d.pullSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-s.pulls }()
-		if err := s.configs.Pull(ctx, &source{s: s, to: to}); err != nil {
-			s.log.Info("could not fetch a configuration", zap.String("peer", from), zap.Error(err))
+		defer func() { <-d.pullSlots }()
+		if err := d.configs.Pull(ctx, &peerSource{distributor: d, peer: to}); err != nil {
+			d.log.Info("failed to fetch configuration", zap.String("peer", from), zap.Error(err))
 		}
 	}()
 }
 
-// duty chooses the few watchers of each failure domain, and the collector, by
-// rendezvous hashing: all daemons with the same members agree without a word,
-// and a death moves the duty of the dead one only.
-func (s *Spread) duty() configuration.Duty {
-	self := s.members.Self()
-	mine := lot(self.Name)
-	var d configuration.Duty
+// duty selects the watchers of each failure domain and the collector by rendezvous hashing.
+// All daemons that know the same members agree without communication, and the death of a
+// daemon moves only that daemon's duties.
+func (d *Distributor) duty() configuration.Duty {
+	self := d.members.Self()
+	ownHash := rendezvousHash(self.Name)
+	var duty configuration.Duty
 	inDomain, overall := 0, 0
-	for _, m := range s.members.Live() {
-		if m.Name == self.Name || lot(m.Name) > mine {
+	for _, m := range d.members.Live() {
+		if m.Name == self.Name || rendezvousHash(m.Name) > ownHash {
 			continue
 		}
 		overall++
@@ -156,53 +159,53 @@
 			inDomain++
 		}
 	}
-	d.Watch = inDomain < watchers
-	d.Collect = overall == 0
-	return d
+	duty.Watch = inDomain < watchersPerDomain
+	duty.Collect = overall == 0
+	return duty
 }
 
-func lot(name string) uint64 { return xxhash.Sum64String("watch/" + name) }
+func rendezvousHash(name string) uint64 { return xxhash.Sum64String("watch/" + name) }
 
-func (s *Spread) answerUpdate(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var ask updateAsk
-	if err := json.Unmarshal(params, &ask); err != nil {
-		return nil, errors.Wrap(err, "decode the question for a configuration")
+func (d *Distributor) handleUpdate(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var req updateRequest
+	if err := json.Unmarshal(params, &req); err != nil {
+		return nil, errors.Wrap(err, "decode configuration update request")
 	}
-	return s.configs.Update(ask.Have), nil
+	return d.configs.Update(req.Have), nil
 }
 
-func (s *Spread) answerChunks(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var ask chunksAsk
-	if err := json.Unmarshal(params, &ask); err != nil {
-		return nil, errors.Wrap(err, "decode the question for chunks")
+func (d *Distributor) handleChunks(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var req chunksRequest
+	if err := json.Unmarshal(params, &req); err != nil {
+		return nil, errors.Wrap(err, "decode configuration chunks request")
 	}
-	return chunksReply{Chunks: s.configs.Chunks(ask.Digests)}, nil
+	return chunksResponse{Chunks: d.configs.Chunks(req.Digests)}, nil
 }
 
-// source is a peer as a configuration.Source.
-type source struct {
-	s  *Spread
-	to fireflypath.Member
+// peerSource implements configuration.Source with calls to a peer.
+type peerSource struct {
+	distributor *Distributor
+	peer        fireflypath.Member
 }
 
-var _ configuration.Source = (*source)(nil)
+var _ configuration.Source = (*peerSource)(nil)
 
-// Update asks for the peer's outline.
-func (c *source) Update(ctx context.Context, have uint64) (configuration.Update, error) {
+// Update requests the peer's generation as a difference to the one that is here.
+func (c *peerSource) Update(ctx context.Context, have uint64) (configuration.Update, error) {
 	var u configuration.Update
-	err := c.call(ctx, methodUpdate, updateAsk{Have: have}, &u)
+	err := c.call(ctx, methodUpdate, updateRequest{Have: have}, &u)
 	return u, err
 }
 
-// Chunks asks for chunks.
-func (c *source) Chunks(ctx context.Context, digests []string) ([]json.RawMessage, error) {
-	var r chunksReply
-	err := c.call(ctx, methodChunks, chunksAsk{Digests: digests}, &r)
+// Chunks requests chunks by digest.
+func (c *peerSource) Chunks(ctx context.Context, digests []string) ([]json.RawMessage, error) {
+	var r chunksResponse
+	err := c.call(ctx, methodChunks, chunksRequest{Digests: digests}, &r)
 	return r.Chunks, err
 }
 
-func (c *source) call(ctx context.Context, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+func (c *peerSource) call(ctx context.Context, method string, params, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return c.s.peers.Call(ctx, c.to, method, params, result)
+	return c.distributor.peers.Call(ctx, c.peer, method, params, result)
 }
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -20,10 +20,10 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// slowLink is 10 Mbit/s, what small entry hosts have, in bytes a second.
-const slowLink = 10e6 / 8
+// linkRate is 10 Mbit/s, the link of small entry hosts, in bytes per second.
+const linkRate = 10e6 / 8
 
-// link carries calls to another daemon and takes the time that the answers need.
+// link carries calls to another daemon and delays responses by their transfer time.
 type link struct {
 	methods map[string]peer.Method
 	sinks   []peer.Sink
@@ -33,7 +33,7 @@
 func (l *link) AddSink(s peer.Sink)                 { l.sinks = append(l.sinks, s) }
 func (l *link) Flush()                              {}
 
-// Call sends back what the other end's methods answer.
+// Call calls a method of the other end.
 func (l *link) Call(ctx context.Context, _ fireflypath.Member, method string, params, result any) error {
 	b, err := json.Marshal(params)
 	if err != nil {
@@ -49,16 +49,16 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(time.Duration(float64(len(b)) / slowLink * float64(time.Second))):
+	case <-time.After(time.Duration(float64(len(b)) / linkRate * float64(time.Second))):
 	}
 	return json.Unmarshal(b, result)
 }
 
-// far is the other end of a link.
-type far struct{ *link }
+// remoteEnd is the other end of a link.
+type remoteEnd struct{ *link }
 
-func (f far) Handle(method string, m peer.Method) { f.methods["far "+method] = m }
-func (far) AddSink(peer.Sink)                     {}
+func (r remoteEnd) Handle(method string, m peer.Method) { r.methods["far "+method] = m }
+func (remoteEnd) AddSink(peer.Sink)                     {}
 
 type fleet struct{}
 
@@ -68,8 +68,8 @@
 	return []fireflypath.Member{{Name: "far", Generation: 1 << 60}}
 }
 
-// teams makes a configuration with so many, about 300 bytes each.
-func teams(n int) *fireflypath.Config {
+// configWithTeams returns a configuration with n teams of about 300 bytes each.
+func configWithTeams(n int) *fireflypath.Config {
 	c := &fireflypath.Config{Tiers: []fireflypath.Tier{{Name: "trader"}}}
 	for i := range n {
 		team := fireflypath.Team{Name: fmt.Sprintf("team-%05d", i), Tiers: []string{"trader"}, Weight: 1}
@@ -81,33 +81,33 @@
 	return c
 }
 
-// A daemon on a slow link hears that another one has the configuration of 29,000
-// teams. All of it takes longer than a daemon gave a peer in all: it gave up near the
-// end, began anew with the next heartbeat, and refused the callers of these teams.
-func TestLargeConfigurationIsPulledOverASlowLink(t *testing.T) {
+// A daemon on a slow link pulls a configuration of 29,000 teams from another one. The
+// transfer took longer than the former bound on a whole pull. The daemon gave up near the
+// end, started over with the next heartbeat, and refused the callers of these teams.
+func TestLargeConfigurationIsPulledOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clockwork.NewRealClock()
 		log := zap.NewNop()
 		store := testkit.NewMapStore(clock)
-		theirs := configuration.New(store, teams(29_000), "far", clock, tally.NoopScope, log)
-		is.NoErr(theirs.Follow(t.Context()))
-		ours := configuration.New(testkit.NewMapStore(clock), nil, "near", clock, tally.NoopScope, log)
+		remote := configuration.New(store, configWithTeams(29_000), "far", clock, tally.NoopScope, log)
+		is.NoErr(remote.Follow(t.Context()))
+		local := configuration.New(testkit.NewMapStore(clock), nil, "near", clock, tally.NoopScope, log)
 
 		l := &link{methods: map[string]peer.Method{}}
-		spread.New(theirs, fleet{}, far{l}, log)
-		s := spread.New(ours, fleet{}, l, log)
+		spread.New(remote, fleet{}, remoteEnd{l}, log)
+		d := spread.New(local, fleet{}, l, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go func() { _ = s.Run(ctx) }()
+		go func() { _ = d.Run(ctx) }()
 		start := time.Now()
-		// A change has 16 s to be in force everywhere; heartbeats come each second.
-		for ours.Generation() != theirs.Generation() && time.Since(start) < 16*time.Second {
-			l.sinks[0]("far", &peer.Beat{Generation: theirs.Generation()})
+		// A change must be in force everywhere within 16 s. Heartbeats arrive each second.
+		for local.Generation() != remote.Generation() && time.Since(start) < 16*time.Second {
+			l.sinks[0]("far", &peer.Beat{Generation: remote.Generation()})
 			time.Sleep(time.Second)
 		}
-		is.Equal(ours.Generation(), theirs.Generation())
-		is.Equal(len(ours.Current().Teams), 29_000)
+		is.Equal(local.Generation(), remote.Generation())
+		is.Equal(len(local.Current().Teams), 29_000)
 		cancel()
 		synctest.Wait()
 	})
