--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -28,8 +28,8 @@
 	is.Equal(b.Used(), 250.0)
 }
 
-// One request asks for more than the burst. It is let through by a full bucket
-// and paid back; refused for good, its caller could never get it.
+// A single request larger than the burst is admitted by a full bucket and paid back
+// afterwards: otherwise its caller would never be served.
 func TestFullBucketAdmitsRequestLargerThanBurst(t *testing.T) {
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 100, Burst: 200}, quota.Tolerance{}, 1)
@@ -41,8 +41,8 @@
 	is.Equal(wait, 5010*time.Millisecond)
 }
 
-// Half of the daemons are not heard. This one counts on its part only, so that
-// two halves that do not hear each other give out the quota once.
+// Half of the daemons are unreachable. This one uses only its fraction, so that two
+// partitions together grant the quota once.
 func TestFractionLimitsPartitionedDaemons(t *testing.T) {
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 100, Burst: 100}, quota.Tolerance{}, 0.5)
@@ -57,25 +57,25 @@
 	is.True(used >= 0.5*100*10)
 }
 
-// A team sends without end to several daemons that tell each other of its use a
-// little late. What it gets in any window stays within quota and tolerance.
+// A team sends without end to several daemons that report its use to each other with a
+// lag. Its use in any window must stay within quota and tolerance.
 func TestCopiesStayWithinTheTolerance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := fireflypath.Quota{Rate: 1000, Burst: 1000}
-		tol := quota.Tolerance{Over: 0.1, Slack: 2000, Window: 8 * time.Second}
+		tolerance := quota.Tolerance{Over: 0.1, Slack: 2000, Window: 8 * time.Second}
 		daemons := rapid.IntRange(1, 9).Draw(t, "daemons")
 		lag := rapid.IntRange(1, 20).Draw(t, "lag in steps of 10 ms")
 		size := rapid.IntRange(1, 100).Draw(t, "size")
 		var copies []*quota.Bucket
 		for range daemons {
-			copies = append(copies, quota.New(start, q, tol, 1))
+			copies = append(copies, quota.New(start, q, tolerance, 1))
 		}
-		told := make([]float64, daemons)
+		reported := make([]float64, daemons)
 		const steps = 2000
 		used := make([]float64, steps)
 		for i := range steps {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-			// Each daemon gets as much as four times the quota together.
+			// All daemons together are offered about four times the quota.
 			for d := range copies {
 				for range 1 + 4000/100/daemons/size {
 					if _, ok := copies[d].Take(now, float64(size), 0); ok {
@@ -87,31 +87,31 @@
 				continue
 			}
 			for d := range copies {
-				n := copies[d].Used() - told[d]
-				told[d] += n
-				for o := range copies {
-					if o != d {
-						copies[o].DeductRemoteUse(now, n)
+				n := copies[d].Used() - reported[d]
+				reported[d] += n
+				for other := range copies {
+					if other != d {
+						copies[other].DeductRemoteUse(now, n)
 					}
 				}
 			}
 		}
-		window := int(tol.Window / (10 * time.Millisecond))
+		window := int(tolerance.Window / (10 * time.Millisecond))
 		sum := 0.0
-		most := (q.Rate*tol.Window.Seconds()+q.Burst)*(1+tol.Over) + tol.Slack
+		limit := (q.Rate*tolerance.Window.Seconds()+q.Burst)*(1+tolerance.Over) + tolerance.Slack
 		for i := range steps {
 			sum += used[i]
 			if i >= window {
 				sum -= used[i-window]
 			}
-			if sum > most {
-				t.Fatalf("%v used in a window, %v allowed", sum, most)
+			if sum > limit {
+				t.Fatalf("%v used in a window, %v allowed", sum, limit)
 			}
 		}
 	})
 }
 
-// A quota is cut far down while its bucket is full.
+// A quota is reduced sharply while its bucket is full.
 func TestLowerQuotaAppliesAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 1000, Burst: 5000}, quota.Tolerance{}, 1)
@@ -120,8 +120,8 @@
 	is.Equal(b.Level(now), 10.0)
 }
 
-// A team sends several times its quota, most of it low work. Its highest work
-// still gets through: by order of arrival it would get a fifth.
+// A team sends several times its quota, mostly in a low tier. Its highest tier must still
+// get through: in order of arrival it would get a fifth.
 func TestHighestTierOfTeamIsServedFirst(t *testing.T) {
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 1000, Burst: 1000}, quota.Tolerance{}, 1)
@@ -132,7 +132,7 @@
 		for range 4 {
 			b.Take(now, 10, 2)
 		}
-		if i%2 == 0 { // half of the quota
+		if i%2 == 0 { // half of the quota's rate
 			asked++
 			if _, ok := b.Take(now, 10, 0); ok {
 				high++
