--- a/internal/decide/budget/budget.go
+++ b/internal/decide/budget/budget.go
@@ -10,9 +10,9 @@
 
 import "time"
 
-// cells is the number of cells of the sliding window. One more is kept, so that
+// buckets is the number of cells of the sliding window. One more is kept, so that
 // the window is never shorter than asked for.
-const cells = 10
+const buckets = 10
 
 // Budget counts one pool's requests and repeats. It is not safe for concurrent use.
 type Budget struct {
@@ -21,43 +21,43 @@
 	// Window is the time over which both are counted.
 	Window time.Duration
 
-	requests, repeats [cells + 1]int
-	cell              int64
-	// base is when counting began: a time of day that jumps moves no cell.
-	base time.Time
+	requests, retries [buckets + 1]int
+	bucket            int64
+	// startedAt is when counting began: a time of day that jumps moves no cell.
+	startedAt time.Time
 }
 
-// Request counts a request of a caller.
-func (b *Budget) Request(now time.Time) {
-	b.pass(now)
-	b.requests[b.cell%(cells+1)]++
+// CountRequest counts a request of a caller.
+func (b *Budget) CountRequest(now time.Time) {
+	b.advance(now)
+	b.requests[b.bucket%(buckets+1)]++
 }
 
-// Repeat takes one repeat, if the ratio and the allowance have room for it.
-func (b *Budget) Repeat(now time.Time, allowance float64) bool {
-	b.pass(now)
-	if float64(sum(b.repeats[:])+1) > b.Ratio*float64(sum(b.requests[:]))+allowance {
+// TryRetry takes one repeat, if the ratio and the allowance have room for it.
+func (b *Budget) TryRetry(now time.Time, allowance float64) bool {
+	b.advance(now)
+	if float64(sum(b.retries[:])+1) > b.Ratio*float64(sum(b.requests[:]))+allowance {
 		return false
 	}
-	b.repeats[b.cell%(cells+1)]++
+	b.retries[b.bucket%(buckets+1)]++
 	return true
 }
 
-// pass clears the cells that time has gone by.
-func (b *Budget) pass(now time.Time) {
-	if b.base.IsZero() {
-		b.base = now
+// advance clears the cells that time has gone by.
+func (b *Budget) advance(now time.Time) {
+	if b.startedAt.IsZero() {
+		b.startedAt = now
 	}
-	cell := int64(now.Sub(b.base)) / (int64(b.Window) / cells)
-	if cell-b.cell > cells {
-		b.requests, b.repeats = [cells + 1]int{}, [cells + 1]int{}
-		b.cell = cell
+	cell := int64(now.Sub(b.startedAt)) / (int64(b.Window) / buckets)
+	if cell-b.bucket > buckets {
+		b.requests, b.retries = [buckets + 1]int{}, [buckets + 1]int{}
+		b.bucket = cell
 		return
 	}
-	for b.cell < cell {
-		b.cell++
-		b.requests[b.cell%(cells+1)] = 0
-		b.repeats[b.cell%(cells+1)] = 0
+	for b.bucket < cell {
+		b.bucket++
+		b.requests[b.bucket%(buckets+1)] = 0
+		b.retries[b.bucket%(buckets+1)] = 0
 	}
 }
 
--- a/internal/decide/budget/budget_test.go
+++ b/internal/decide/budget/budget_test.go
@@ -13,14 +13,14 @@
 // A third of the targets is gone, so that a third of all requests fails at first
 // and is to be repeated. Unbounded repeats would add half of the load to the
 // targets that are left.
-func TestRepeatsStayARatio(t *testing.T) {
+func TestRetriesStayWithinRatio(t *testing.T) {
 	is := is.New(t)
 	b := budget.Budget{Ratio: 0.2, Window: 10 * time.Second}
 	now, repeats := time.Unix(1000, 0), 0
 	for i := range 3000 {
 		now = now.Add(10 * time.Millisecond)
-		b.Request(now)
-		if i%3 == 0 && b.Repeat(now, 5) {
+		b.CountRequest(now)
+		if i%3 == 0 && b.TryRetry(now, 5) {
 			repeats++
 		}
 	}
@@ -28,21 +28,21 @@
 	is.True(repeats <= 600+3*5) // three windows, each with the allowance
 }
 
-func TestOldRequestsGiveNoRight(t *testing.T) {
+func TestOldRequestsAllowNoRetry(t *testing.T) {
 	is := is.New(t)
 	b := budget.Budget{Ratio: 0.5, Window: 10 * time.Second}
 	now := time.Unix(1000, 0)
 	for range 10 {
-		b.Request(now)
+		b.CountRequest(now)
 	}
-	is.True(b.Repeat(now, 0))
-	is.True(!b.Repeat(now.Add(12*time.Second), 0))
+	is.True(b.TryRetry(now, 0))
+	is.True(!b.TryRetry(now.Add(12*time.Second), 0))
 }
 
 // Several daemons count for themselves, and some restart and forget. The sum of
 // their repeats in any window stays within the ratio of all requests in it or in
 // the one before, and the allowance.
-func TestSumOverDaemons(t *testing.T) {
+func TestRetriesOfAllDaemonsStayWithinRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const (
 			ratio, allowance = 0.2, 56.0
@@ -63,9 +63,9 @@
 					bs[d] = budget.Budget{Ratio: 0.8 * ratio, Window: 10 * time.Second}
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "requests") {
-					bs[d].Request(now)
+					bs[d].CountRequest(now)
 					requests[i]++
-					if bs[d].Repeat(now, 0.5*allowance/float64(n)) {
+					if bs[d].TryRetry(now, 0.5*allowance/float64(n)) {
 						repeats[i]++
 					}
 				}
--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -282,7 +282,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markStarted(now)
-	l.pool(pool).Request(now)
+	l.pool(pool).CountRequest(now)
 }
 
 // markStarted records the start time on the first call.
@@ -308,7 +308,7 @@
 func (l *Limits) TakeRetry(now time.Time, pool string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.pool(pool).Repeat(now, l.allowance(now))
+	return l.pool(pool).TryRetry(now, l.allowance(now))
 }
 
 // pool returns the pool's retry budget. The caller holds mu.
