--- a/internal/decide/floor/floor.go
+++ b/internal/decide/floor/floor.go
@@ -1,10 +1,10 @@
-// Package floor keeps a tier from being starved by those above it.
+// Package floor keeps a tier from being starved by higher tiers.
 //
-// It answers an overload that lasts. Work of higher tiers takes each place that becomes
-// free, all of a lower tier is refused on arrival, and its callers get nothing for as
-// long as the overload lasts, however little they ask for. A tier that is served much
-// less often than all work together is due the next place; it gets no more than that,
-// so that the tiers above keep nearly all of what they had.
+// Under sustained overload, higher tiers take every free slot. All work of a lower
+// tier is then refused on arrival for as long as the overload lasts, however
+// little its callers ask for. A tier that is served much less often than all work
+// on average is due the next slot. It gets no more than that, so that the higher
+// tiers keep nearly all of their capacity.
 package floor
 
 import (
@@ -13,94 +13,100 @@
 )
 
 const (
-	// Tiers is the number of tiers that are told apart; lower ones count as the last.
+	// Tiers is the number of tiers counted separately; lower ones count as the
+	// last.
 	Tiers = 16
-	// horizon is the time in which what was asked and served fades to a third. What a
-	// tier got before a short burst counts for it, so that the burst is left to the
-	// tiers above.
-	horizon = 10 * time.Second
-	// leastAsked is how much of a tier must have been asked for before anything is said
-	// of how often it is served.
-	leastAsked = 4
+	// decayTime is the time in which counts decay to about a third (1/e). What
+	// a tier was served before a short burst still counts, so the burst is left
+	// to the higher tiers.
+	decayTime = 10 * time.Second
+	// minOffered is how many requests of a tier must have been offered before
+	// the tier can be due.
+	minOffered = 4
 )
 
-// Floor counts how often each tier is served. It is not safe for concurrent use.
+// Floor guarantees each tier a minimum ratio of served to offered work. It is
+// not safe for concurrent use.
 type Floor struct {
-	// part of how often all work is served is due to each tier.
-	part          float64
-	at            time.Time
-	span          float64
-	asked, served [Tiers]float64
+	// minRatio is the ratio due to each tier, relative to that of all work.
+	minRatio float64
+	updated  time.Time
+	// period is the observation time in seconds, with the same decay as the
+	// counts.
+	period          float64
+	offered, served [Tiers]float64
 }
 
-// New returns a floor by which each tier is served at least part as often as all work
-// together; 0 is no floor.
-func New(part float64) *Floor {
-	return &Floor{part: part}
+// New returns a Floor that guarantees each tier minRatio times the ratio of
+// served to offered work over all tiers; 0 disables the guarantee.
+func New(minRatio float64) *Floor {
+	return &Floor{minRatio: minRatio}
 }
 
-// CountOffered counts work of a tier that was asked for.
+// CountOffered counts a new request of a tier.
 func (f *Floor) CountOffered(now time.Time, tier int) {
-	f.pass(now)
-	f.asked[index(tier)]++
+	f.decay(now)
+	f.offered[tierIndex(tier)]++
 }
 
-// CountServed counts work of a tier that got a place.
+// CountServed counts a dispatched request of a tier.
 func (f *Floor) CountServed(now time.Time, tier int) {
-	f.pass(now)
-	f.served[index(tier)]++
+	f.decay(now)
+	f.served[tierIndex(tier)]++
 }
 
-// Due is true for a tier that is served less often than it should be at least.
+// Due reports whether a tier is served less often than guaranteed.
 func (f *Floor) Due(now time.Time, tier int) bool {
-	f.pass(now)
-	i := index(tier)
-	return f.asked[i] >= leastAsked && f.served[i] < f.least(i)
+	f.decay(now)
+	i := tierIndex(tier)
+	return f.offered[i] >= minOffered && f.served[i] < f.minServed(i)
 }
 
-// Rate is the places a second that a tier is due while it is starved.
+// Rate returns how many requests per second must be served for a tier to meet
+// its guarantee.
 func (f *Floor) Rate(now time.Time, tier int) float64 {
-	f.pass(now)
-	if f.span <= 0 {
+	f.decay(now)
+	if f.period <= 0 {
 		return 0
 	}
-	return f.least(index(tier)) / f.span
+	return f.minServed(tierIndex(tier)) / f.period
 }
 
-// least is how much of a tier should have been served.
-func (f *Floor) least(i int) float64 {
-	asked, served := 0.0, 0.0
-	for t := range f.asked {
-		asked += f.asked[t]
+// minServed returns how many requests of a tier must have been served to meet
+// its guarantee.
+func (f *Floor) minServed(i int) float64 {
+	offered, served := 0.0, 0.0
+	for t := range f.offered {
+		offered += f.offered[t]
 		served += f.served[t]
 	}
-	if asked == 0 {
+	if offered == 0 {
 		return 0
 	}
-	return f.part * f.asked[i] * min(served/asked, 1)
+	return f.minRatio * f.offered[i] * min(served/offered, 1)
 }
 
-// pass lets what was counted fade.
-func (f *Floor) pass(now time.Time) {
-	d := now.Sub(f.at).Seconds()
-	if f.at.IsZero() {
-		d = 0
+// decay applies the exponential decay of the counts up to now.
+func (f *Floor) decay(now time.Time) {
+	elapsed := now.Sub(f.updated).Seconds()
+	if f.updated.IsZero() {
+		elapsed = 0
 	}
-	if d < 0 {
+	if elapsed < 0 {
 		return
 	}
-	f.at = now
-	if d == 0 {
+	f.updated = now
+	if elapsed == 0 {
 		return
 	}
-	fade := math.Exp(-d / horizon.Seconds())
-	f.span = f.span*fade + d
-	for t := range f.asked {
-		f.asked[t] *= fade
-		f.served[t] *= fade
+	factor := math.Exp(-elapsed / decayTime.Seconds())
+	f.period = f.period*factor + elapsed
+	for t := range f.offered {
+		f.offered[t] *= factor
+		f.served[t] *= factor
 	}
 }
 
-func index(tier int) int {
+func tierIndex(tier int) int {
 	return min(max(tier, 0), Tiers-1)
 }
--- a/internal/decide/floor/floor_test.go
+++ b/internal/decide/floor/floor_test.go
@@ -9,20 +9,21 @@
 	"github.com/fireflypath/fireflypath/internal/decide/floor"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// overload asks for 20 pieces of work a second of each of two tiers, of which 20 are
-// served; the lower one gets a place only if it is due. It returns the part served.
-func overload(part float64, seconds int) [2]float64 {
-	f := floor.New(part)
-	var asked, served [2]float64
-	now := start
+// servedRatios offers 20 requests per second of each of two tiers, while 20 per
+// second can be served. The lower tier is served only when it is due. It
+// returns the ratio of served to offered requests by tier.
+func servedRatios(minRatio float64, seconds int) [2]float64 {
+	f := floor.New(minRatio)
+	var offered, served [2]float64
+	now := startTime
 	for range 20 * seconds {
 		now = now.Add(50 * time.Millisecond)
 		tier := 0
 		for t := range 2 {
 			f.CountOffered(now, t)
-			asked[t]++
+			offered[t]++
 		}
 		if f.Due(now, 1) {
 			tier = 1
@@ -30,28 +31,28 @@
 		f.CountServed(now, tier)
 		served[tier]++
 	}
-	return [2]float64{served[0] / asked[0], served[1] / asked[1]}
+	return [2]float64{served[0] / offered[0], served[1] / offered[1]}
 }
 
-// The highest tier alone asks for all that can be served, for a minute. Without a floor
-// the tier below it gets nothing; with one its callers are served a good quarter as
-// often as all, and the highest tier keeps the rest.
-func TestTierIsNotStarvedByALongOverload(t *testing.T) {
+// The highest tier uses the whole capacity for a minute. Without a floor, the
+// tier below it is not served at all; with a floor of 0.35, it is served at
+// least a quarter as often as all work, and the highest tier keeps the rest.
+func TestLongOverloadDoesNotStarveLowerTier(t *testing.T) {
 	is := is.New(t)
-	is.Equal(overload(0, 60), [2]float64{1, 0})
-	got := overload(0.35, 60)
+	is.Equal(servedRatios(0, 60), [2]float64{1, 0})
+	got := servedRatios(0.35, 60)
 	all := (got[0] + got[1]) / 2
 	is.True(got[1] >= 0.25*all)
 	is.True(got[1] <= 0.4*all)
 	is.True(got[0] >= 0.8)
 }
 
-// A burst of a few seconds comes to a tier that was served well before. It is left to
-// the tiers above, whose work is late a moment later.
-func TestShortBurstIsLeftToHigherTiers(t *testing.T) {
+// A tier that was served well before must not become due during a burst of a
+// few seconds: the higher tiers' work would be late a moment later.
+func TestShortBurstDoesNotMakeLowerTierDue(t *testing.T) {
 	is := is.New(t)
 	f := floor.New(0.35)
-	now := start
+	now := startTime
 	for range 200 {
 		now = now.Add(50 * time.Millisecond)
 		f.CountOffered(now, 1)
@@ -66,14 +67,15 @@
 	}
 }
 
-// Little is known of a tier at first, and the clock may stand still.
-func TestNothingIsDueWithoutWork(t *testing.T) {
+// A tier must not be due before enough work was offered, even if no time passes
+// between calls.
+func TestTierIsNotDueWithLittleWork(t *testing.T) {
 	is := is.New(t)
 	f := floor.New(0.35)
-	is.True(!f.Due(start, 3))
-	is.Equal(f.Rate(start, 3), 0.0)
+	is.True(!f.Due(startTime, 3))
+	is.Equal(f.Rate(startTime, 3), 0.0)
 	for range 3 {
-		f.CountOffered(start, 3)
+		f.CountOffered(startTime, 3)
 	}
-	is.True(!f.Due(start, 3))
+	is.True(!f.Due(startTime, 3))
 }
