--- a/internal/decide/allowance/allowance.go
+++ b/internal/decide/allowance/allowance.go
@@ -9,64 +9,64 @@
 import "time"
 
 const (
-	// span is the time after which the most that was seen is forgotten: callers'
+	// windowLength is the time after which the most that was seen is forgotten: callers'
 	// times change when operators change them.
-	span = 5 * time.Second
-	// slack is the time by which first attempts differ: the way, and connections.
-	slack = 60 * time.Millisecond
-	// least is the number of attempts, and common the part of them that must come
+	windowLength = 5 * time.Second
+	// jitter is the time by which first attempts differ: the way, and connections.
+	jitter = 60 * time.Millisecond
+	// minAttempts is the number of attempts, and common the part of them that must come
 	// with nearly the most, before less is taken to mean a return. Where callers'
 	// times differ by themselves, nothing is known.
-	least  = 8
-	common = 0.25
+	minAttempts = 8
+	minNearMax  = 0.25
 )
 
-// Meter watches the attempts of one kind of request. The zero value has seen none.
+// RetryDetector watches the attempts of one kind of request. The zero value has seen none.
 // It is not safe for concurrent use.
-type Meter struct {
-	now, before window
-	began       time.Time
+type RetryDetector struct {
+	current, previous window
+	startedAt         time.Time
 }
 
 // window counts attempts in one span.
 type window struct {
-	most    time.Duration
-	n, near int
+	maxRemaining      time.Duration
+	attempts, nearMax int
 }
 
-// Elapsed counts an attempt that has so much time left, and returns for how long its
+// Observe counts an attempt that has so much time left, and returns for how long its
 // caller has been trying: 0 for a first attempt, or where that cannot be told.
-func (m *Meter) Elapsed(now time.Time, left time.Duration) time.Duration {
-	if d := now.Sub(m.began); d >= span {
-		m.before, m.now = m.now, window{}
-		if d >= 2*span {
-			m.before = window{}
+func (m *RetryDetector) Observe(now time.Time, left time.Duration) time.Duration {
+	if d := now.Sub(m.startedAt); d >= windowLength {
+		m.previous, m.current = m.current, window{}
+		if d >= 2*windowLength {
+			m.previous = window{}
 		}
-		m.began = now
+		m.startedAt = now
 	}
-	m.now.add(left)
-	most := max(m.now.most, m.before.most)
-	n, near := m.now.n, m.now.near
-	if m.before.most > m.now.most+slack {
+	m.current.add(left)
+	most := max(m.current.maxRemaining, m.previous.maxRemaining)
+	n, near := m.current.attempts, m.current.nearMax
+	if m.previous.maxRemaining > m.current.maxRemaining+jitter {
 		near = 0
 	}
-	if m.before.most >= most-slack {
-		near += m.before.near
+	if m.previous.maxRemaining >= most-jitter {
+		near += m.previous.nearMax
 	}
-	n += m.before.n
-	if n < least || float64(near) < common*float64(n) || most-left < slack {
+	n += m.previous.attempts
+	if n < minAttempts || float64(near) < minNearMax*float64(n) || most-left < jitter {
 		return 0
 	}
 	return most - left
 }
 
 func (w *window) add(left time.Duration) {
-	w.n++
+	w.attempts++
 	switch {
-	case left > w.most+slack:
-		w.most, w.near = left, 1
-	case left >= w.most-slack:
-		w.most = max(w.most, left)
-		w.near++
+	case left > w.maxRemaining+jitter:
+		w.maxRemaining, w.nearMax = left, 1
+	case left >= w.maxRemaining-jitter:
+		w.maxRemaining = max(w.maxRemaining, left)
+		w.nearMax++
 	}
 }
--- a/internal/gate/steps.go
+++ b/internal/gate/steps.go
@@ -189,10 +189,10 @@
 	defer g.mu.Unlock()
 	m := g.callerAllowances[c.route.Name]
 	if m == nil {
-		m = &allowance.Meter{}
+		m = &allowance.RetryDetector{}
 		g.callerAllowances[c.route.Name] = m
 	}
-	return m.Elapsed(c.arrived, remaining)
+	return m.Observe(c.arrived, remaining)
 }
 
 // estimateOutput returns the expected number of output tokens: the caller's hint, limited to
