--- a/internal/decide/sched/choose.go
+++ b/internal/decide/sched/choose.go
@@ -99,8 +99,8 @@
 	if s.fastReserved && s.isFast(t) {
 		return
 	}
-	hit := s.cachedTokens(i)
-	score := s.expectedSeconds(now, t, w, hit)
+	cached := s.cachedTokens(i)
+	score := s.expectedSeconds(now, t, w, cached)
 	if t.slow.State() == slow.Slow || (t.prefilling > 0 && now.After(t.firstTokenDue)) {
 		score *= slowPenalty
 	}
@@ -111,7 +111,7 @@
 		Reported: t.report.Tokens,
 		Age:      now.Sub(t.report.Measured),
 		Window:   int(t.part * float64(t.window.Tokens(s.prefillRate(t)))),
-		Hit:      hit,
+		Hit:      cached,
 		Score:    score,
 	})
 }
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -15,7 +15,7 @@
 	// answers, so that the loss of the fastest target is noticed.
 	maxRateDecay = 0.9987
 	// failedSlowness is the slowness ratio recorded for a failed answer, and
-	// the limit for those of others in the average.
+	// the largest ratio counted in avgSlowness.
 	failedSlowness = 10
 	// minCompared is the shortest time used in slowness ratios. Below it, the
 	// jitter of the network and of decode steps makes the ratio meaningless.
--- a/internal/decide/sched/target.go
+++ b/internal/decide/sched/target.go
@@ -278,8 +278,8 @@
 // expectedSeconds returns how long work takes at a target: the queueing delay
 // caused by other daemons, this daemon's prefills ahead of it, its own uncached
 // prompt and its output.
-func (s *Scheduler) expectedSeconds(now time.Time, t *target, w *fireflypath.Work, hit int) float64 {
-	uncached := max(w.Cost.Prompt-hit, 0)
+func (s *Scheduler) expectedSeconds(now time.Time, t *target, w *fireflypath.Work, cached int) float64 {
+	uncached := max(w.Cost.Prompt-cached, 0)
 	queueing := max(t.speed.QueueDelay(now).Seconds(), s.othersQueueSeconds(now, t))
 	prefill := float64(t.prefillTokens+uncached) / s.prefillRate(t)
 	decode := s.expectedOutput(w) / s.decodeRate(t)
