--- a/internal/decide/allowance/allowance.go
+++ b/internal/decide/allowance/allowance.go
@@ -1,72 +1,74 @@
-// Package allowance tells how long a caller has been trying, from the time that it says it has left.
+// Package allowance infers how long a caller has been trying from the time that it still
+// allows for the request.
 //
-// It answers callers who come back after a refusal. Their answer was due long ago,
-// but each attempt looks new; taken for new, they stand before callers who can still
-// be served in time, and in an overload all are served a little too late. On drawn
-// loads of heavy days it is worth 0.002 to 0.008 of what callers are owed.
+// Callers retry after a refusal. Their answer was due long ago, but every attempt looks
+// new. Treated as new, these retries are served before callers who can still be served in
+// time, and in an overload every answer is slightly late. In simulated loads of heavy
+// days, detecting them is worth 0.002 to 0.008 of what callers are owed.
 package allowance
 
 import "time"
 
 const (
-	// span is the time after which the most that was seen is forgotten: callers'
-	// times change when operators change them.
-	span = 5 * time.Second
-	// slack is the time by which first attempts differ: the way, and connections.
-	slack = 60 * time.Millisecond
-	// least is the number of attempts, and common the part of them that must come
-	// with nearly the most, before less is taken to mean a return. Where callers'
-	// times differ by themselves, nothing is known.
-	least  = 8
-	common = 0.25
+	// windowLength bounds how long the maximum is remembered, to follow callers whose
+	// allowance is reconfigured.
+	windowLength = 5 * time.Second
+	// jitter is how much the remaining time of first attempts varies, due to network and
+	// connection setup.
+	jitter = 60 * time.Millisecond
+	// An attempt with less time is taken for a retry only after at least minAttempts
+	// attempts, of which at least the fraction minNearMax had nearly the maximum. Where
+	// allowances vary between callers, retries cannot be told apart.
+	minAttempts = 8
+	minNearMax  = 0.25
 )
 
-// Meter watches the attempts of one kind of request. The zero value has seen none.
-// It is not safe for concurrent use.
-type Meter struct {
-	now, before window
-	began       time.Time
+// RetryDetector observes the attempts of one kind of request. The zero value is ready to
+// use. It is not safe for concurrent use.
+type RetryDetector struct {
+	current, previous window
+	startedAt         time.Time
 }
 
-// window counts attempts in one span.
+// window counts the attempts within one windowLength.
 type window struct {
-	most    time.Duration
-	n, near int
+	maxRemaining      time.Duration
+	attempts, nearMax int
 }
 
-// Elapsed counts an attempt that has so much time left, and returns for how long its
-// caller has been trying: 0 for a first attempt, or where that cannot be told.
-func (m *Meter) Elapsed(now time.Time, left time.Duration) time.Duration {
-	if d := now.Sub(m.began); d >= span {
-		m.before, m.now = m.now, window{}
-		if d >= 2*span {
-			m.before = window{}
+// Observe counts an attempt with the given remaining time and returns for how long its
+// caller has been trying: 0 for a first attempt, or if that is unknown.
+func (r *RetryDetector) Observe(now time.Time, remaining time.Duration) time.Duration {
+	if elapsed := now.Sub(r.startedAt); elapsed >= windowLength {
+		r.previous, r.current = r.current, window{}
+		if elapsed >= 2*windowLength {
+			r.previous = window{}
 		}
-		m.began = now
+		r.startedAt = now
 	}
-	m.now.add(left)
-	most := max(m.now.most, m.before.most)
-	n, near := m.now.n, m.now.near
-	if m.before.most > m.now.most+slack {
-		near = 0
+	r.current.add(remaining)
+	maxRemaining := max(r.current.maxRemaining, r.previous.maxRemaining)
+	attempts, nearMax := r.current.attempts, r.current.nearMax
+	if r.previous.maxRemaining > r.current.maxRemaining+jitter {
+		nearMax = 0
 	}
-	if m.before.most >= most-slack {
-		near += m.before.near
+	if r.previous.maxRemaining >= maxRemaining-jitter {
+		nearMax += r.previous.nearMax
 	}
-	n += m.before.n
-	if n < least || float64(near) < common*float64(n) || most-left < slack {
+	attempts += r.previous.attempts
+	if attempts < minAttempts || float64(nearMax) < minNearMax*float64(attempts) || maxRemaining-remaining < jitter {
 		return 0
 	}
-	return most - left
+	return maxRemaining - remaining
 }
 
-func (w *window) add(left time.Duration) {
-	w.n++
+func (w *window) add(remaining time.Duration) {
+	w.attempts++
 	switch {
-	case left > w.most+slack:
-		w.most, w.near = left, 1
-	case left >= w.most-slack:
-		w.most = max(w.most, left)
-		w.near++
+	case remaining > w.maxRemaining+jitter:
+		w.maxRemaining, w.nearMax = remaining, 1
+	case remaining >= w.maxRemaining-jitter:
+		w.maxRemaining = max(w.maxRemaining, remaining)
+		w.nearMax++
 	}
 }
