--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,4 +1,4 @@
-// Package stall bounds the pauses of a transfer in place of its length.
+// Package stall aborts transfers that stall, instead of limiting their duration.
 package stall
 
 import (
@@ -11,52 +11,52 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ErrStalled means that no bytes came for too long.
+// ErrStalled means that no bytes arrived within a bound.
 var ErrStalled = errors.New("no bytes came for too long")
 
-// Bounds are what a transfer may take.
+// Bounds are the timeouts of a transfer.
 type Bounds struct {
-	// First is the time until the first bytes.
+	// First is the longest time until the first bytes.
 	First time.Duration
-	// Pause is the time between bytes after that.
+	// Pause is the longest time without bytes after that.
 	Pause time.Duration
-	// Whole is the time for all of it. It is far above what a live connection
-	// takes, and keeps one that gives a byte now and then from lasting for ever.
+	// Whole is the longest time for the whole transfer. It is far above what a live
+	// connection takes and ends one that delivers single bytes for ever.
 	Whole time.Duration
 }
 
-// Guard ends a transfer in which nothing moves.
+// Guard aborts a transfer that receives no bytes for too long.
 //
-// A bound on the whole of a transfer is a bound on its size: a megabyte takes a
-// second on a link of 10 Mbit/s. Given up after that second and begun anew, it
-// never arrives, while the link is full of what nobody waits for. One notices a
-// full link beside data that only grow older. A pause tells a connection that is
-// dead from one that is slow, whatever the size.
+// A timeout for a whole transfer limits its size: a megabyte takes a second on a link of
+// 10 Mbit/s. Aborted after that second and restarted, the transfer never completes, while
+// the link is full of discarded data. All that shows from outside is a busy link and data
+// that only become more outdated. A timeout for pauses distinguishes a dead connection
+// from a slow one regardless of the size.
 type Guard struct {
-	clock  clockwork.Clock
-	pause  time.Duration
-	last   time.Time
-	cancel context.CancelCauseFunc
+	clock    clockwork.Clock
+	pause    time.Duration
+	deadline time.Time
+	cancel   context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer clockwork.Timer
 }
 
-// New returns a context that ends with ErrStalled as its cause when a bound is
-// exceeded, and the guard that is told of bytes. Close must be called.
+// New returns a context that is canceled with ErrStalled as its cause when a bound is
+// exceeded, and the guard that tracks the received bytes. Close must be called.
 func New(parent context.Context, clock clockwork.Clock, b Bounds) (context.Context, *Guard) {
 	ctx, cancel := context.WithCancelCause(parent)
-	g := &Guard{clock: clock, pause: b.Pause, last: clock.Now().Add(b.Whole), cancel: cancel}
+	g := &Guard{clock: clock, pause: b.Pause, deadline: clock.Now().Add(b.Whole), cancel: cancel}
 	g.timer = clock.AfterFunc(b.First, func() { cancel(ErrStalled) })
 	return ctx, g
 }
 
-// Reader passes reads on; their bytes allow the next pause.
+// Reader returns a reader that resets the pause timeout whenever it reads bytes from r.
 func (g *Guard) Reader(r io.Reader) io.Reader {
-	return reader{r: r, g: g}
+	return reader{source: r, guard: g}
 }
 
-// Close ends the context.
+// Close stops the timer and cancels the context.
 func (g *Guard) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,22 +64,22 @@
 	g.cancel(context.Canceled)
 }
 
-func (g *Guard) moved() {
+func (g *Guard) resetTimer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.timer.Reset(max(0, min(g.pause, g.last.Sub(g.clock.Now()))))
+	g.timer.Reset(max(0, min(g.pause, g.deadline.Sub(g.clock.Now()))))
 }
 
 type reader struct {
-	r io.Reader
-	g *Guard
+	source io.Reader
+	guard  *Guard
 }
 
 // Read implements io.Reader.
 func (r reader) Read(p []byte) (int, error) {
-	n, err := r.r.Read(p)
+	n, err := r.source.Read(p)
 	if n > 0 {
-		r.g.moved()
+		r.guard.resetTimer()
 	}
 	return n, err
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -16,19 +16,20 @@
 
 var bounds = stall.Bounds{First: 2 * time.Second, Pause: time.Second, Whole: 5 * time.Second}
 
-// link gives a byte a read; each takes a while.
+// link returns one byte per read, each after a delay.
 type link struct {
 	clock *clockwork.FakeClock
-	each  time.Duration
+	delay time.Duration
 }
 
 func (l link) Read(p []byte) (int, error) {
-	l.clock.Advance(l.each)
+	l.clock.Advance(l.delay)
 	return strings.NewReader("x").Read(p)
 }
 
-// A slow link brings bytes all the while, for longer than any pause may last.
-func TestSlowTransferGoesOn(t *testing.T) {
+// A slow transfer that takes longer than the pause timeout must continue as long as bytes
+// arrive.
+func TestSlowTransferContinues(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	ctx, g := stall.New(t.Context(), clock, bounds)
@@ -39,7 +40,7 @@
 	is.NoErr(ctx.Err())
 }
 
-func TestTransferEnds(t *testing.T) {
+func TestStalledTransferIsAborted(t *testing.T) {
 	for name, fail := range map[string]func(*clockwork.FakeClock, io.Reader){
 		"nothing comes": func(clock *clockwork.FakeClock, _ io.Reader) {
 			clock.Advance(bounds.First)
@@ -67,7 +68,7 @@
 	}
 }
 
-func TestCloseEndsTheContext(t *testing.T) {
+func TestCloseCancelsContext(t *testing.T) {
 	is := is.New(t)
 	ctx, g := stall.New(t.Context(), clockwork.NewFakeClock(), bounds)
 	g.Close()
