--- a/internal/decide/keeper/keeper.go
+++ b/internal/decide/keeper/keeper.go
@@ -10,10 +10,10 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Of are up to n live daemons with the lowest hashes of their names, those that leave
+// Coordinators are up to n live daemons with the lowest hashes of their names, those that leave
 // left out. All daemons that know the same fleet choose the same ones in the same order,
 // and one that comes or goes changes no other's place before the next.
-func Of(live []fireflypath.Member, n int) []fireflypath.Member {
+func Coordinators(live []fireflypath.Member, n int) []fireflypath.Member {
 	type hashed struct {
 		hash   uint64
 		member fireflypath.Member
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -233,7 +233,7 @@
 	for i := range 3 {
 		f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
 		if i == 1 {
-			f.unreachable[keeper.Of(f.daemons[0].Live(), 1)[0].Name] = true
+			f.unreachable[keeper.Coordinators(f.daemons[0].Live(), 1)[0].Name] = true
 		}
 	}
 	f.is.True(f.stepUntil(f.allHold))
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -144,7 +144,7 @@
 	if q.deps.Members == nil {
 		return []fireflypath.Member{{Name: q.deps.Self}}
 	}
-	return keeper.Of(q.deps.Members.Live(), coordinatorCount)
+	return keeper.Coordinators(q.deps.Members.Live(), coordinatorCount)
 }
 
 // coordinatorIndex returns a daemon's index among the coordinators, or their number if it is
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -271,5 +271,5 @@
 // size of the fleet needs.
 func (q *Quotas) coordinators() []fireflypath.Member {
 	live := q.members.Live()
-	return keeper.Of(live, 1+len(live)/daemonsPerCoordinator)
+	return keeper.Coordinators(live, 1+len(live)/daemonsPerCoordinator)
 }
