--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -14,7 +14,7 @@
 	"github.com/fireflypath/fireflypath/internal/stall"
 )
 
-var bounds = stall.Bounds{First: 2 * time.Second, Pause: time.Second, Whole: 5 * time.Second}
+var bounds = stall.Timeouts{FirstByte: 2 * time.Second, Idle: time.Second, Total: 5 * time.Second}
 
 // link returns one byte per read, each after a delay.
 type link struct {
@@ -43,16 +43,16 @@
 func TestStalledTransferIsAborted(t *testing.T) {
 	for name, fail := range map[string]func(*clockwork.FakeClock, io.Reader){
 		"nothing comes": func(clock *clockwork.FakeClock, _ io.Reader) {
-			clock.Advance(bounds.First)
+			clock.Advance(bounds.FirstByte)
 		},
 		"bytes come, then no more": func(clock *clockwork.FakeClock, r io.Reader) {
 			_, _ = io.CopyN(io.Discard, r, 1)
-			clock.Advance(bounds.Pause)
+			clock.Advance(bounds.Idle)
 		},
 		"a byte now and then for ever": func(clock *clockwork.FakeClock, r io.Reader) {
 			for range 6 {
 				_, _ = io.CopyN(io.Discard, r, 1)
-				clock.Advance(bounds.Pause - time.Millisecond)
+				clock.Advance(bounds.Idle - time.Millisecond)
 			}
 		},
 	} {
