--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -11,10 +11,10 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ErrStalled means that no bytes arrived within a bound.
+// ErrStalled means that no bytes arrived before a timeout.
 var ErrStalled = errors.New("no bytes came for too long")
 
-// Timeouts are the timeouts of a transfer.
+// Timeouts are the time limits of a transfer.
 type Timeouts struct {
 	// FirstByte is the longest time until the first bytes.
 	FirstByte time.Duration
@@ -29,12 +29,12 @@
 //
 // A timeout for a whole transfer limits its size: a megabyte takes a second on a link of
 // 10 Mbit/s. Aborted after that second and restarted, the transfer never completes, while
-// the link is full of discarded data. All that shows from outside is a busy link and data
-// that only become more outdated. A timeout for pauses distinguishes a dead connection
+// the link is full of discarded data. The only visible symptoms are a busy link and data
+// that become ever more outdated. An idle timeout distinguishes a dead connection
 // from a slow one regardless of the size.
 type Watchdog struct {
 	clock    clockwork.Clock
-	pause    time.Duration
+	idle     time.Duration
 	deadline time.Time
 	cancel   context.CancelCauseFunc
 
@@ -42,44 +42,44 @@
 	timer clockwork.Timer
 }
 
-// New returns a context that is canceled with ErrStalled as its cause when a bound is
-// exceeded, and the guard that tracks the received bytes. Close must be called.
-func New(parent context.Context, clock clockwork.Clock, b Timeouts) (context.Context, *Watchdog) {
+// New returns a context that is canceled with ErrStalled as its cause when a timeout
+// expires, and the watchdog that tracks the received bytes. Close must be called.
+func New(parent context.Context, clock clockwork.Clock, timeouts Timeouts) (context.Context, *Watchdog) {
 	ctx, cancel := context.WithCancelCause(parent)
-	g := &Watchdog{clock: clock, pause: b.Idle, deadline: clock.Now().Add(b.Total), cancel: cancel}
-	g.timer = clock.AfterFunc(b.FirstByte, func() { cancel(ErrStalled) })
-	return ctx, g
+	w := &Watchdog{clock: clock, idle: timeouts.Idle, deadline: clock.Now().Add(timeouts.Total), cancel: cancel}
+	w.timer = clock.AfterFunc(timeouts.FirstByte, func() { cancel(ErrStalled) })
+	return ctx, w
 }
 
-// Reader returns a reader that resets the pause timeout whenever it reads bytes from r.
-func (g *Watchdog) Reader(r io.Reader) io.Reader {
-	return reader{source: r, guard: g}
+// Reader returns a reader that resets the idle timeout whenever it reads bytes from r.
+func (w *Watchdog) Reader(r io.Reader) io.Reader {
+	return reader{source: r, watchdog: w}
 }
 
 // Close stops the timer and cancels the context.
-func (g *Watchdog) Close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.timer.Stop()
-	g.cancel(context.Canceled)
+func (w *Watchdog) Close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer.Stop()
+	w.cancel(context.Canceled)
 }
 
-func (g *Watchdog) resetTimer() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.timer.Reset(max(0, min(g.pause, g.deadline.Sub(g.clock.Now()))))
+func (w *Watchdog) resetTimer() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer.Reset(max(0, min(w.idle, w.deadline.Sub(w.clock.Now()))))
 }
 
 type reader struct {
-	source io.Reader
-	guard  *Watchdog
+	source   io.Reader
+	watchdog *Watchdog
 }
 
 // Read implements io.Reader.
 func (r reader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p)
 	if n > 0 {
-		r.guard.resetTimer()
+		r.watchdog.resetTimer()
 	}
 	return n, err
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -14,7 +14,7 @@
 	"github.com/fireflypath/fireflypath/internal/stall"
 )
 
-var bounds = stall.Timeouts{FirstByte: 2 * time.Second, Idle: time.Second, Total: 5 * time.Second}
+var timeouts = stall.Timeouts{FirstByte: 2 * time.Second, Idle: time.Second, Total: 5 * time.Second}
 
 // link returns one byte per read, each after a delay.
 type link struct {
@@ -27,15 +27,15 @@
 	return strings.NewReader("x").Read(p)
 }
 
-// A slow transfer that takes longer than the pause timeout must continue as long as bytes
+// A slow transfer that takes longer than the idle timeout must continue as long as bytes
 // arrive.
 func TestSlowTransferContinues(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	ctx, g := stall.New(t.Context(), clock, bounds)
-	defer g.Close()
+	ctx, w := stall.New(t.Context(), clock, timeouts)
+	defer w.Close()
 	clock.Advance(1900 * time.Millisecond)
-	_, err := io.CopyN(io.Discard, g.Reader(link{clock, 900 * time.Millisecond}), 3)
+	_, err := io.CopyN(io.Discard, w.Reader(link{clock, 900 * time.Millisecond}), 3)
 	is.NoErr(err)
 	is.NoErr(ctx.Err())
 }
@@ -43,25 +43,25 @@
 func TestStalledTransferIsAborted(t *testing.T) {
 	for name, fail := range map[string]func(*clockwork.FakeClock, io.Reader){
 		"nothing comes": func(clock *clockwork.FakeClock, _ io.Reader) {
-			clock.Advance(bounds.FirstByte)
+			clock.Advance(timeouts.FirstByte)
 		},
 		"bytes come, then no more": func(clock *clockwork.FakeClock, r io.Reader) {
 			_, _ = io.CopyN(io.Discard, r, 1)
-			clock.Advance(bounds.Idle)
+			clock.Advance(timeouts.Idle)
 		},
 		"a byte now and then for ever": func(clock *clockwork.FakeClock, r io.Reader) {
 			for range 6 {
 				_, _ = io.CopyN(io.Discard, r, 1)
-				clock.Advance(bounds.Idle - time.Millisecond)
+				clock.Advance(timeouts.Idle - time.Millisecond)
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			clock := clockwork.NewFakeClock()
-			ctx, g := stall.New(t.Context(), clock, bounds)
-			defer g.Close()
-			fail(clock, g.Reader(link{clock, 0}))
+			ctx, w := stall.New(t.Context(), clock, timeouts)
+			defer w.Close()
+			fail(clock, w.Reader(link{clock, 0}))
 			<-ctx.Done()
 			is.True(errors.Is(context.Cause(ctx), stall.ErrStalled))
 		})
@@ -70,8 +70,8 @@
 
 func TestCloseCancelsContext(t *testing.T) {
 	is := is.New(t)
-	ctx, g := stall.New(t.Context(), clockwork.NewFakeClock(), bounds)
-	g.Close()
+	ctx, w := stall.New(t.Context(), clockwork.NewFakeClock(), timeouts)
+	w.Close()
 	<-ctx.Done()
 	is.True(errors.Is(context.Cause(ctx), context.Canceled))
 }
