--- a/internal/decide/keeper/keeper.go
+++ b/internal/decide/keeper/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper chooses the daemons that keep what one place of a fleet has to know.
+// Package keeper chooses the daemons that coordinate fleet-wide state.
 package keeper
 
 import (
@@ -10,24 +10,25 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Coordinators are up to n live daemons with the lowest hashes of their names, those that leave
-// left out. All daemons that know the same fleet choose the same ones in the same order,
-// and one that comes or goes changes no other's place before the next.
-func Coordinators(live []fireflypath.Member, n int) []fireflypath.Member {
-	type hashed struct {
+// Coordinators returns up to n of the given live daemons, those with the lowest hashes of
+// their names; daemons that are leaving are skipped. Daemons with the same view of the
+// fleet choose the same ones in the same order, and a daemon that joins or leaves does not
+// change the relative order of the others.
+func Coordinators(members []fireflypath.Member, n int) []fireflypath.Member {
+	type candidate struct {
 		hash   uint64
 		member fireflypath.Member
 	}
-	all := make([]hashed, 0, len(live))
-	for _, m := range live {
+	candidates := make([]candidate, 0, len(members))
+	for _, m := range members {
 		if !m.Leaving {
-			all = append(all, hashed{xxhash.Sum64String(m.Name), m})
+			candidates = append(candidates, candidate{xxhash.Sum64String(m.Name), m})
 		}
 	}
-	slices.SortFunc(all, func(a, b hashed) int { return cmp.Compare(a.hash, b.hash) })
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.hash, b.hash) })
 	out := make([]fireflypath.Member, 0, n)
-	for _, h := range all[:min(n, len(all))] {
-		out = append(out, h.member)
+	for _, c := range candidates[:min(n, len(candidates))] {
+		out = append(out, c.member)
 	}
 	return out
 }
