--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -65,8 +65,8 @@
 	metrics      *metrics
 	steps        []step
 	mu           sync.Mutex
-	// callerAllowances distinguish callers that retry from new ones, by route.
-	callerAllowances map[string]*allowance.RetryDetector
+	// retryDetectors distinguish callers that retry from new ones, by route.
+	retryDetectors map[string]*allowance.RetryDetector
 	// draining is true once a planned shutdown began.
 	draining atomic.Bool
 }
@@ -81,7 +81,7 @@
 func New(deps Deps) *Gate {
 	g := &Gate{
 		deps: deps, headers: deps.Codec.Headers(), ownedHeaders: map[string]bool{}, metrics: newMetrics(deps.Scope),
-		callerAllowances: map[string]*allowance.RetryDetector{},
+		retryDetectors: map[string]*allowance.RetryDetector{},
 	}
 	if g.deps.Quarantine == nil {
 		g.deps.Quarantine = noQuarantine{}
--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -231,8 +231,8 @@
 	return Grant{OK: ok, Wait: wait, Unconfirmed: ok && l.perTeamFractions && !confirmed}
 }
 
-// Return gives back units that a request did not use.
-func (l *Limits) Return(now time.Time, t *fireflypath.Team, n float64) {
+// Refund gives back units that a request did not use.
+func (l *Limits) Refund(now time.Time, t *fireflypath.Team, n float64) {
 	if t == nil || t.Quota == nil {
 		return
 	}
--- a/internal/gate/metrics.go
+++ b/internal/gate/metrics.go
@@ -44,7 +44,7 @@
 func (g *Gate) finish(c *call) {
 	now := g.deps.Clock.Now()
 	if c.quotaUnits > 0 && !c.mayHaveUsedQuota() {
-		g.deps.Limits.Return(now, c.team, c.quotaUnits)
+		g.deps.Limits.Refund(now, c.team, c.quotaUnits)
 	}
 	m := g.metrics.byRank[min(max(c.rank, 0), len(g.metrics.byRank)-1)]
 	m.requests.Inc(1)
--- a/internal/gate/steps.go
+++ b/internal/gate/steps.go
@@ -187,12 +187,12 @@
 func (g *Gate) estimateElapsed(c *call, remaining time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m := g.callerAllowances[c.route.Name]
-	if m == nil {
-		m = &allowance.RetryDetector{}
-		g.callerAllowances[c.route.Name] = m
+	detector := g.retryDetectors[c.route.Name]
+	if detector == nil {
+		detector = &allowance.RetryDetector{}
+		g.retryDetectors[c.route.Name] = detector
 	}
-	return m.Observe(c.arrived, remaining)
+	return detector.Observe(c.arrived, remaining)
 }
 
 // estimateOutput returns the expected number of output tokens: the caller's hint, limited to
