--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -14,21 +14,22 @@
 	"github.com/fireflypath/fireflypath/internal/stall"
 )
 
-var bounds = stall.Bounds{First: 2 * time.Second, Pause: time.Second, Whole: 5 * time.Second}
+var bounds = stall.Timeouts{FirstByte: 2 * time.Second, Idle: time.Second, Total: 5 * time.Second}
 
-// link gives a byte a read; each takes a while.
+// link returns one byte per read, each after a delay.
 type link struct {
 	clock *clockwork.FakeClock
-	each  time.Duration
+	delay time.Duration
 }
 
 func (l link) Read(p []byte) (int, error) {
-	l.clock.Advance(l.each)
+	l.clock.Advance(l.delay)
 	return strings.NewReader("x").Read(p)
 }
 
-// A slow link brings bytes all the while, for longer than any pause may last.
-func TestSlowTransferGoesOn(t *testing.T) {
+// A slow transfer that takes longer than the pause timeout must continue as long as bytes
+// arrive.
+func TestSlowTransferContinues(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	ctx, g := stall.New(t.Context(), clock, bounds)
@@ -39,19 +40,19 @@
 	is.NoErr(ctx.Err())
 }
 
-func TestTransferEnds(t *testing.T) {
+func TestStalledTransferIsAborted(t *testing.T) {
 	for name, fail := range map[string]func(*clockwork.FakeClock, io.Reader){
 		"nothing comes": func(clock *clockwork.FakeClock, _ io.Reader) {
-			clock.Advance(bounds.First)
+			clock.Advance(bounds.FirstByte)
 		},
 		"bytes come, then no more": func(clock *clockwork.FakeClock, r io.Reader) {
 			_, _ = io.CopyN(io.Discard, r, 1)
-			clock.Advance(bounds.Pause)
+			clock.Advance(bounds.Idle)
 		},
 		"a byte now and then for ever": func(clock *clockwork.FakeClock, r io.Reader) {
 			for range 6 {
 				_, _ = io.CopyN(io.Discard, r, 1)
-				clock.Advance(bounds.Pause - time.Millisecond)
+				clock.Advance(bounds.Idle - time.Millisecond)
 			}
 		},
 	} {
@@ -67,7 +68,7 @@
 	}
 }
 
-func TestCloseEndsTheContext(t *testing.T) {
+func TestCloseCancelsContext(t *testing.T) {
 	is := is.New(t)
 	ctx, g := stall.New(t.Context(), clockwork.NewFakeClock(), bounds)
 	g.Close()
