--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -290,8 +290,8 @@
 	x.sendBorrowRequests(ctx, requests)
 }
 
-// InitialShare returns the share that a pool starts with. Without it, each daemon would use whole
-// windows of a pool that the operator adds until its next step.
+// InitialShare returns the share that a pool starts with. Without it, each daemon would
+// use whole windows of a pool that the operator adds until its next step.
 func (x *Exchange) InitialShare(name string) fireflypath.Share {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -72,7 +72,7 @@
 	// SetUnlimitedTiers admits all requests of the team's highest tiers until the given time.
 	SetUnlimitedTiers(now time.Time, team string, tiers int, until time.Time)
 	// SetFraction sets the fraction of the team's quota that this daemon may grant.
-	SetFraction(now time.Time, team string, part float64)
+	SetFraction(now time.Time, team string, fraction float64)
 }
 
 // TeamUsage is a team's usage since the last report, in units, and its demand, in units
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -41,11 +41,11 @@
 	quotas *quotas.Quotas
 	quota  *fireflypath.Quota
 	spent  quotas.TeamUsage
-	// unlimitedTiers and unlimitedUntil are the last values passed to SetUnlimitedTiers, part is
+	// unlimitedTiers and unlimitedUntil are the last values passed to SetUnlimitedTiers, fraction is
 	// the last one passed to SetFraction.
 	unlimitedUntil time.Time
 	unlimitedTiers int
-	part           float64
+	fraction       float64
 }
 
 func (d *daemon) Handle(_ string, m peer.Method) { d.fleet.methods[d.name] = m }
@@ -86,7 +86,7 @@
 	d.unlimitedUntil, d.unlimitedTiers = until, tiers
 }
 
-func (d *daemon) SetFraction(_ time.Time, _ string, part float64) { d.part = part }
+func (d *daemon) SetFraction(_ time.Time, _ string, fraction float64) { d.fraction = fraction }
 
 // isUnlimited reports whether all requests of the highest tier are admitted. Unless a
 // test sets it otherwise, all demand is of this tier.
@@ -142,7 +142,7 @@
 		for _, d := range f.daemons {
 			d.spent = quotas.TeamUsage{Used: 60, Demand: quotas.Demand{200}}
 			if !d.isUnlimited() {
-				d.spent.Used = min(60, int64(d.part*d.quota.Rate*0.3))
+				d.spent.Used = min(60, int64(d.fraction*d.quota.Rate*0.3))
 			}
 		}
 		for _, d := range f.daemons {
@@ -153,7 +153,7 @@
 	sum := 0.0
 	for _, d := range f.daemons {
 		is.True(!d.isUnlimited())
-		sum += d.part
+		sum += d.fraction
 	}
 	is.True(sum <= 1.001)
 	is.True(sum > 0.8)
@@ -178,7 +178,7 @@
 	for _, d := range f.daemons {
 		is.True(d.isUnlimited())
 		is.Equal(d.unlimitedTiers, 2) // includes the middle tier, which has no demand
-		sum += d.part
+		sum += d.fraction
 	}
 	is.True(sum <= 1-0.4) // the lowest tier gets what the highest leaves over
 	is.True(sum >= 0.2)
@@ -233,7 +233,7 @@
 		for _, d := range f.daemons {
 			usage := demand / daemons * 0.3
 			if !d.isUnlimited() {
-				usage = min(usage, d.part*rate*0.3)
+				usage = min(usage, d.fraction*rate*0.3)
 			}
 			sum += usage
 			d.spent = quotas.TeamUsage{Used: int64(usage + 0.5), Demand: quotas.Demand{int64(demand / daemons)}}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -66,7 +66,7 @@
 	Levels(now time.Time) map[string]float64
 	AdoptLevels(now time.Time, levels map[string]float64)
 	SubtractRemoteUse(now time.Time, team string, n float64)
-	SetFleet(now time.Time, daemons int, part float64)
+	SetFleet(now time.Time, daemons int, fraction float64)
 	SetLargeFleet(daemons int)
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -25,14 +25,14 @@
 	sink   peer.Sink
 	up     func(fireflypath.Member)
 
-	report  fireflypath.Mate
-	used    map[string]float64
-	peers   []fireflypath.Mate
-	heard   map[string]float64
-	part    float64
-	adopted map[string]float64
-	live    []fireflypath.Member
-	missing int
+	report    fireflypath.Mate
+	used      map[string]float64
+	peers     []fireflypath.Mate
+	remoteUse map[string]float64
+	fraction  float64
+	adopted   map[string]float64
+	live      []fireflypath.Member
+	missing   int
 	// version grows with each call of Version, so that each report is read, unless idle is
 	// set.
 	version uint64
@@ -67,8 +67,8 @@
 		d.adopted = levels
 	}
 }
-func (d *daemon) SubtractRemoteUse(_ time.Time, team string, n float64) { d.heard[team] += n }
-func (d *daemon) SetFleet(_ time.Time, _ int, part float64)             { d.part = part }
+func (d *daemon) SubtractRemoteUse(_ time.Time, team string, n float64) { d.remoteUse[team] += n }
+func (d *daemon) SetFleet(_ time.Time, _ int, fraction float64)         { d.fraction = fraction }
 
 func (d *daemon) Layout() *cell.Layout {
 	if d.layout != nil {
@@ -89,7 +89,7 @@
 	}
 	var out []*daemon
 	for i := range 2 {
-		d := &daemon{name: fmt.Sprint("d", i), live: live, used: map[string]float64{}, heard: map[string]float64{}}
+		d := &daemon{name: fmt.Sprint("d", i), live: live, used: map[string]float64{}, remoteUse: map[string]float64{}}
 		d.report = fireflypath.Mate{Flights: map[string]int{}, Waits: map[string]int{}}
 		d.usage = usage.New(d.name, d, d, d, d, clock, tally.NoopScope)
 		out = append(out, d)
@@ -132,11 +132,11 @@
 	a.report.Flights = map[string]int{"t1": 3}
 	exchange(a, b)
 	is.Equal(len(b.peers), 1)
-	is.Equal(b.part, 1.0)
+	is.Equal(b.fraction, 1.0)
 	clock.Advance(3 * time.Second)
 	b.usage.Step()
 	is.Equal(len(b.peers), 0)
-	is.Equal(b.part, 0.5) // the other half of the quotas may be used by the silent daemon
+	is.Equal(b.fraction, 0.5) // the other half of the quotas may be used by the silent daemon
 }
 
 // A daemon restarts, and its usage sums start again at zero. Its usage from then on must
@@ -147,19 +147,19 @@
 	a, b := ds[0], ds[1]
 	a.used["red"] = 100
 	exchange(a, b)
-	is.Equal(b.heard["red"], 0.0) // used before b first received its sums
+	is.Equal(b.remoteUse["red"], 0.0) // used before b first received its sums
 	a.used["red"] = 150
 	exchange(a, b)
-	is.Equal(b.heard["red"], 50.0)
+	is.Equal(b.remoteUse["red"], 50.0)
 	clock.Advance(time.Second)
-	restarted := &daemon{name: "d0", live: a.live, used: map[string]float64{"red": 30}, heard: map[string]float64{}, report: a.report}
+	restarted := &daemon{name: "d0", live: a.live, used: map[string]float64{"red": 30}, remoteUse: map[string]float64{}, report: a.report}
 	restarted.usage = usage.New("d0", restarted, restarted, restarted, restarted, clock, tally.NoopScope)
 	b.up(fireflypath.Member{Name: "d0", Incarnation: 2})
 	exchange(restarted, b)
-	is.Equal(b.heard["red"], 80.0)
+	is.Equal(b.remoteUse["red"], 80.0)
 	a.used["red"] = 500
 	exchange(a, b) // a late message from before the restart
-	is.Equal(b.heard["red"], 80.0)
+	is.Equal(b.remoteUse["red"], 80.0)
 }
 
 // A daemon that starts adopts the bucket levels of the others.
