--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -257,8 +257,8 @@
 	return t
 }
 
-// SubtractRemoteUse subtracts the units of a team's quota that other daemons used.
-func (l *Limits) SubtractRemoteUse(now time.Time, name string, n float64) {
+// DeductRemoteUse subtracts the units of a team's quota that other daemons used.
+func (l *Limits) DeductRemoteUse(now time.Time, name string, n float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.teams[name]; t != nil && !l.perTeamFractions {
--- a/internal/usage/receive.go
+++ b/internal/usage/receive.go
@@ -91,7 +91,7 @@
 	u.mu.Unlock()
 	u.limits.AdoptLevels(now, in.Levels)
 	for team, n := range spent {
-		u.limits.SubtractRemoteUse(now, team, float64(n))
+		u.limits.DeductRemoteUse(now, team, float64(n))
 	}
 }
 
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -65,7 +65,7 @@
 	Used() map[string]float64
 	Levels(now time.Time) map[string]float64
 	AdoptLevels(now time.Time, levels map[string]float64)
-	SubtractRemoteUse(now time.Time, team string, n float64)
+	DeductRemoteUse(now time.Time, team string, n float64)
 	SetFleet(now time.Time, daemons int, part float64)
 	SetLargeFleet(daemons int)
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -67,8 +67,8 @@
 		d.adopted = levels
 	}
 }
-func (d *daemon) SubtractRemoteUse(_ time.Time, team string, n float64) { d.heard[team] += n }
-func (d *daemon) SetFleet(_ time.Time, _ int, part float64)             { d.part = part }
+func (d *daemon) DeductRemoteUse(_ time.Time, team string, n float64) { d.heard[team] += n }
+func (d *daemon) SetFleet(_ time.Time, _ int, part float64)           { d.part = part }
 
 func (d *daemon) Layout() *cell.Layout {
 	if d.layout != nil {
