--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -257,7 +257,7 @@
 	return t
 }
 
-// DeductRemoteUse subtracts the units of a team's quota that other daemons used.
+// DeductRemoteUse deducts the units of a team's quota that other daemons used.
 func (l *Limits) DeductRemoteUse(now time.Time, name string, n float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
