--- a/internal/decide/prefix/index.go
+++ b/internal/decide/prefix/index.go
@@ -8,12 +8,12 @@
 import "slices"
 
 const (
-	// blocks bounds the index; at about 24 bytes each it takes under 2 MB.
-	blocks = 1 << 16
-	// holders is how many targets are remembered for a block. More would only
+	// tableSize bounds the index; at about 24 bytes each it takes under 2 MB.
+	tableSize = 1 << 16
+	// maxTargets is how many targets are remembered for a block. More would only
 	// offer the choice between targets that are all warm.
-	holders = 4
-	none    = int32(-1)
+	maxTargets = 4
+	none       = int32(-1)
 )
 
 // Index maps block hashes to targets. It is a table of fixed size in which a
@@ -22,14 +22,14 @@
 // belong to one prompt only and are never asked for again; a block that was
 // found keeps its row against the first of them.
 type Index struct {
-	rows []row
+	entries []entry
 }
 
-type row struct {
+type entry struct {
 	hash    uint64
-	targets [holders]int32
-	// used is true if the block was found since another one asked for the row.
-	used bool
+	targets [maxTargets]int32
+	// recentlyFound is true if the block was found since another one asked for the row.
+	recentlyFound bool
 }
 
 // New makes an empty Index.
@@ -39,30 +39,30 @@
 
 // Store notes that a target holds the blocks.
 func (x *Index) Store(target int32, hashes []uint64) {
-	if x.rows == nil {
-		x.rows = make([]row, blocks)
+	if x.entries == nil {
+		x.entries = make([]entry, tableSize)
 	}
 	for _, h := range hashes {
-		r := &x.rows[h%blocks]
+		r := &x.entries[h%tableSize]
 		if r.hash == h {
-			r.add(target)
+			r.addTarget(target)
 			continue
 		}
-		if r.used {
-			r.used = false
+		if r.recentlyFound {
+			r.recentlyFound = false
 			continue
 		}
-		*r = row{hash: h, targets: [holders]int32{target, none, none, none}}
+		*r = entry{hash: h, targets: [maxTargets]int32{target, none, none, none}}
 	}
 }
 
-// Drop notes that a target dropped the blocks.
-func (x *Index) Drop(target int32, hashes []uint64) {
-	if x.rows == nil {
+// Remove notes that a target dropped the blocks.
+func (x *Index) Remove(target int32, hashes []uint64) {
+	if x.entries == nil {
 		return
 	}
 	for _, h := range hashes {
-		r := &x.rows[h%blocks]
+		r := &x.entries[h%tableSize]
 		if r.hash != h {
 			continue
 		}
@@ -74,31 +74,31 @@
 	}
 }
 
-// Forget removes a target from all rows, for one that was replaced.
-func (x *Index) Forget(target int32) {
-	for i := range x.rows {
-		for j := range x.rows[i].targets {
-			if x.rows[i].targets[j] == target {
-				x.rows[i].targets[j] = none
+// RemoveTarget removes a target from all rows, for one that was replaced.
+func (x *Index) RemoveTarget(target int32) {
+	for i := range x.entries {
+		for j := range x.entries[i].targets {
+			if x.entries[i].targets[j] == target {
+				x.entries[i].targets[j] = none
 			}
 		}
 	}
 }
 
-// Find appends the targets that probably hold the beginning of the prompt, and
+// Lookup appends the targets that probably hold the beginning of the prompt, and
 // for each how many blocks of it. The longest known prefix is found by halving,
 // as a prompt may have thousands of blocks; holders of half, a quarter and so on
 // follow, since one of them may be idle where the best is busy.
-func (x *Index) Find(hashes []uint64, targets []int32, depths []int) ([]int32, []int) {
-	if x.rows == nil {
+func (x *Index) Lookup(hashes []uint64, targets []int32, depths []int) ([]int32, []int) {
+	if x.entries == nil {
 		return targets, depths
 	}
-	for n := x.longest(hashes); n > 0 && len(targets) < holders; n /= 2 {
-		r := &x.rows[hashes[n-1]%blocks]
+	for n := x.longestPrefix(hashes); n > 0 && len(targets) < maxTargets; n /= 2 {
+		r := &x.entries[hashes[n-1]%tableSize]
 		if r.hash != hashes[n-1] {
 			continue
 		}
-		r.used = true
+		r.recentlyFound = true
 		for _, t := range r.targets {
 			if t != none && !slices.Contains(targets, t) {
 				targets = append(targets, t)
@@ -109,12 +109,12 @@
 	return targets, depths
 }
 
-// longest is the number of blocks of the longest known prefix.
-func (x *Index) longest(hashes []uint64) int {
+// longestPrefix is the number of blocks of the longest known prefix.
+func (x *Index) longestPrefix(hashes []uint64) int {
 	lo, hi := 0, len(hashes)
 	for lo < hi {
 		mid := (lo + hi + 1) / 2
-		if x.known(hashes[mid-1]) {
+		if x.contains(hashes[mid-1]) {
 			lo = mid
 		} else {
 			hi = mid - 1
@@ -123,8 +123,8 @@
 	return lo
 }
 
-func (x *Index) known(h uint64) bool {
-	r := &x.rows[h%blocks]
+func (x *Index) contains(h uint64) bool {
+	r := &x.entries[h%tableSize]
 	if r.hash != h {
 		return false
 	}
@@ -136,7 +136,7 @@
 	return false
 }
 
-func (r *row) add(target int32) {
+func (r *entry) addTarget(target int32) {
 	free := 0
 	for i, t := range r.targets {
 		if t == target {
@@ -147,7 +147,7 @@
 		}
 	}
 	if r.targets[free] != none {
-		copy(r.targets[1:], r.targets[:holders-1])
+		copy(r.targets[1:], r.targets[:maxTargets-1])
 		free = 0
 	}
 	r.targets[free] = target
--- a/internal/decide/prefix/index_test.go
+++ b/internal/decide/prefix/index_test.go
@@ -14,36 +14,36 @@
 	return out
 }
 
-func TestFindNamesHoldersOfShorterPrefixesToo(t *testing.T) {
+func TestLookupIncludesTargetsWithShorterPrefixes(t *testing.T) {
 	is := is.New(t)
 	x := New()
 	prompt := hashes(0, 40)
 	x.Store(1, prompt[:8])
 	x.Store(2, prompt[:32])
-	targets, depths := x.Find(prompt, nil, nil)
+	targets, depths := x.Lookup(prompt, nil, nil)
 	is.Equal(targets, []int32{2, 1})
 	is.Equal(depths, []int{32, 8})
-	x.Drop(2, prompt[:32])
-	targets, depths = x.Find(prompt, nil, nil)
+	x.Remove(2, prompt[:32])
+	targets, depths = x.Lookup(prompt, nil, nil)
 	is.Equal(targets, []int32{1})
 	is.Equal(depths, []int{8})
-	x.Forget(1)
-	targets, _ = x.Find(prompt, nil, nil)
+	x.RemoveTarget(1)
+	targets, _ = x.Lookup(prompt, nil, nil)
 	is.Equal(len(targets), 0)
 }
 
 // Every prompt has a text of its own that nobody sends again. Such blocks must
 // not push those out of the index that are asked for all the time.
-func TestSharedBlocksOutliveSingleOnes(t *testing.T) {
+func TestSharedBlocksOutliveUnsharedOnes(t *testing.T) {
 	is := is.New(t)
 	x := New()
 	shared := hashes(0, 16)
 	x.Store(1, shared)
 	for i := range uint64(200) {
-		x.Find(shared, nil, nil)
+		x.Lookup(shared, nil, nil)
 		x.Store(2, hashes(1000+i*1000, 1000))
 	}
-	targets, depths := x.Find(shared, nil, nil)
+	targets, depths := x.Lookup(shared, nil, nil)
 	is.Equal(targets[0], int32(1))
 	is.True(depths[0] >= 1)
 }
--- a/internal/decide/sched/dispatch.go
+++ b/internal/decide/sched/dispatch.go
@@ -158,7 +158,7 @@
 // findHolders looks up the targets that have the beginning of the work's prompt
 // cached.
 func (s *Scheduler) findHolders(w *fireflypath.Work) {
-	s.prefixHolders, s.prefixDepths = s.prefixIndex.Find(w.Prefix, s.prefixHolders[:0], s.prefixDepths[:0])
+	s.prefixHolders, s.prefixDepths = s.prefixIndex.Lookup(w.Prefix, s.prefixHolders[:0], s.prefixDepths[:0])
 }
 
 // dispatch removes an item from the queue, counts it as in flight at the chosen
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -46,7 +46,7 @@
 		s.targets[i].window.ObserveReport(e.Report)
 	case fireflypath.EventCache:
 		if e.Dropped {
-			s.prefixIndex.Drop(i, e.Blocks)
+			s.prefixIndex.Remove(i, e.Blocks)
 		} else {
 			s.prefixIndex.Store(i, e.Blocks)
 		}
--- a/internal/decide/sched/target.go
+++ b/internal/decide/sched/target.go
@@ -81,7 +81,7 @@
 			old.window.Reset()
 			old.slow.Reset()
 			old.leaving = false
-			s.prefixIndex.Forget(i)
+			s.prefixIndex.RemoveTarget(i)
 		}
 		old.Target = t
 		return
@@ -105,7 +105,7 @@
 		t := &s.targets[i]
 		if t.removed && t.requests == 0 && t.availablePos == none {
 			delete(s.targetIndex, t.Name)
-			s.prefixIndex.Forget(int32(i))
+			s.prefixIndex.RemoveTarget(int32(i))
 			return int32(i)
 		}
 	}
