--- a/internal/decide/prefix/index_test.go
+++ b/internal/decide/prefix/index_test.go
@@ -32,8 +32,8 @@
 	is.Equal(len(targets), 0)
 }
 
-// Every prompt has a text of its own that nobody sends again. Such blocks must
-// not push those out of the index that are asked for all the time.
+// Every prompt has blocks that no other prompt shares. They must not displace shared
+// blocks that are looked up all the time.
 func TestSharedBlocksOutliveUnsharedOnes(t *testing.T) {
 	is := is.New(t)
 	x := New()
