--- a/internal/decide/rate/meter.go
+++ b/internal/decide/rate/meter.go
@@ -12,42 +12,42 @@
 
 // Meter is a decayed sum of amounts over time.
 type Meter struct {
-	// Horizon is the time in which an amount fades to a third.
-	Horizon time.Duration
-	sum     float64
-	span    float64
-	at      time.Time
+	// TimeConstant is the time in which an amount fades to a third.
+	TimeConstant time.Duration
+	sum          float64
+	observed     float64
+	updatedAt    time.Time
 }
 
 // Add books an amount at a time.
 func (m *Meter) Add(now time.Time, n int) {
-	m.Pass(now, true)
+	m.Advance(now, true)
 	m.sum += float64(n)
 }
 
-// Pass lets time go by; time that does not count (an idle queue) is left out.
-func (m *Meter) Pass(now time.Time, counts bool) {
-	if m.at.IsZero() {
-		m.at = now
+// Advance lets time go by; time that does not count (an idle queue) is left out.
+func (m *Meter) Advance(now time.Time, counts bool) {
+	if m.updatedAt.IsZero() {
+		m.updatedAt = now
 		return
 	}
-	d := now.Sub(m.at).Seconds()
+	d := now.Sub(m.updatedAt).Seconds()
 	if d <= 0 {
 		return
 	}
-	m.at = now
+	m.updatedAt = now
 	if !counts {
 		return
 	}
-	f := math.Exp(-d / m.Horizon.Seconds())
+	f := math.Exp(-d / m.TimeConstant.Seconds())
 	m.sum *= f
-	m.span = m.span*f + d
+	m.observed = m.observed*f + d
 }
 
 // Rate is the amount a second, 0 if less than half a second was measured.
 func (m *Meter) Rate() float64 {
-	if m.span < 0.5 {
+	if m.observed < 0.5 {
 		return 0
 	}
-	return m.sum / m.span
+	return m.sum / m.observed
 }
--- a/internal/decide/reserve/reserve.go
+++ b/internal/decide/reserve/reserve.go
@@ -37,7 +37,7 @@
 func New() *Reserve {
 	r := &Reserve{}
 	for i := range r.arrivals {
-		r.arrivals[i].Horizon = horizon
+		r.arrivals[i].TimeConstant = horizon
 	}
 	return r
 }
@@ -65,7 +65,7 @@
 func (r *Reserve) Above(now time.Time, rank int) float64 {
 	keep := 0.0
 	for i := range rank {
-		r.arrivals[i].Pass(now, true)
+		r.arrivals[i].Advance(now, true)
 		need := r.arrivals[i].Rate() * r.hold[i]
 		keep += max(need+spread*math.Sqrt(need)-float64(r.running[i]), 0)
 	}
--- a/internal/decide/sched/admit.go
+++ b/internal/decide/sched/admit.go
@@ -37,7 +37,7 @@
 	if _, ok := s.slotOf[w]; ok {
 		return out
 	}
-	s.drainRate.Pass(now, s.queue.Len() > 0)
+	s.drainRate.Advance(now, s.queue.Len() > 0)
 	r := rankOf(w)
 	s.cfg.LowestRank = max(s.cfg.LowestRank, r)
 	if w.Early {
@@ -85,7 +85,7 @@
 	}
 	switch s.items[slot].phase {
 	case phaseWaiting:
-		s.drainRate.Pass(now, true)
+		s.drainRate.Advance(now, true)
 		s.removeWaiting(slot)
 		s.freeSlot(slot)
 		return true
--- a/internal/decide/sched/dispatch.go
+++ b/internal/decide/sched/dispatch.go
@@ -25,7 +25,7 @@
 // Next chooses the next work to dispatch and its target, and counts the work as
 // in flight.
 func (s *Scheduler) Next(now time.Time, p *fireflypath.Placement) bool {
-	s.drainRate.Pass(now, s.queue.Len() > 0)
+	s.drainRate.Advance(now, s.queue.Len() > 0)
 	if len(s.ejected) > 0 {
 		s.openForProbing(now)
 	}
--- a/internal/decide/sched/expire.go
+++ b/internal/decide/sched/expire.go
@@ -20,7 +20,7 @@
 
 // Expire appends to out the waiting work that can no longer meet its deadline.
 func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
-	s.drainRate.Pass(now, s.queue.Len() > 0)
+	s.drainRate.Advance(now, s.queue.Len() > 0)
 	for len(s.startHeap) > 0 && !s.items[s.startHeap[0]].latestStart.After(now) {
 		slot := s.startHeap[0]
 		latest := s.latestStart(s.items[slot].work)
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -175,12 +175,12 @@
 		slotOf:       make(map[*fireflypath.Work]int32),
 		targetIndex:  make(map[string]int32),
 		share:        fireflypath.Share{Default: 1},
-		drainRate:    rate.Meter{Horizon: rateHorizon},
+		drainRate:    rate.Meter{TimeConstant: rateHorizon},
 		outputRatio:  1,
 		avgSlowness:  1,
 	}
 	for i := range s.arrivalRates {
-		s.arrivalRates[i].Horizon = rateHorizon
+		s.arrivalRates[i].TimeConstant = rateHorizon
 	}
 	s.SetTargets(time.Time{}, cfg.Targets)
 	return s
--- a/internal/decide/slots/refuse.go
+++ b/internal/decide/slots/refuse.go
@@ -72,7 +72,7 @@
 		}
 	}
 	for r := range min(w.Rank+1, len(s.arrivals)) {
-		s.arrivals[r].Pass(now, true)
+		s.arrivals[r].Advance(now, true)
 		arrivalRate += s.arrivals[r].Rate()
 	}
 	spare := max(rate-arrivalRate, minSpareFraction*rate)
--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -89,10 +89,10 @@
 	s := &Scheduler{
 		pool: pool, seed: seed, tuning: tuning, share: fireflypath.Share{Default: 1},
 		targets: map[string]*target{}, inFlight: map[*fireflypath.Work]dispatched{},
-		completions: rate.Meter{Horizon: rateHorizon}, floor: floor.New(tuning.MinServedRatio),
+		completions: rate.Meter{TimeConstant: rateHorizon}, floor: floor.New(tuning.MinServedRatio),
 	}
 	for i := range s.arrivals {
-		s.arrivals[i].Horizon = rateHorizon
+		s.arrivals[i].TimeConstant = rateHorizon
 	}
 	return s
 }
@@ -102,7 +102,7 @@
 	s.lowestRank = max(s.lowestRank, w.Rank)
 	s.arrivals[min(max(w.Rank, 0), numTiers-1)].Add(now, 1)
 	s.floor.CountOffered(now, w.Rank)
-	s.completions.Pass(now, len(s.waiting) > 0)
+	s.completions.Advance(now, len(s.waiting) > 0)
 	wait, known := s.expectedWait(now, w)
 	if known && wait > time.Duration(s.tuning.MaxWaitFraction*float64(leavesAt(w).Sub(now))) && !s.admitStarved(now, w) {
 		return append(out, s.shed(now, w, fmt.Sprintf("turn expected in %v", wait.Round(time.Millisecond))))
--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -143,7 +143,7 @@
 		used := int64(t.bucket.Used())
 		usage := quotas.TeamUsage{Used: used - t.reportedUse}
 		for i := range t.demand {
-			t.demand[i].Pass(now, true)
+			t.demand[i].Advance(now, true)
 			usage.Demand[i] = int64(t.demand[i].Rate())
 		}
 		out[name] = usage
@@ -247,7 +247,7 @@
 	if t == nil {
 		t = &team{quota: *q, bucket: quota.New(now, *q, l.config.Quotas, l.fraction), created: now}
 		for i := range t.demand {
-			t.demand[i].Horizon = demandWindow
+			t.demand[i].TimeConstant = demandWindow
 		}
 		l.teams[name] = t
 	} else if t.quota != *q {
