--- a/internal/decide/rate/meter.go
+++ b/internal/decide/rate/meter.go
@@ -1,8 +1,7 @@
-// Package rate measures tokens a second over the last seconds.
+// Package rate measures tokens per second over the last seconds.
 //
-// It answers the question when room is expected. A retry-after that is a fixed
-// figure is untrue under any load but one: callers come back into a full queue,
-// or stay away from an empty one.
+// It is used to predict when there will be room. A fixed Retry-After is right for one load
+// only: with others, callers come back to a full queue or stay away from an empty one.
 package rate
 
 import (
@@ -10,41 +9,42 @@
 	"time"
 )
 
-// Meter is a decayed sum of amounts over time.
+// Meter is an exponentially decaying sum of amounts.
 type Meter struct {
-	// TimeConstant is the time in which an amount fades to a third.
+	// TimeConstant is the time in which an amount decays to about a third (1/e).
 	TimeConstant time.Duration
 	sum          float64
 	observed     float64
 	updatedAt    time.Time
 }
 
-// Add books an amount at a time.
-func (m *Meter) Add(now time.Time, n int) {
+// Add adds an amount at a time.
+func (m *Meter) Add(now time.Time, amount int) {
 	m.Advance(now, true)
-	m.sum += float64(n)
+	m.sum += float64(amount)
 }
 
-// Advance lets time go by; time that does not count (an idle queue) is left out.
+// Advance moves time forward. Time that does not count, such as that of an idle queue, is
+// skipped.
 func (m *Meter) Advance(now time.Time, counts bool) {
 	if m.updatedAt.IsZero() {
 		m.updatedAt = now
 		return
 	}
-	d := now.Sub(m.updatedAt).Seconds()
-	if d <= 0 {
+	elapsed := now.Sub(m.updatedAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
 	m.updatedAt = now
 	if !counts {
 		return
 	}
-	f := math.Exp(-d / m.TimeConstant.Seconds())
-	m.sum *= f
-	m.observed = m.observed*f + d
+	decay := math.Exp(-elapsed / m.TimeConstant.Seconds())
+	m.sum *= decay
+	m.observed = m.observed*decay + elapsed
 }
 
-// Rate is the amount a second, 0 if less than half a second was measured.
+// Rate is the amount per second, or 0 if less than half a second was observed.
 func (m *Meter) Rate() float64 {
 	if m.observed < 0.5 {
 		return 0
