--- a/internal/decide/sched/dispatch.go
+++ b/internal/decide/sched/dispatch.go
@@ -25,7 +25,7 @@
 // Next chooses the next work to dispatch and its target, and counts the work as
 // in flight.
 func (s *Scheduler) Next(now time.Time, p *fireflypath.Placement) bool {
-	s.drainRate.Pass(now, s.queue.Len() > 0)
+	s.drainRate.Advance(now, s.queue.Len() > 0)
 	if len(s.ejected) > 0 {
 		s.openForProbing(now)
 	}
@@ -158,7 +158,7 @@
 // findHolders looks up the targets that have the beginning of the work's prompt
 // cached.
 func (s *Scheduler) findHolders(w *fireflypath.Work) {
-	s.prefixHolders, s.prefixDepths = s.prefixIndex.Find(w.Prefix, s.prefixHolders[:0], s.prefixDepths[:0])
+	s.prefixHolders, s.prefixDepths = s.prefixIndex.Lookup(w.Prefix, s.prefixHolders[:0], s.prefixDepths[:0])
 }
 
 // dispatch removes an item from the queue, counts it as in flight at the chosen
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -15,7 +15,7 @@
 	// answers, so that the loss of the fastest target is noticed.
 	maxRateDecay = 0.9987
 	// failedSlowness is the slowness ratio recorded for a failed answer, and
-	// the limit for those of others in the average.
+	// the largest ratio counted in avgSlowness.
 	failedSlowness = 10
 	// minCompared is the shortest time used in slowness ratios. Below it, the
 	// jitter of the network and of decode steps makes the ratio meaningless.
@@ -46,7 +46,7 @@
 		s.targets[i].window.ObserveReport(e.Report)
 	case fireflypath.EventCache:
 		if e.Dropped {
-			s.prefixIndex.Drop(i, e.Blocks)
+			s.prefixIndex.Remove(i, e.Blocks)
 		} else {
 			s.prefixIndex.Store(i, e.Blocks)
 		}
--- a/internal/gate/limits/limits.go
+++ b/internal/gate/limits/limits.go
@@ -94,7 +94,7 @@
 	}
 	l.fraction, l.perTeamFractions = fraction, false
 	for _, t := range l.teams {
-		t.bucket.SetPart(now, fraction)
+		t.bucket.SetFraction(now, fraction)
 	}
 }
 
@@ -112,7 +112,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.teams[name]; t != nil {
-		t.bucket.SetPart(now, fraction)
+		t.bucket.SetFraction(now, fraction)
 	}
 }
 
@@ -128,7 +128,7 @@
 		return
 	}
 	if tiers < quotas.Tiers && t.unlimitedTiers == quotas.Tiers && now.Before(t.unlimitedUntil) {
-		t.bucket.Adopt(now, 0)
+		t.bucket.SetLevel(now, 0)
 	}
 	t.unlimitedTiers, t.unlimitedUntil = tiers, until
 }
@@ -143,7 +143,7 @@
 		used := int64(t.bucket.Used())
 		usage := quotas.TeamUsage{Used: used - t.reportedUse}
 		for i := range t.demand {
-			t.demand[i].Pass(now, true)
+			t.demand[i].Advance(now, true)
 			usage.Demand[i] = int64(t.demand[i].Rate())
 		}
 		out[name] = usage
@@ -197,7 +197,7 @@
 			continue
 		}
 		t.adopted = true
-		t.bucket.Adopt(now, level)
+		t.bucket.SetLevel(now, level)
 	}
 }
 
@@ -224,21 +224,21 @@
 	team.demand[tier].Add(now, int(n))
 	confirmed := now.Before(team.unlimitedUntil)
 	if l.perTeamFractions && tier < team.unlimitedTiers && confirmed {
-		team.bucket.Spend(now, n)
+		team.bucket.AddUse(now, n)
 		return Grant{OK: true}
 	}
 	wait, ok := team.bucket.Take(now, n, below)
 	return Grant{OK: ok, Wait: wait, Unconfirmed: ok && l.perTeamFractions && !confirmed}
 }
 
-// Return gives back units that a request did not use.
-func (l *Limits) Return(now time.Time, t *fireflypath.Team, n float64) {
+// Refund gives back units that a request did not use.
+func (l *Limits) Refund(now time.Time, t *fireflypath.Team, n float64) {
 	if t == nil || t.Quota == nil {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.team(now, t.Name, t.Quota).bucket.Return(now, n)
+	l.team(now, t.Name, t.Quota).bucket.Refund(now, n)
 }
 
 // team returns the team's state with the given quota in force. The caller holds mu.
@@ -247,22 +247,22 @@
 	if t == nil {
 		t = &team{quota: *q, bucket: quota.New(now, *q, l.config.Quotas, l.fraction), created: now}
 		for i := range t.demand {
-			t.demand[i].Horizon = demandWindow
+			t.demand[i].TimeConstant = demandWindow
 		}
 		l.teams[name] = t
 	} else if t.quota != *q {
 		t.quota = *q
-		t.bucket.Set(now, *q)
+		t.bucket.SetQuota(now, *q)
 	}
 	return t
 }
 
-// SubtractRemoteUse subtracts the units of a team's quota that other daemons used.
-func (l *Limits) SubtractRemoteUse(now time.Time, name string, n float64) {
+// DeductRemoteUse deducts the units of a team's quota that other daemons used.
+func (l *Limits) DeductRemoteUse(now time.Time, name string, n float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.teams[name]; t != nil && !l.perTeamFractions {
-		t.bucket.Heard(now, n)
+		t.bucket.DeductRemoteUse(now, n)
 	}
 }
 
@@ -282,7 +282,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markStarted(now)
-	l.pool(pool).Request(now)
+	l.pool(pool).CountRequest(now)
 }
 
 // markStarted records the start time on the first call.
@@ -308,7 +308,7 @@
 func (l *Limits) TakeRetry(now time.Time, pool string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.pool(pool).Repeat(now, l.allowance(now))
+	return l.pool(pool).TryRetry(now, l.allowance(now))
 }
 
 // pool returns the pool's retry budget. The caller holds mu.
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,4 +1,4 @@
-// Package stall bounds the pauses of a transfer in place of its length.
+// Package stall aborts transfers that stall, instead of limiting their duration.
 package stall
 
 import (
@@ -11,75 +11,75 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// ErrStalled means that no bytes came for too long.
+// ErrStalled means that no bytes arrived before a timeout.
 var ErrStalled = errors.New("no bytes came for too long")
 
-// Bounds are what a transfer may take.
-type Bounds struct {
-	// First is the time until the first bytes.
-	First time.Duration
-	// Pause is the time between bytes after that.
-	Pause time.Duration
-	// Whole is the time for all of it. It is far above what a live connection
-	// takes, and keeps one that gives a byte now and then from lasting for ever.
-	Whole time.Duration
+// Timeouts are the time limits of a transfer.
+type Timeouts struct {
+	// FirstByte is the longest time until the first bytes.
+	FirstByte time.Duration
+	// Idle is the longest time without bytes after that.
+	Idle time.Duration
+	// Total is the longest time for the whole transfer. It is far above what a live
+	// connection takes and ends one that delivers single bytes for ever.
+	Total time.Duration
 }
 
-// Guard ends a transfer in which nothing moves.
+// Watchdog aborts a transfer that receives no bytes for too long.
 //
-// A bound on the whole of a transfer is a bound on its size: a megabyte takes a
-// second on a link of 10 Mbit/s. Given up after that second and begun anew, it
-// never arrives, while the link is full of what nobody waits for. One notices a
-// full link beside data that only grow older. A pause tells a connection that is
-// dead from one that is slow, whatever the size.
-type Guard struct {
-	clock  clockwork.Clock
-	pause  time.Duration
-	last   time.Time
-	cancel context.CancelCauseFunc
+// A timeout for a whole transfer limits its size: a megabyte takes a second on a link of
+// 10 Mbit/s. Aborted after that second and restarted, the transfer never completes, while
+// the link is full of discarded data. The only visible symptoms are a busy link and data
+// that become ever more outdated. An idle timeout distinguishes a dead connection
+// from a slow one regardless of the size.
+type Watchdog struct {
+	clock    clockwork.Clock
+	idle     time.Duration
+	deadline time.Time
+	cancel   context.CancelCauseFunc
 
 	mu    sync.Mutex
 	timer clockwork.Timer
 }
 
-// New returns a context that ends with ErrStalled as its cause when a bound is
-// exceeded, and the guard that is told of bytes. Close must be called.
-func New(parent context.Context, clock clockwork.Clock, b Bounds) (context.Context, *Guard) {
+// New returns a context that is canceled with ErrStalled as its cause when a timeout
+// expires, and the watchdog that tracks the received bytes. Close must be called.
+func New(parent context.Context, clock clockwork.Clock, timeouts Timeouts) (context.Context, *Watchdog) {
 	ctx, cancel := context.WithCancelCause(parent)
-	g := &Guard{clock: clock, pause: b.Pause, last: clock.Now().Add(b.Whole), cancel: cancel}
-	g.timer = clock.AfterFunc(b.First, func() { cancel(ErrStalled) })
-	return ctx, g
+	w := &Watchdog{clock: clock, idle: timeouts.Idle, deadline: clock.Now().Add(timeouts.Total), cancel: cancel}
+	w.timer = clock.AfterFunc(timeouts.FirstByte, func() { cancel(ErrStalled) })
+	return ctx, w
 }
 
-// Reader passes reads on; their bytes allow the next pause.
-func (g *Guard) Reader(r io.Reader) io.Reader {
-	return reader{r: r, g: g}
+// Reader returns a reader that resets the idle timeout whenever it reads bytes from r.
+func (w *Watchdog) Reader(r io.Reader) io.Reader {
+	return reader{source: r, watchdog: w}
 }
 
-// Close ends the context.
-func (g *Guard) Close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.timer.Stop()
-	g.cancel(context.Canceled)
+// Close stops the timer and cancels the context.
+func (w *Watchdog) Close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer.Stop()
+	w.cancel(context.Canceled)
 }
 
-func (g *Guard) moved() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.timer.Reset(max(0, min(g.pause, g.last.Sub(g.clock.Now()))))
+func (w *Watchdog) resetTimer() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer.Reset(max(0, min(w.idle, w.deadline.Sub(w.clock.Now()))))
 }
 
 type reader struct {
-	r io.Reader
-	g *Guard
+	source   io.Reader
+	watchdog *Watchdog
 }
 
 // Read implements io.Reader.
 func (r reader) Read(p []byte) (int, error) {
-	n, err := r.r.Read(p)
+	n, err := r.source.Read(p)
 	if n > 0 {
-		r.g.moved()
+		r.watchdog.resetTimer()
 	}
 	return n, err
 }
