--- a/internal/decide/reserve/reserve.go
+++ b/internal/decide/reserve/reserve.go
@@ -15,59 +15,59 @@
 )
 
 const (
-	// horizon is how long arrivals are counted: a few times the longest run of
+	// arrivalWindow is how long arrivals are counted: a few times the longest run of
 	// short work.
-	horizon = 10 * time.Second
-	// smooth weighs a new holding time: about fifty requests.
-	smooth = 0.02
-	// spread is how many deviations of the number in flight are kept free; one
+	arrivalWindow = 10 * time.Second
+	// holdSmoothing weighs a new holding time: about fifty requests.
+	holdSmoothing = 0.02
+	// deviations is how many deviations of the number in flight are kept free; one
 	// covers five of six moments of Poisson arrivals.
-	spread = 1
+	deviations = 1
 )
 
 // Reserve reckons the slots that each tier needs by Little's law: arrivals a
 // second times the time that a request holds a slot.
 type Reserve struct {
-	arrivals [fair.Ranks]rate.Meter
-	hold     [fair.Ranks]float64
-	running  [fair.Ranks]int
+	arrivals    [fair.Ranks]rate.Meter
+	holdSeconds [fair.Ranks]float64
+	running     [fair.Ranks]int
 }
 
 // New makes a Reserve that keeps nothing free yet.
 func New() *Reserve {
 	r := &Reserve{}
 	for i := range r.arrivals {
-		r.arrivals[i].TimeConstant = horizon
+		r.arrivals[i].TimeConstant = arrivalWindow
 	}
 	return r
 }
 
-// Arrive counts a request.
-func (r *Reserve) Arrive(now time.Time, rank int) {
+// RecordArrival counts a request.
+func (r *Reserve) RecordArrival(now time.Time, rank int) {
 	r.arrivals[rank].Add(now, 1)
 }
 
-// Start counts a request that takes a slot.
-func (r *Reserve) Start(rank int) {
+// RecordStart counts a request that takes a slot.
+func (r *Reserve) RecordStart(rank int) {
 	r.running[rank]++
 }
 
-// End counts a request that gives its slot back.
-func (r *Reserve) End(rank int, held time.Duration) {
+// RecordEnd counts a request that gives its slot back.
+func (r *Reserve) RecordEnd(rank int, held time.Duration) {
 	r.running[rank]--
-	if r.hold[rank] == 0 {
-		r.hold[rank] = held.Seconds()
+	if r.holdSeconds[rank] == 0 {
+		r.holdSeconds[rank] = held.Seconds()
 	}
-	r.hold[rank] += smooth * (held.Seconds() - r.hold[rank])
+	r.holdSeconds[rank] += holdSmoothing * (held.Seconds() - r.holdSeconds[rank])
 }
 
-// Above is the number of slots to keep free for the tiers above a rank.
-func (r *Reserve) Above(now time.Time, rank int) float64 {
+// SlotsAbove is the number of slots to keep free for the tiers above a rank.
+func (r *Reserve) SlotsAbove(now time.Time, rank int) float64 {
 	keep := 0.0
 	for i := range rank {
 		r.arrivals[i].Advance(now, true)
-		need := r.arrivals[i].Rate() * r.hold[i]
-		keep += max(need+spread*math.Sqrt(need)-float64(r.running[i]), 0)
+		need := r.arrivals[i].Rate() * r.holdSeconds[i]
+		keep += max(need+deviations*math.Sqrt(need)-float64(r.running[i]), 0)
 	}
 	return keep
 }
--- a/internal/decide/sched/admit.go
+++ b/internal/decide/sched/admit.go
@@ -44,7 +44,7 @@
 		s.damper.Early(now, w.Team)
 	}
 	s.arrivalRates[r].Add(now, w.Cost.Tokens())
-	s.reserve.Arrive(now, r)
+	s.reserve.RecordArrival(now, r)
 	expected := s.minDuration(w)
 	latest := s.latestStart(w)
 	if latest.Before(now) {
--- a/internal/decide/sched/dispatch.go
+++ b/internal/decide/sched/dispatch.go
@@ -50,7 +50,7 @@
 	if s.inFlight == 0 {
 		return false
 	}
-	return float64(s.fastSlots-s.fastBusy) <= s.reserve.Above(now, r)
+	return float64(s.fastSlots-s.fastBusy) <= s.reserve.SlotsAbove(now, r)
 }
 
 // nextOfRank dispatches the first work of a tier that an available target can
--- a/internal/decide/sched/in_flight.go
+++ b/internal/decide/sched/in_flight.go
@@ -29,7 +29,7 @@
 	}
 	s.avgUncached += averageWeight * (float64(it.uncached) - s.avgUncached)
 	s.inFlight++
-	s.reserve.Start(rankOf(w))
+	s.reserve.RecordStart(rankOf(w))
 	s.inFlightTokens[rankOf(w)] += w.Cost.Tokens()
 	s.inFlightByRank[rankOf(w)]++
 	s.drainRate.Add(now, w.Cost.Tokens())
@@ -66,7 +66,7 @@
 		s.endPrefill(now, it, t)
 	}
 	s.inFlight--
-	s.reserve.End(rankOf(it.work), now.Sub(it.dispatchedAt))
+	s.reserve.RecordEnd(rankOf(it.work), now.Sub(it.dispatchedAt))
 	s.inFlightTokens[rankOf(it.work)] -= it.work.Cost.Tokens()
 	s.inFlightByRank[rankOf(it.work)]--
 	s.updateAvailability(it.target)
