--- a/internal/decide/reserve/reserve.go
+++ b/internal/decide/reserve/reserve.go
@@ -1,9 +1,9 @@
-// Package reserve keeps room at the targets for tiers whose work comes and goes.
+// Package reserve keeps slots free at the targets for tiers with intermittent load.
 //
-// It answers long work of a low tier under a high tier that arrives in bits.
-// Whenever the high tier has nothing waiting, a strict order alone gives every
-// free slot to lower work, which may hold it for half a minute; the next
-// requests of the high tier then wait for slots while lower work runs.
+// It prevents long requests of a low tier from delaying a high tier that arrives in
+// bursts. Whenever the high tier has nothing waiting, strict priority alone gives every
+// free slot to lower tiers, which may occupy it for half a minute, and the next high-tier
+// requests wait for slots.
 package reserve
 
 import (
@@ -15,25 +15,26 @@
 )
 
 const (
-	// arrivalWindow is how long arrivals are counted: a few times the longest run of
-	// short work.
+	// arrivalWindow is the time constant of the arrival rates: a few times the longest run
+	// of short requests.
 	arrivalWindow = 10 * time.Second
-	// holdSmoothing weighs a new holding time: about fifty requests.
+	// holdSmoothing is the weight of a new hold time in the average, which covers about
+	// fifty requests.
 	holdSmoothing = 0.02
-	// deviations is how many deviations of the number in flight are kept free; one
-	// covers five of six moments of Poisson arrivals.
+	// deviations is how many standard deviations of the number in flight are kept free;
+	// one is enough for Poisson arrivals five times out of six.
 	deviations = 1
 )
 
-// Reserve reckons the slots that each tier needs by Little's law: arrivals a
-// second times the time that a request holds a slot.
+// Reserve estimates the slots that each tier needs by Little's law: arrivals per second
+// times the time for which a request holds a slot.
 type Reserve struct {
 	arrivals    [fair.Ranks]rate.Meter
 	holdSeconds [fair.Ranks]float64
 	running     [fair.Ranks]int
 }
 
-// New makes a Reserve that keeps nothing free yet.
+// New returns a Reserve that keeps no slots free yet.
 func New() *Reserve {
 	r := &Reserve{}
 	for i := range r.arrivals {
@@ -42,7 +43,7 @@
 	return r
 }
 
-// RecordArrival counts a request.
+// RecordArrival counts an arriving request.
 func (r *Reserve) RecordArrival(now time.Time, rank int) {
 	r.arrivals[rank].Add(now, 1)
 }
@@ -52,7 +53,7 @@
 	r.running[rank]++
 }
 
-// RecordEnd counts a request that gives its slot back.
+// RecordEnd counts a request that releases its slot.
 func (r *Reserve) RecordEnd(rank int, held time.Duration) {
 	r.running[rank]--
 	if r.holdSeconds[rank] == 0 {
@@ -61,13 +62,13 @@
 	r.holdSeconds[rank] += holdSmoothing * (held.Seconds() - r.holdSeconds[rank])
 }
 
-// SlotsAbove is the number of slots to keep free for the tiers above a rank.
+// SlotsAbove is the number of slots to keep free for tiers above a rank.
 func (r *Reserve) SlotsAbove(now time.Time, rank int) float64 {
-	keep := 0.0
+	slots := 0.0
 	for i := range rank {
 		r.arrivals[i].Advance(now, true)
 		need := r.arrivals[i].Rate() * r.holdSeconds[i]
-		keep += max(need+deviations*math.Sqrt(need)-float64(r.running[i]), 0)
+		slots += max(need+deviations*math.Sqrt(need)-float64(r.running[i]), 0)
 	}
-	return keep
+	return slots
 }
