--- a/internal/decide/retry/damper.go
+++ b/internal/decide/retry/damper.go
@@ -8,57 +8,57 @@
 import "time"
 
 const (
-	// limit bounds the teams that are counted, 64 bytes each.
-	limit = 1024
-	// quiet is how long a team must come back on time to be forgotten.
-	quiet = 10 * time.Second
-	// steps bounds the doubling of the time a caller is told.
-	steps = 4
+	// maxTeams bounds the teams that are counted, 64 bytes each.
+	maxTeams = 1024
+	// resetAfter is how long a team must come back on time to be forgotten.
+	resetAfter = 10 * time.Second
+	// maxDoublings bounds the doubling of the time a caller is told.
+	maxDoublings = 4
 )
 
-// Damper counts early returns by team. It never delays an answer: a damped
+// Backoff counts early returns by team. It never delays an answer: a damped
 // caller is refused at once, with a longer time.
-type Damper struct {
-	teams map[string]count
+type Backoff struct {
+	teams map[string]earlyCount
 	total int
 }
 
-type count struct {
-	early int
-	last  time.Time
+type earlyCount struct {
+	retries int
+	last    time.Time
 }
 
 // New makes an empty Damper.
-func New() *Damper {
-	return &Damper{teams: make(map[string]count)}
+func New() *Backoff {
+	return &Backoff{teams: make(map[string]earlyCount)}
 }
 
-// Early counts a return before its time.
-func (d *Damper) Early(now time.Time, team string) {
+// RecordEarly counts a return before its time.
+func (d *Backoff) RecordEarly(now time.Time, team string) {
 	d.total++
 	c, ok := d.teams[team]
-	if !ok && len(d.teams) >= limit {
+	if !ok && len(d.teams) >= maxTeams {
 		clear(d.teams)
 	}
-	if now.Sub(c.last) > quiet {
-		c.early = 0
+	if now.Sub(c.last) > resetAfter {
+		c.retries = 0
 	}
-	d.teams[team] = count{early: c.early + 1, last: now}
+	d.teams[team] = earlyCount{retries: c.retries + 1, last: now}
 }
 
-// Stretch lengthens the time that a team is told, doubling it for each tenfold
+// Extend lengthens the time that a team is told, doubling it for each tenfold
 // of early returns.
-func (d *Damper) Stretch(now time.Time, team string, after time.Duration) time.Duration {
+func (d *Backoff) Extend(now time.Time, team string, after time.Duration) time.Duration {
 	c, ok := d.teams[team]
-	if !ok || now.Sub(c.last) > quiet {
+	if !ok || now.Sub(c.last) > resetAfter {
 		return after
 	}
 	n := 0
-	for e := c.early; e >= 10 && n < steps; e /= 10 {
+	for e := c.retries; e >= 10 && n < maxDoublings; e /= 10 {
 		n++
 	}
 	return after << n
 }
 
-// Total is the number of early returns.
-func (d *Damper) Total() int { return d.total }
+// EarlyRetries is the number of early returns.
+func (d *Backoff) EarlyRetries() int { return d.total }
--- a/internal/decide/retry/damper_test.go
+++ b/internal/decide/retry/damper_test.go
@@ -8,25 +8,25 @@
 	"github.com/matryer/is"
 )
 
-func TestStretchDoublesWithTenfoldReturns(t *testing.T) {
+func TestExtendDoublesPerTenfoldEarlyRetries(t *testing.T) {
 	is := is.New(t)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	d := New()
 	for range 100 {
-		d.Early(now, "x")
+		d.RecordEarly(now, "x")
 	}
-	is.Equal(d.Total(), 100)
-	is.Equal(d.Stretch(now, "x", time.Second), 4*time.Second)
-	is.Equal(d.Stretch(now, "y", time.Second), time.Second)
-	is.Equal(d.Stretch(now.Add(quiet+1), "x", time.Second), time.Second)
+	is.Equal(d.EarlyRetries(), 100)
+	is.Equal(d.Extend(now, "x", time.Second), 4*time.Second)
+	is.Equal(d.Extend(now, "y", time.Second), time.Second)
+	is.Equal(d.Extend(now.Add(resetAfter+1), "x", time.Second), time.Second)
 }
 
 // Callers make up team after team. What is kept of them must stay bounded.
-func TestDamperIsBounded(t *testing.T) {
+func TestBackoffMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	for i := range 10 * limit {
-		d.Early(time.Time{}, fmt.Sprint(i))
+	for i := range 10 * maxTeams {
+		d.RecordEarly(time.Time{}, fmt.Sprint(i))
 	}
-	is.True(len(d.teams) <= limit)
+	is.True(len(d.teams) <= maxTeams)
 }
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -57,7 +57,7 @@
 	queue       *fair.Queue
 	chooser     *place.Chooser
 	prefixIndex *prefix.Index
-	damper      *retry.Damper
+	damper      *retry.Backoff
 	margin      deadline.Margin
 	rng         *rand.Rand
 
