--- a/internal/decide/split/split.go
+++ b/internal/decide/split/split.go
@@ -11,45 +11,45 @@
 	"time"
 )
 
-// Lease is for how long a part is given: some times the pause between two
+// LeaseDuration is for how long a part is given: some times the pause between two
 // questions, and short against the windows in which quotas are judged.
-const Lease = 1200 * time.Millisecond
+const LeaseDuration = 1200 * time.Millisecond
 
-// Split is one rate. It is not safe for concurrent use.
-type Split struct {
-	parts map[string]part
+// Allocator is one rate. It is not safe for concurrent use.
+type Allocator struct {
+	leases map[string]lease
 }
 
-type part struct {
-	want, given float64
-	until       time.Time
+type lease struct {
+	wanted, granted float64
+	expiresAt       time.Time
 }
 
-// Ask gives a part of the rate to a daemon that wants so much, until Lease is
+// Request gives a part of the rate to a daemon that wants so much, until Lease is
 // over. What is given never sums to more than the rate.
-func (s *Split) Ask(now time.Time, rate float64, who string, want float64) float64 {
-	if s.parts == nil {
-		s.parts = map[string]part{}
+func (s *Allocator) Request(now time.Time, rate float64, who string, want float64) float64 {
+	if s.leases == nil {
+		s.leases = map[string]lease{}
 	}
-	s.parts[who] = part{want: want, until: now.Add(Lease)}
+	s.leases[who] = lease{wanted: want, expiresAt: now.Add(LeaseDuration)}
 	free := rate
-	wants := make([]float64, 0, len(s.parts))
-	for name, p := range s.parts {
-		if !now.Before(p.until) {
-			delete(s.parts, name)
+	wants := make([]float64, 0, len(s.leases))
+	for name, p := range s.leases {
+		if !now.Before(p.expiresAt) {
+			delete(s.leases, name)
 			continue
 		}
-		free -= p.given
-		wants = append(wants, p.want)
+		free -= p.granted
+		wants = append(wants, p.wanted)
 	}
-	given := max(min(want, level(wants, rate), free), 0)
-	s.parts[who] = part{want: want, given: given, until: now.Add(Lease)}
+	given := max(min(want, fairShare(wants, rate), free), 0)
+	s.leases[who] = lease{wanted: want, granted: given, expiresAt: now.Add(LeaseDuration)}
 	return given
 }
 
-// level is the most that each may have so that all together have no more than
+// fairShare is the most that each may have so that all together have no more than
 // the rate: who wants less leaves the rest to the others.
-func level(wants []float64, rate float64) float64 {
+func fairShare(wants []float64, rate float64) float64 {
 	slices.Sort(wants)
 	for i, w := range wants {
 		even := rate / float64(len(wants)-i)
--- a/internal/quotas/coordinator.go
+++ b/internal/quotas/coordinator.go
@@ -16,7 +16,7 @@
 type teamBucket struct {
 	bucket *quota.Bucket
 	quota  fireflypath.Quota
-	split  split.Split
+	split  split.Allocator
 	// demands holds the demand per second of each reporting daemon.
 	demands map[string]daemonDemand
 	// adopted is true once the level known to the reporters was taken over.
@@ -74,7 +74,7 @@
 		if level <= enough {
 			g.UnlimitedTiers, rate = unlimitedTiers(demand, rate)
 		}
-		granted := b.split.Ask(now, rate, from, demandHeadroom*float64(usage.Demand.fromTier(g.UnlimitedTiers%Tiers)))
+		granted := b.split.Request(now, rate, from, demandHeadroom*float64(usage.Demand.fromTier(g.UnlimitedTiers%Tiers)))
 		if g.UnlimitedTiers < Tiers {
 			g.Rate = granted
 		}
