--- a/internal/decide/split/split.go
+++ b/internal/decide/split/split.go
@@ -1,9 +1,9 @@
-// Package split divides one rate among daemons by what they ask for.
+// Package split divides a rate among daemons by their demand.
 //
-// It answers a team whose callers are spread unevenly over many daemons. Fixed
-// parts would refuse at one daemon what another leaves unused; copies of one
-// bucket need to hear of all use at once, which a large fleet cannot tell. So
-// one daemon holds the rate and gives parts of it away for a short time.
+// It is for a team whose callers are spread unevenly over many daemons. Fixed parts would
+// refuse requests at one daemon while another leaves its part unused, and copies of one
+// token bucket must learn of all use at once, which is too much to exchange in a large
+// fleet. So one daemon holds the rate and leases parts of it for a short time.
 package split
 
 import (
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// LeaseDuration is for how long a part is given: some times the pause between two
-// questions, and short against the windows in which quotas are judged.
+// LeaseDuration is how long a part is granted: several times the interval between a
+// daemon's requests, and short compared with the windows over which quotas are checked.
 const LeaseDuration = 1200 * time.Millisecond
 
-// Allocator is one rate. It is not safe for concurrent use.
+// Allocator leases parts of one rate. It is not safe for concurrent use.
 type Allocator struct {
 	leases map[string]lease
 }
@@ -25,38 +25,38 @@
 	expiresAt       time.Time
 }
 
-// Request gives a part of the rate to a daemon that wants so much, until Lease is
-// over. What is given never sums to more than the rate.
-func (s *Allocator) Request(now time.Time, rate float64, who string, want float64) float64 {
-	if s.leases == nil {
-		s.leases = map[string]lease{}
+// Request grants a part of the rate, at most wanted, to a daemon for LeaseDuration. The
+// grants in effect never sum to more than the rate.
+func (a *Allocator) Request(now time.Time, rate float64, daemon string, wanted float64) float64 {
+	if a.leases == nil {
+		a.leases = map[string]lease{}
 	}
-	s.leases[who] = lease{wanted: want, expiresAt: now.Add(LeaseDuration)}
+	a.leases[daemon] = lease{wanted: wanted, expiresAt: now.Add(LeaseDuration)}
 	free := rate
-	wants := make([]float64, 0, len(s.leases))
-	for name, p := range s.leases {
-		if !now.Before(p.expiresAt) {
-			delete(s.leases, name)
+	demands := make([]float64, 0, len(a.leases))
+	for name, l := range a.leases {
+		if !now.Before(l.expiresAt) {
+			delete(a.leases, name)
 			continue
 		}
-		free -= p.granted
-		wants = append(wants, p.wanted)
+		free -= l.granted
+		demands = append(demands, l.wanted)
 	}
-	given := max(min(want, fairShare(wants, rate), free), 0)
-	s.leases[who] = lease{wanted: want, granted: given, expiresAt: now.Add(LeaseDuration)}
-	return given
+	granted := max(min(wanted, fairShare(demands, rate), free), 0)
+	a.leases[daemon] = lease{wanted: wanted, granted: granted, expiresAt: now.Add(LeaseDuration)}
+	return granted
 }
 
-// fairShare is the most that each may have so that all together have no more than
-// the rate: who wants less leaves the rest to the others.
-func fairShare(wants []float64, rate float64) float64 {
-	slices.Sort(wants)
-	for i, w := range wants {
-		even := rate / float64(len(wants)-i)
-		if w > even {
-			return even
+// fairShare is the max-min fair share: the most that each daemon may get so that the sum
+// stays within the rate, where those that want less leave the rest to the others.
+func fairShare(demands []float64, rate float64) float64 {
+	slices.Sort(demands)
+	for i, demand := range demands {
+		share := rate / float64(len(demands)-i)
+		if demand > share {
+			return share
 		}
-		rate -= w
+		rate -= demand
 	}
-	return rate + wants[len(wants)-1]
+	return rate + demands[len(demands)-1]
 }
