--- a/internal/member/membership.go
+++ b/internal/member/membership.go
@@ -115,7 +115,7 @@
 	clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
 ) *Membership {
 	if beat <= 0 {
-		beat = peer.Heartbeat
+		beat = peer.DefaultHeartbeatInterval
 	}
 	scope = scope.SubScope("member")
 	m := &Membership{
--- a/internal/peer/endpoint.go
+++ b/internal/peer/endpoint.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// Heartbeat is the default time between heartbeats on a connection.
-	Heartbeat = time.Second
+	// DefaultHeartbeatInterval is the default time between heartbeats on a connection.
+	DefaultHeartbeatInterval = time.Second
 	// silentBeats is how many beats may fail to come. With a check every quarter
 	// of a beat, a silent connection is closed at most 2.25 s after the last
 	// message, which leaves three quarters of a second of the 3 s for the new one.
@@ -100,7 +100,7 @@
 		flush: flush{names: map[string]bool{}},
 	}
 	if beat <= 0 {
-		e.beat = Heartbeat
+		e.beat = DefaultHeartbeatInterval
 	}
 	if trust != nil {
 		e.config = trust.config()
