--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -57,9 +57,9 @@
 	if d.cfg.Listen.Peers == "" || d.deps.Members != nil {
 		return nil
 	}
-	var trust *peer.Trust
+	var trust *peer.Certificates
 	if d.cfg.Peers.TLS != nil {
-		t, err := peer.NewTrust(*d.cfg.Peers.TLS, d.deps.Clock, d.scope)
+		t, err := peer.LoadCertificates(*d.cfg.Peers.TLS, d.deps.Clock, d.scope)
 		if err != nil {
 			return err
 		}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -56,7 +56,7 @@
 
 // Peers registers methods for calls from other daemons and makes such calls.
 type Peers interface {
-	Handle(method string, m peer.Method)
+	Handle(method string, m peer.Handler)
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -46,12 +46,12 @@
 type node struct {
 	cluster  *cluster
 	name     string
-	methods  map[string]peer.Method
+	methods  map[string]peer.Handler
 	dispatch *dispatch.Dispatch
 	pool     *pool.Pool
 }
 
-func (n *node) Handle(method string, m peer.Method) { n.methods[method] = m }
+func (n *node) Handle(method string, m peer.Handler) { n.methods[method] = m }
 
 func (n *node) Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error {
 	n.cluster.mu.Lock()
@@ -116,7 +116,7 @@
 		})
 	}
 	for i := range daemons {
-		d := &node{cluster: c, name: fmt.Sprintf("d%d", i), methods: map[string]peer.Method{}}
+		d := &node{cluster: c, name: fmt.Sprintf("d%d", i), methods: map[string]peer.Handler{}}
 		c.nodes[d.name] = d
 		d.dispatch = dispatch.New(d.name, d, d, clock, tally.NoopScope, zap.NewNop(), func(p fireflypath.Pool) dispatcher.Scheduler {
 			return slots.New(p, 1, slots.DispatcherTuning())
--- a/internal/exchange/borrow.go
+++ b/internal/exchange/borrow.go
@@ -128,13 +128,13 @@
 // shortfall returns the highest rank that waits and the fraction of the windows that
 // the waiting requests need beyond the fraction in use.
 func (p *pool) shortfall(now time.Time) (int, float64) {
-	waiting := sum(p.current.Requests)
+	waiting := sum(p.current.WaitingRequests)
 	use := p.ledger.InUse(now)
 	slots := float64(p.current.Slots)
-	if waiting == 0 || slots == 0 || float64(sum(p.current.Busy)) < use*slots-1 {
+	if waiting == 0 || slots == 0 || float64(sum(p.current.RunningRequests)) < use*slots-1 {
 		return 0, 0
 	}
-	rank := slices.IndexFunc(p.current.Requests, func(v int) bool { return v > 0 })
+	rank := slices.IndexFunc(p.current.WaitingRequests, func(v int) bool { return v > 0 })
 	return rank, min(1-use, float64(waiting)/slots)
 }
 
@@ -149,8 +149,8 @@
 		if n == self || i >= len(p.fractions) {
 			continue
 		}
-		urgent := d.Requests[:min(len(d.Requests), rank+1)]
-		idle[n] = p.fractions[i]*float64(p.current.Slots) - float64(sum(d.Busy)+sum(urgent))
+		urgent := d.WaitingRequests[:min(len(d.WaitingRequests), rank+1)]
+		idle[n] = p.fractions[i]*float64(p.current.Slots) - float64(sum(d.RunningRequests)+sum(urgent))
 		if idle[n] >= 1 {
 			names = append(names, n)
 		}
@@ -234,8 +234,8 @@
 	now := x.clock.Now()
 	used := 0.0
 	if slots := float64(p.current.Slots); slots > 0 {
-		urgent := p.current.Requests[:min(len(p.current.Requests), rank+1)]
-		used = float64(sum(p.current.Busy)+sum(urgent)) / slots
+		urgent := p.current.WaitingRequests[:min(len(p.current.WaitingRequests), rank+1)]
+		used = float64(sum(p.current.RunningRequests)+sum(urgent)) / slots
 	}
 	lent := p.ledger.Lend(now, wanted, used, len(p.group))
 	if lent == 0 {
--- a/internal/exchange/demand.go
+++ b/internal/exchange/demand.go
@@ -12,7 +12,7 @@
 // wireDemand rounds a demand for the wire. Tokens are left out, because windows are split
 // by requests.
 func wireDemand(d fireflypath.Demand) peer.Demand {
-	return peer.Demand{Pool: d.Pool, Requests: roundCounts(d.Requests), Busy: roundCounts(d.Busy), Slots: roundCount(d.Slots)}
+	return peer.Demand{Pool: d.Pool, WaitingRequests: roundCounts(d.Requests), RunningRequests: roundCounts(d.Busy), Slots: roundCount(d.Slots)}
 }
 
 // roundCounts rounds counts and drops trailing zeros.
@@ -51,7 +51,7 @@
 		return true
 	}
 	minChange := current.Slots / slotsDivisor
-	return anyCountDiffers(announced.Requests, current.Requests, minChange) || anyCountDiffers(announced.Busy, current.Busy, minChange)
+	return anyCountDiffers(announced.WaitingRequests, current.WaitingRequests, minChange) || anyCountDiffers(announced.RunningRequests, current.RunningRequests, minChange)
 }
 
 func anyCountDiffers(a, b []int, minChange int) bool {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -123,7 +123,7 @@
 	}
 	peers.AddSource(x.fillBeat)
 	peers.AddSink(x.receive)
-	peers.AddUp(x.resetPeer)
+	peers.OnConnect(x.resetPeer)
 	peers.Handle(methodBorrow, x.handleBorrow)
 	return x
 }
@@ -261,7 +261,7 @@
 		if name == self {
 			at, d = len(demands), p.announced
 		}
-		demands = append(demands, share.Demand{Name: name, Slots: d.Slots, Running: d.Busy, Waiting: d.Requests})
+		demands = append(demands, share.Demand{Name: name, Slots: d.Slots, Running: d.RunningRequests, Waiting: d.WaitingRequests})
 	}
 	if at < 0 {
 		return
@@ -360,7 +360,7 @@
 }
 
 // fillBeat adds the demands that a daemon of the cell does not know yet to a heartbeat.
-func (x *Exchange) fillBeat(to string, b *peer.Beat) {
+func (x *Exchange) fillBeat(to string, b *peer.Heartbeat) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	sent := x.sentTo[to]
@@ -378,7 +378,7 @@
 }
 
 // receive records the demands in a peer's heartbeat.
-func (x *Exchange) receive(from string, b *peer.Beat) {
+func (x *Exchange) receive(from string, b *peer.Heartbeat) {
 	if len(b.Demands) == 0 {
 		return
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -46,7 +46,7 @@
 
 // Peers is what Feed needs of the endpoint.
 type Peers interface {
-	Handle(method string, m peer.Method)
+	Handle(method string, m peer.Handler)
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -64,7 +64,7 @@
 type network struct {
 	clock *clockwork.FakeClock
 	// methods are those of each daemon by name.
-	methods map[string]map[string]peer.Method
+	methods map[string]map[string]peer.Handler
 	cut     map[string]bool
 	// rate is what each daemon's link carries, in bytes a second; 0 is no bound.
 	rate float64
@@ -108,9 +108,9 @@
 	name string
 }
 
-func (p port) Handle(method string, m peer.Method) {
+func (p port) Handle(method string, m peer.Handler) {
 	if p.n.methods[p.name] == nil {
-		p.n.methods[p.name] = map[string]peer.Method{}
+		p.n.methods[p.name] = map[string]peer.Handler{}
 	}
 	p.n.methods[p.name][method] = m
 }
@@ -177,7 +177,7 @@
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	n := &network{
-		clock: clock, methods: map[string]map[string]peer.Method{}, cut: map[string]bool{},
+		clock: clock, methods: map[string]map[string]peer.Handler{}, cut: map[string]bool{},
 		largest: 1 << 20, carried: map[string]int{}, busy: map[string]time.Time{},
 	}
 	shared := &store{clock: clock, at: 5}
--- a/internal/leaving/board.go
+++ b/internal/leaving/board.go
@@ -44,7 +44,7 @@
 type Peers interface {
 	AddSource(peer.Source)
 	AddSink(peer.Sink)
-	AddUp(func(fireflypath.Member))
+	OnConnect(func(fireflypath.Member))
 	Flush()
 }
 
@@ -122,7 +122,7 @@
 	}
 	peers.AddSource(b.tell)
 	peers.AddSink(b.hear)
-	peers.AddUp(b.met)
+	peers.OnConnect(b.met)
 	return b
 }
 
@@ -235,7 +235,7 @@
 func (b *Board) say(target, kind, why string) {
 	b.number++
 	b.count.told.Inc(1)
-	b.take(peer.Evidence{Target: target, By: b.self, Number: b.number, Kind: kind, Why: why})
+	b.take(peer.Evidence{Target: target, Observer: b.self, Sequence: b.number, Kind: kind, Reason: why})
 }
 
 // take keeps evidence that is newer than the daemon's word before, and queues
@@ -249,10 +249,10 @@
 		by = map[string]voice{}
 		b.heard[e.Target] = by
 	}
-	if old, ok := by[e.By]; ok && old.Number >= e.Number {
+	if old, ok := by[e.Observer]; ok && old.Sequence >= e.Sequence {
 		return false
 	}
-	by[e.By] = voice{Evidence: e, at: b.clock.Now()}
+	by[e.Observer] = voice{Evidence: e, at: b.clock.Now()}
 	b.news = append(b.news, e)
 	if drop := len(b.news) - kept; drop > 0 {
 		b.news = append(b.news[:0:0], b.news[drop:]...)
@@ -296,7 +296,7 @@
 		switch v.Kind {
 		case kindLeaving:
 			if by != b.self {
-				return fmt.Sprintf("%s, seen by %s", v.Why, by)
+				return fmt.Sprintf("%s, seen by %s", v.Reason, by)
 			}
 		case kindDead:
 			dead++
@@ -341,7 +341,7 @@
 	}
 }
 
-func (b *Board) tell(to string, beat *peer.Beat) {
+func (b *Board) tell(to string, beat *peer.Heartbeat) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	from := max(b.cursors[to], b.first)
@@ -350,14 +350,14 @@
 	b.cursors[to] = until
 }
 
-func (b *Board) hear(_ string, beat *peer.Beat) {
+func (b *Board) hear(_ string, beat *peer.Heartbeat) {
 	if len(beat.Evidence) == 0 {
 		return
 	}
 	var changed []string
 	b.mu.Lock()
 	for _, e := range beat.Evidence {
-		if e.By != b.self && e.Target != "" && b.take(e) {
+		if e.Observer != b.self && e.Target != "" && b.take(e) {
 			changed = append(changed, e.Target)
 			b.count.heard.Inc(1)
 		}
--- a/internal/leaving/board_test.go
+++ b/internal/leaving/board_test.go
@@ -24,10 +24,10 @@
 
 type wire struct{}
 
-func (wire) AddSource(peer.Source)          {}
-func (wire) AddSink(peer.Sink)              {}
-func (wire) AddUp(func(fireflypath.Member)) {}
-func (wire) Flush()                         {}
+func (wire) AddSource(peer.Source)              {}
+func (wire) AddSink(peer.Sink)                  {}
+func (wire) OnConnect(func(fireflypath.Member)) {}
+func (wire) Flush()                             {}
 
 func newMesh(n int) *mesh {
 	m := &mesh{clock: clockwork.NewFakeClock(), state: make([]string, n), cut: map[int]bool{}}
@@ -47,7 +47,7 @@
 			if i == j || m.cut[i] || m.cut[j] {
 				continue
 			}
-			var beat peer.Beat
+			var beat peer.Heartbeat
 			b.tell(fmt.Sprint("d", j), &beat)
 			o.hear(fmt.Sprint("d", i), &beat)
 		}
@@ -231,7 +231,7 @@
 	is := is.New(t)
 	m := newMesh(2)
 	m.boards[0].Leaving("t", "drains")
-	var old peer.Beat
+	var old peer.Heartbeat
 	m.boards[0].tell("x", &old)
 	m.pass()
 	m.boards[0].Back("t")
--- a/internal/member/calls.go
+++ b/internal/member/calls.go
@@ -25,7 +25,7 @@
 
 // syncReply holds all that the answerer knows in the buckets that differ.
 type syncReply struct {
-	News []peer.News `json:"news"`
+	News []peer.MemberUpdate `json:"news"`
 }
 
 type probeAsk struct {
@@ -67,14 +67,14 @@
 	mine := m.view.Load().digests
 	var r syncReply
 	if ask.Digests[bucketOf(m.self.Name)] != mine[bucketOf(m.self.Name)] {
-		r.News = append(r.News, peer.News{State: peer.Alive, Member: m.self})
+		r.News = append(r.News, peer.MemberUpdate{State: peer.Alive, Member: m.self})
 	}
 	now := m.clock.Now()
 	for name, e := range m.entries {
 		b := bucketOf(name)
 		old := !e.live() && now.Sub(e.since) > missingFor
 		if ask.Digests[b] != mine[b] && !old {
-			r.News = append(r.News, peer.News{State: e.state, Member: e.member})
+			r.News = append(r.News, peer.MemberUpdate{State: e.state, Member: e.member})
 		}
 	}
 	return r, nil
@@ -86,7 +86,7 @@
 	if err := json.Unmarshal(params, &ask); err != nil {
 		return nil, errors.Wrap(err, "decode probe")
 	}
-	if at, ok := m.peers.Heard(ask.Member.Name); ok && m.clock.Since(at) < m.beat+m.beat/2 {
+	if at, ok := m.peers.LastReceived(ask.Member.Name); ok && m.clock.Since(at) < m.beat+m.beat/2 {
 		return probeReply{Alive: true}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout*3/4)
@@ -125,6 +125,6 @@
 	if err := json.Unmarshal(params, &ask); err != nil {
 		return nil, errors.Wrap(err, "decode leave")
 	}
-	m.spread("", []peer.News{{State: peer.Left, Member: ask.Member}}, true)
+	m.spread("", []peer.MemberUpdate{{State: peer.Left, Member: ask.Member}}, true)
 	return struct{}{}, nil
 }
--- a/internal/member/membership.go
+++ b/internal/member/membership.go
@@ -86,7 +86,7 @@
 	first   uint64
 	cursors map[string]uint64
 	// again holds news for one peer alone.
-	again map[string][]peer.News
+	again map[string][]peer.MemberUpdate
 	// differs is since when a peer's view is another, synced when it was asked.
 	differs, synced map[string]time.Time
 	// told is the view last told to each peer, heard the one last heard.
@@ -129,7 +129,7 @@
 		},
 		ctx:     context.Background(),
 		entries: map[string]*entry{}, changed: make(chan struct{}), cursors: map[string]uint64{},
-		again: map[string][]peer.News{}, differs: map[string]time.Time{}, synced: map[string]time.Time{},
+		again: map[string][]peer.MemberUpdate{}, differs: map[string]time.Time{}, synced: map[string]time.Time{},
 		told: map[string]toldView{}, heard: map[string]uint32{},
 		lastStep: clock.Now(),
 	}
@@ -140,7 +140,7 @@
 // Attach connects the membership to the endpoint before it serves.
 func (m *Membership) Attach(e *peer.Endpoint) {
 	m.peers = e
-	e.AddUp(m.met)
+	e.OnConnect(m.met)
 	e.AddSource(m.tell)
 	e.AddSink(m.hear)
 	e.Handle(methodSync, m.answerSync)
@@ -205,7 +205,7 @@
 		m.neighbours = l.Neighbours(m.self.Name)
 		m.mates = l.Members(m.self.Name)
 		if m.peers != nil {
-			m.peers.Keep(m.neighbours)
+			m.peers.SetNeighbours(m.neighbours)
 		}
 	}
 	close(m.changed)
@@ -242,7 +242,7 @@
 // the old one. The caller holds mu.
 func (m *Membership) announce() {
 	m.self.Incarnation++
-	m.add(peer.News{State: peer.Alive, Member: m.self})
+	m.add(peer.MemberUpdate{State: peer.Alive, Member: m.self})
 	m.publish()
 }
 
@@ -257,7 +257,7 @@
 
 // merge takes news in; it returns whether they changed anything. The caller
 // holds mu and publishes.
-func (m *Membership) merge(n peer.News) bool {
+func (m *Membership) merge(n peer.MemberUpdate) bool {
 	now := m.clock.Now()
 	if n.Member.Name == m.self.Name {
 		return m.refute(n)
@@ -311,7 +311,7 @@
 
 // refute answers news that this daemon is not alive by a higher incarnation. A
 // daemon that was paused, or restarted with a clock set back, comes back so.
-func (m *Membership) refute(n peer.News) bool {
+func (m *Membership) refute(n peer.MemberUpdate) bool {
 	have := m.self.Incarnation
 	if m.gone || n.Member.Incarnation < have || n.Member.Incarnation == have && n.State == peer.Alive {
 		return false
@@ -324,6 +324,6 @@
 	m.self.Incarnation = n.Member.Incarnation + 1
 	m.dirty = true
 	m.count.refuted.Inc(1)
-	m.add(peer.News{State: peer.Alive, Member: m.self})
+	m.add(peer.MemberUpdate{State: peer.Alive, Member: m.self})
 	return true
 }
--- a/internal/member/membership_test.go
+++ b/internal/member/membership_test.go
@@ -116,8 +116,8 @@
 				f.pass(200 * time.Millisecond) // what was under way has arrived
 				silenced := time.Now()
 				f.await(3*time.Second, "both hear each other again", func() bool {
-					h1, ok1 := d1.peers.Heard("d2")
-					h2, ok2 := d2.peers.Heard("d1")
+					h1, ok1 := d1.peers.LastReceived("d2")
+					h2, ok2 := d2.peers.LastReceived("d1")
 					return ok1 && ok2 && h1.After(silenced) && h2.After(silenced) &&
 						counter(d1, "peer.silent")+counter(d2, "peer.silent") > 0
 				})
@@ -143,7 +143,7 @@
 				f.pass(time.Minute)
 				f.net.HealBoth("d1", "d2")
 				f.await(8*time.Second, "they are connected again", func() bool {
-					_, ok := f.daemons["d1"].peers.Heard("d2")
+					_, ok := f.daemons["d1"].peers.LastReceived("d2")
 					return ok
 				})
 			})
--- a/internal/member/news.go
+++ b/internal/member/news.go
@@ -12,12 +12,12 @@
 // each join would reach every daemon a dozen times, and a fleet of 370 that
 // starts at once would be kept busy with nothing else.
 type told struct {
-	peer.News
+	peer.MemberUpdate
 	notCell bool
 }
 
 // add queues news for all peers. The caller holds mu.
-func (m *Membership) add(n peer.News) { m.queue(told{News: n}) }
+func (m *Membership) add(n peer.MemberUpdate) { m.queue(told{MemberUpdate: n}) }
 
 func (m *Membership) queue(n told) {
 	m.news = append(m.news, n)
@@ -28,7 +28,7 @@
 }
 
 // spread merges news from a peer, publishes and passes on what changed.
-func (m *Membership) spread(from string, news []peer.News, pass bool) {
+func (m *Membership) spread(from string, news []peer.MemberUpdate, pass bool) {
 	m.mu.Lock()
 	changed := false
 	mate := m.mate(from)
@@ -42,7 +42,7 @@
 		}
 		changed = true
 		if pass && n.Member.Name != m.self.Name {
-			m.queue(told{News: n, notCell: plain && mate})
+			m.queue(told{MemberUpdate: n, notCell: plain && mate})
 		}
 	}
 	if m.dirty {
@@ -60,19 +60,19 @@
 }
 
 // tell fills in the membership's part of a beat.
-func (m *Membership) tell(to string, b *peer.Beat) {
+func (m *Membership) tell(to string, b *peer.Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	b.Generation = m.self.Generation
-	b.View = m.viewFor(to)
-	b.News = m.again[to]
+	b.ViewHash = m.viewFor(to)
+	b.MemberUpdates = m.again[to]
 	delete(m.again, to)
 	from := max(m.cursors[to], m.first)
 	until := min(from+newsPerBeat, m.first+uint64(len(m.news)))
 	mate := m.mate(to)
 	for _, n := range m.news[from-m.first : until-m.first] {
 		if (!mate || !n.notCell) && n.Member.Name != to {
-			b.News = append(b.News, n.News)
+			b.MemberUpdates = append(b.MemberUpdates, n.MemberUpdate)
 		}
 	}
 	m.cursors[to] = until
@@ -105,9 +105,9 @@
 }
 
 // hear takes the membership's part of a beat.
-func (m *Membership) hear(from string, b *peer.Beat) {
-	if len(b.News) > 0 {
-		m.spread(from, b.News, true)
+func (m *Membership) hear(from string, b *peer.Heartbeat) {
+	if len(b.MemberUpdates) > 0 {
+		m.spread(from, b.MemberUpdates, true)
 	}
 	now := m.clock.Now()
 	m.mu.Lock()
@@ -119,14 +119,14 @@
 			m.publish()
 		}
 	}
-	if b.View != 0 {
-		m.heard[from] = b.View
+	if b.ViewHash != 0 {
+		m.heard[from] = b.ViewHash
 	}
 	if m.heard[from] == m.view.Load().sum {
 		delete(m.differs, from)
 		return
 	}
-	if b.View == 0 && !slices.Contains(m.neighbours, from) {
+	if b.ViewHash == 0 && !slices.Contains(m.neighbours, from) {
 		return // its view is told too seldom to be compared with each change here
 	}
 	if _, ok := m.differs[from]; !ok {
@@ -139,7 +139,7 @@
 	m.mu.Lock()
 	if e, ok := m.entries[o.Name]; ok && !e.live() && e.member.Incarnation >= o.Incarnation {
 		// It does not know that it was declared dead, as after a pause.
-		m.again[o.Name] = append(m.again[o.Name], peer.News{State: e.state, Member: e.member})
+		m.again[o.Name] = append(m.again[o.Name], peer.MemberUpdate{State: e.state, Member: e.member})
 	}
 	m.cursors[o.Name] = m.first + uint64(len(m.news))
 	// Views are compared at once: what was told before is not told again.
@@ -147,5 +147,5 @@
 	delete(m.synced, o.Name)
 	delete(m.told, o.Name) // what was told before may have been lost
 	m.mu.Unlock()
-	m.spread("", []peer.News{{State: peer.Alive, Member: o}}, true)
+	m.spread("", []peer.MemberUpdate{{State: peer.Alive, Member: o}}, true)
 }
--- a/internal/member/step.go
+++ b/internal/member/step.go
@@ -55,14 +55,14 @@
 		}
 	}
 	m.lastStep = now
-	var dead []peer.News
+	var dead []peer.MemberUpdate
 	for _, n := range m.neighbours {
 		m.check(ctx, m.entries[n], now)
 	}
 	for name, e := range m.entries {
 		switch {
 		case e.state == peer.Suspect && now.Sub(e.since) >= m.patience(name):
-			dead = append(dead, peer.News{State: peer.Dead, Member: e.member})
+			dead = append(dead, peer.MemberUpdate{State: peer.Dead, Member: e.member})
 		case !e.live() && now.Sub(e.since) > forgetAfter:
 			delete(m.entries, name)
 			delete(m.cursors, name)
@@ -110,7 +110,7 @@
 	if e == nil || !e.live() {
 		return
 	}
-	if at, ok := m.peers.Heard(e.member.Name); ok {
+	if at, ok := m.peers.LastReceived(e.member.Name); ok {
 		if at.After(e.proof) {
 			e.proof = at
 		}
@@ -171,7 +171,7 @@
 		late := m.clock.Since(e.proof) < proofBeats*m.beat && e.fails < 2
 		m.mu.Unlock()
 		if !alive && !late && ctx.Err() != context.Canceled {
-			m.spread("", []peer.News{{State: peer.Suspect, Member: o}}, true)
+			m.spread("", []peer.MemberUpdate{{State: peer.Suspect, Member: o}}, true)
 		}
 	})
 }
@@ -236,7 +236,7 @@
 			delete(m.differs, name)
 			continue
 		}
-		if _, up := m.peers.Heard(name); !up {
+		if _, up := m.peers.LastReceived(name); !up {
 			delete(m.differs, name)
 			delete(m.synced, name)
 			continue
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -37,7 +37,7 @@
 }
 
 // supersedes reports whether news says more than the entry.
-func (e *entry) supersedes(n peer.News) bool {
+func (e *entry) supersedes(n peer.MemberUpdate) bool {
 	if n.Member.Incarnation != e.member.Incarnation {
 		return n.Member.Incarnation > e.member.Incarnation
 	}
--- a/internal/member/view_test.go
+++ b/internal/member/view_test.go
@@ -26,12 +26,12 @@
 	}
 	a, b := start("a"), start("b")
 	beat := func(arrives bool) uint32 {
-		var m peer.Beat
+		var m peer.Heartbeat
 		a.tell("b", &m)
 		if arrives {
 			b.hear("a", &m)
 		}
-		return m.View
+		return m.ViewHash
 	}
 	sum := a.view.Load().sum
 	is.Equal(beat(false), sum) // lost
@@ -43,7 +43,7 @@
 	is.Equal(beat(true), uint32(0))
 
 	a.mu.Lock()
-	a.merge(peer.News{State: peer.Alive, Member: fireflypath.Member{Name: "c", Incarnation: 1}})
+	a.merge(peer.MemberUpdate{State: peer.Alive, Member: fireflypath.Member{Name: "c", Incarnation: 1}})
 	a.publish()
 	a.mu.Unlock()
 	is.True(a.view.Load().sum != sum)
--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -15,21 +15,21 @@
 	Pool string
 	// Slots is the learned window of the pool's targets in requests.
 	Slots int
-	// Requests wait, Busy ones run, both by rank.
-	Requests []int
-	Busy     []int
+	// WaitingRequests wait, Busy ones run, both by rank.
+	WaitingRequests []int
+	RunningRequests []int
 }
 
 // Equal reports whether two lines say the same.
 func (d Demand) Equal(o Demand) bool {
-	return d.Pool == o.Pool && d.Slots == o.Slots && slices.Equal(d.Requests, o.Requests) && slices.Equal(d.Busy, o.Busy)
+	return d.Pool == o.Pool && d.Slots == o.Slots && slices.Equal(d.WaitingRequests, o.WaitingRequests) && slices.Equal(d.RunningRequests, o.RunningRequests)
 }
 
 // MarshalText writes the short form.
 func (d Demand) MarshalText() ([]byte, error) {
 	b := strconv.AppendInt(nil, int64(d.Slots), 10)
-	b = appendCounts(append(b, ' '), d.Requests)
-	b = appendCounts(append(b, ' '), d.Busy)
+	b = appendCounts(append(b, ' '), d.WaitingRequests)
+	b = appendCounts(append(b, ' '), d.RunningRequests)
 	return append(append(b, ' '), d.Pool...), nil
 }
 
@@ -55,10 +55,10 @@
 		return errors.Wrap(errMalformed, "slots of a demand")
 	}
 	d.Slots, d.Pool = slots, parts[fields-1]
-	if d.Requests, err = counts(parts[1]); err != nil {
+	if d.WaitingRequests, err = counts(parts[1]); err != nil {
 		return err
 	}
-	d.Busy, err = counts(parts[2])
+	d.RunningRequests, err = counts(parts[2])
 	return err
 }
 
--- a/internal/peer/demand_test.go
+++ b/internal/peer/demand_test.go
@@ -13,8 +13,8 @@
 		demand     Demand
 	}{
 		{"empty", `"0   chat"`, Demand{Pool: "chat"}},
-		{"full", `"96 1,0,3 4 chat"`, Demand{Pool: "chat", Slots: 96, Requests: []int{1, 0, 3}, Busy: []int{4}}},
-		{"name with spaces", `"9  4 well logs"`, Demand{Pool: "well logs", Slots: 9, Busy: []int{4}}},
+		{"full", `"96 1,0,3 4 chat"`, Demand{Pool: "chat", Slots: 96, WaitingRequests: []int{1, 0, 3}, RunningRequests: []int{4}}},
+		{"name with spaces", `"9  4 well logs"`, Demand{Pool: "well logs", Slots: 9, RunningRequests: []int{4}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/peer/endpoint.go
+++ b/internal/peer/endpoint.go
@@ -49,17 +49,17 @@
 	ErrClosed = errors.New("endpoint is closed")
 )
 
-// Method answers a call of a peer.
-type Method func(ctx context.Context, from string, params json.RawMessage) (any, error)
+// Handler answers a call of a peer.
+type Handler func(ctx context.Context, from string, params json.RawMessage) (any, error)
 
 // Source fills in its part of a beat to a peer.
-type Source func(to string, b *Beat)
+type Source func(to string, b *Heartbeat)
 
 // Sink takes its part from a peer's beat. It must not block.
-type Sink func(from string, b *Beat)
+type Sink func(from string, b *Heartbeat)
 
 // Endpoint holds this daemon's connections to others. Configure it with
-// Handle, AddSource, AddSink and AddUp before Serve.
+// Handle, AddSource, AddSink and OnConnect before Serve.
 type Endpoint struct {
 	network fireflypath.Network
 	config  *tls.Config
@@ -69,7 +69,7 @@
 	log     *zap.Logger
 	count   *counters
 
-	methods map[string]Method
+	methods map[string]Handler
 	sources []Source
 	sinks   []Sink
 	ups     []func(fireflypath.Member)
@@ -91,12 +91,12 @@
 
 // New makes an endpoint. A nil trust means plain connections. self is asked
 // for this daemon's record at each introduction.
-func New(network fireflypath.Network, trust *Trust, self func() fireflypath.Member, beat time.Duration,
+func New(network fireflypath.Network, trust *Certificates, self func() fireflypath.Member, beat time.Duration,
 	clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
 ) *Endpoint {
 	e := &Endpoint{
 		network: network, self: self, beat: beat, clock: clock, log: log, count: newCounters(scope),
-		methods: map[string]Method{}, links: map[string][]*link{},
+		methods: map[string]Handler{}, links: map[string][]*link{},
 		flush: flush{names: map[string]bool{}},
 	}
 	if beat <= 0 {
@@ -110,7 +110,7 @@
 }
 
 // Handle sets the answer to a method.
-func (e *Endpoint) Handle(method string, m Method) { e.methods[method] = m }
+func (e *Endpoint) Handle(method string, m Handler) { e.methods[method] = m }
 
 // AddSource adds a part of each beat sent.
 func (e *Endpoint) AddSource(s Source) { e.sources = append(e.sources, s) }
@@ -118,8 +118,8 @@
 // AddSink adds a reader of each beat received.
 func (e *Endpoint) AddSink(s Sink) { e.sinks = append(e.sinks, s) }
 
-// AddUp adds what is told of each new connection's other side.
-func (e *Endpoint) AddUp(up func(fireflypath.Member)) { e.ups = append(e.ups, up) }
+// OnConnect adds what is told of each new connection's other side.
+func (e *Endpoint) OnConnect(up func(fireflypath.Member)) { e.ups = append(e.ups, up) }
 
 // Connect makes sure that there is a connection to the address and returns the
 // other side's record.
@@ -230,8 +230,8 @@
 	return best
 }
 
-// Heard is when the last message came from a daemon on an open connection.
-func (e *Endpoint) Heard(name string) (time.Time, bool) {
+// LastReceived is when the last message came from a daemon on an open connection.
+func (e *Endpoint) LastReceived(name string) (time.Time, bool) {
 	l := e.best(name)
 	if l == nil {
 		return time.Time{}, false
@@ -251,8 +251,8 @@
 	return out
 }
 
-// Keep names the daemons whose connections stay open without calls.
-func (e *Endpoint) Keep(names []string) {
+// SetNeighbours names the daemons whose connections stay open without calls.
+func (e *Endpoint) SetNeighbours(names []string) {
 	keep := make(map[string]bool, len(names))
 	for _, n := range names {
 		keep[n] = true
--- a/internal/peer/endpoint_test.go
+++ b/internal/peer/endpoint_test.go
@@ -111,16 +111,16 @@
 func start(t *testing.T, nw *testkit.Network, name string, files *settings.TLS) *node {
 	n := &node{scope: tally.NewTestScope("", nil), beats: make(chan string, 100)}
 	clock := clockwork.NewRealClock()
-	var trust *Trust
+	var trust *Certificates
 	if files != nil {
 		var err error
-		if trust, err = NewTrust(*files, clock, n.scope); err != nil {
+		if trust, err = LoadCertificates(*files, clock, n.scope); err != nil {
 			t.Fatal(err)
 		}
 	}
 	self := func() fireflypath.Member { return fireflypath.Member{Name: name, Peer: name + ":1"} }
 	n.Endpoint = New(nw.Host(name), trust, self, time.Second, clock, n.scope, zap.NewNop())
-	n.AddSink(func(from string, _ *Beat) { n.beats <- from })
+	n.AddSink(func(from string, _ *Heartbeat) { n.beats <- from })
 	n.Handle("echo", func(_ context.Context, from string, p json.RawMessage) (any, error) {
 		return from + " " + string(p), nil
 	})
@@ -356,7 +356,7 @@
 			_, err := na.Connect(t.Context(), addr)
 			is.NoErr(err)
 		}
-		na.Keep([]string{"b"})
+		na.SetNeighbours([]string{"b"})
 		time.Sleep(100 * time.Millisecond)
 		nb.heard("a")
 		nc.heard("a")
@@ -383,8 +383,8 @@
 		na, nb := start(t, nw, "a", nil), start(t, nw, "b", nil)
 		defer na.Close()
 		defer nb.Close()
-		na.Keep(nil)
-		nb.Keep(nil)
+		na.SetNeighbours(nil)
+		nb.SetNeighbours(nil)
 		var out string
 		is.NoErr(na.Call(t.Context(), member("b"), "echo", 0, &out))
 		na.heard("b")
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -139,7 +139,7 @@
 }
 
 func (l *link) take(r *jsonrpc2.Request) {
-	var b Beat
+	var b Heartbeat
 	if err := unmarshal(r, &b); err != nil {
 		l.e.count.malformed.Inc(1)
 		l.close()
@@ -310,7 +310,7 @@
 
 // send builds and sends one beat.
 func (l *link) send() error {
-	var b Beat
+	var b Heartbeat
 	for _, s := range l.e.sources {
 		s(l.peer.Name, &b)
 	}
--- a/internal/peer/trust.go
+++ b/internal/peer/trust.go
@@ -18,10 +18,10 @@
 // are read again. Handshakes are rare, and a stranger cannot cause more reads.
 const trustAge = time.Second
 
-// Trust holds the certificates between daemons. They are read again when a
+// Certificates holds the certificates between daemons. They are read again when a
 // handshake finds them older than a second, so that an operator replaces the
 // files without a restart; unreadable files leave the last good ones in use.
-type Trust struct {
+type Certificates struct {
 	files  settings.TLS
 	clock  clockwork.Clock
 	failed tally.Counter
@@ -32,13 +32,13 @@
 	pool *x509.CertPool
 }
 
-// NewTrust reads the files once, so that a daemon does not start with bad ones.
-func NewTrust(files settings.TLS, clock clockwork.Clock, scope tally.Scope) (*Trust, error) {
-	t := &Trust{files: files, clock: clock, failed: scope.SubScope("peer").Counter("reload_failed")}
+// LoadCertificates reads the files once, so that a daemon does not start with bad ones.
+func LoadCertificates(files settings.TLS, clock clockwork.Clock, scope tally.Scope) (*Certificates, error) {
+	t := &Certificates{files: files, clock: clock, failed: scope.SubScope("peer").Counter("reload_failed")}
 	return t, t.load()
 }
 
-func (t *Trust) load() error {
+func (t *Certificates) load() error {
 	cert, err := tls.LoadX509KeyPair(t.files.Cert, t.files.Key)
 	if err != nil {
 		return errors.Wrapf(err, "read the peers' certificate %s", t.files.Cert)
@@ -56,7 +56,7 @@
 }
 
 // current gives the certificates, reading the files again if they are old.
-func (t *Trust) current() (*tls.Certificate, *x509.CertPool) {
+func (t *Certificates) current() (*tls.Certificate, *x509.CertPool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.clock.Since(t.read) >= trustAge {
@@ -70,7 +70,7 @@
 
 // verify checks the other side's chain against the operator's authority. Names
 // are not compared: daemons are addressed by IP numbers that come and go.
-func (t *Trust) verify(cs tls.ConnectionState) error {
+func (t *Certificates) verify(cs tls.ConnectionState) error {
 	_, pool := t.current()
 	if len(cs.PeerCertificates) == 0 {
 		return errors.New("peer shows no certificate")
@@ -89,7 +89,7 @@
 
 // config serves both sides. Sessions are not resumed, so that a certificate
 // that was replaced or has expired is seen at the next connection.
-func (t *Trust) config() *tls.Config {
+func (t *Certificates) config() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
 		SessionTicketsDisabled: true,
--- a/internal/quarantine/entries.go
+++ b/internal/quarantine/entries.go
@@ -142,12 +142,12 @@
 }
 
 // addToBeat adds the entries that a peer has not been sent to a heartbeat.
-func (q *Quarantine) addToBeat(to string, b *peer.Beat) {
+func (q *Quarantine) addToBeat(to string, b *peer.Heartbeat) {
 	unsent, more := q.unsentEntries(to)
 	for _, e := range unsent {
-		b.Holds = append(b.Holds, peer.Hold{
-			Digest: e.Digest.String(), Pool: e.Pool, State: string(e.State), Number: e.version, Until: e.Until.UnixMilli(),
-			Targets: e.Crashes, Times: e.Holds,
+		b.QuarantineEntries = append(b.QuarantineEntries, peer.QuarantineEntry{
+			Digest: e.Digest.String(), Pool: e.Pool, State: string(e.State), Version: e.version, Until: e.Until.UnixMilli(),
+			Crashes: e.Crashes, HoldCount: e.Holds,
 		})
 	}
 	if more {
@@ -179,15 +179,15 @@
 }
 
 // receiveBeat applies the entries in a peer's heartbeat and forwards new ones.
-func (q *Quarantine) receiveBeat(_ string, b *peer.Beat) {
+func (q *Quarantine) receiveBeat(_ string, b *peer.Heartbeat) {
 	changed := false
-	for _, h := range b.Holds {
+	for _, h := range b.QuarantineEntries {
 		d, err := digest.Parse(h.Digest)
 		if err != nil || statePrecedence[decide.State(h.State)] == 0 {
 			continue
 		}
-		changed = q.mergeEntry(entry{version: h.Number, Verdict: decide.Verdict{
-			Digest: d, Pool: h.Pool, State: decide.State(h.State), Until: time.UnixMilli(h.Until), Crashes: h.Targets, Holds: h.Times,
+		changed = q.mergeEntry(entry{version: h.Version, Verdict: decide.Verdict{
+			Digest: d, Pool: h.Pool, State: decide.State(h.State), Until: time.UnixMilli(h.Until), Crashes: h.Crashes, Holds: h.HoldCount,
 		}}) || changed
 	}
 	if changed {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -38,11 +38,11 @@
 
 // Peers is the part of the peer endpoint that Quarantine uses.
 type Peers interface {
-	Handle(method string, m peer.Method)
+	Handle(method string, m peer.Handler)
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 	AddSource(peer.Source)
 	AddSink(peer.Sink)
-	AddUp(func(fireflypath.Member))
+	OnConnect(func(fireflypath.Member))
 	Flush()
 }
 
@@ -110,7 +110,7 @@
 		deps.Peers.Handle(methodReport, q.handleReport)
 		deps.Peers.AddSource(q.addToBeat)
 		deps.Peers.AddSink(q.receiveBeat)
-		deps.Peers.AddUp(q.peerConnected)
+		deps.Peers.OnConnect(q.peerConnected)
 	}
 	return q
 }
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -54,17 +54,17 @@
 	fleet       *fleet
 	name        string
 	q           *quarantine.Quarantine
-	method      peer.Method
+	method      peer.Handler
 	source      peer.Source
 	sink        peer.Sink
 	onConnected func(fireflypath.Member)
 }
 
-func (d *daemon) Handle(_ string, m peer.Method)    { d.method = m }
-func (d *daemon) AddSource(s peer.Source)           { d.source = s }
-func (d *daemon) AddSink(s peer.Sink)               { d.sink = s }
-func (d *daemon) AddUp(up func(fireflypath.Member)) { d.onConnected = up }
-func (d *daemon) Flush()                            {}
+func (d *daemon) Handle(_ string, m peer.Handler)       { d.method = m }
+func (d *daemon) AddSource(s peer.Source)               { d.source = s }
+func (d *daemon) AddSink(s peer.Sink)                   { d.sink = s }
+func (d *daemon) OnConnect(up func(fireflypath.Member)) { d.onConnected = up }
+func (d *daemon) Flush()                                {}
 
 func (d *daemon) Call(ctx context.Context, to fireflypath.Member, _ string, params, _ any) error {
 	d.fleet.calls.Add(1)
@@ -145,7 +145,7 @@
 	if from == to || f.unreachable[from.name] || f.unreachable[to.name] {
 		return
 	}
-	var b peer.Beat
+	var b peer.Heartbeat
 	from.source(to.name, &b)
 	to.sink(from.name, &b)
 }
@@ -385,7 +385,7 @@
 		d := f.measuredDaemon(&report)
 		d.q.TargetCrashed(poison, target("i-0123456789"), f.clock.Now())
 		d.q.Step(b.Context())
-		var m peer.Beat
+		var m peer.Heartbeat
 		d.q.ApplyStoreEntry(fireflypath.Entry{Key: quarantine.Prefix + poison.String(), Value: []byte(`{"pool":"pool-name","until":1796288695573,"targets":3,"times":1,"number":2}`)})
 		d.source("d1", &m)
 		text, err := json.Marshal(m)
--- a/internal/quotas/quotas_test.go
+++ b/internal/quotas/quotas_test.go
@@ -23,7 +23,7 @@
 type fleet struct {
 	clock   *clockwork.FakeClock
 	live    []fireflypath.Member
-	methods map[string]peer.Method
+	methods map[string]peer.Handler
 	cut     map[string]bool
 	daemons []*daemon
 	// calls counts the reports of all daemons. lastResponse is the response to the last one.
@@ -48,7 +48,7 @@
 	fraction       float64
 }
 
-func (d *daemon) Handle(_ string, m peer.Method) { d.fleet.methods[d.name] = m }
+func (d *daemon) Handle(_ string, m peer.Handler) { d.fleet.methods[d.name] = m }
 
 func (d *daemon) Call(ctx context.Context, to fireflypath.Member, _ string, params, result any) error {
 	d.fleet.calls++
@@ -95,7 +95,7 @@
 }
 
 func start(n int) *fleet {
-	f := &fleet{clock: clockwork.NewFakeClock(), methods: map[string]peer.Method{}, cut: map[string]bool{}}
+	f := &fleet{clock: clockwork.NewFakeClock(), methods: map[string]peer.Handler{}, cut: map[string]bool{}}
 	for i := range n {
 		f.live = append(f.live, fireflypath.Member{Name: fmt.Sprint("d", i)})
 	}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -31,7 +31,7 @@
 
 // Peers receives heartbeats and makes and serves calls between daemons.
 type Peers interface {
-	Handle(method string, m peer.Method)
+	Handle(method string, m peer.Handler)
 	AddSink(s peer.Sink)
 	Flush()
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
@@ -108,7 +108,7 @@
 }
 
 // receive records a peer that announces a newer generation.
-func (d *Distributor) receive(from string, b *peer.Beat) {
+func (d *Distributor) receive(from string, b *peer.Heartbeat) {
 	if b.Generation <= d.configs.Generation() {
 		return
 	}
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -25,13 +25,13 @@
 
 // link carries calls to another daemon and delays responses by their transfer time.
 type link struct {
-	methods map[string]peer.Method
+	methods map[string]peer.Handler
 	sinks   []peer.Sink
 }
 
-func (l *link) Handle(method string, m peer.Method) { l.methods[method] = m }
-func (l *link) AddSink(s peer.Sink)                 { l.sinks = append(l.sinks, s) }
-func (l *link) Flush()                              {}
+func (l *link) Handle(method string, m peer.Handler) { l.methods[method] = m }
+func (l *link) AddSink(s peer.Sink)                  { l.sinks = append(l.sinks, s) }
+func (l *link) Flush()                               {}
 
 // Call calls a method of the other end.
 func (l *link) Call(ctx context.Context, _ fireflypath.Member, method string, params, result any) error {
@@ -57,8 +57,8 @@
 // remoteEnd is the other end of a link.
 type remoteEnd struct{ *link }
 
-func (r remoteEnd) Handle(method string, m peer.Method) { r.methods["far "+method] = m }
-func (remoteEnd) AddSink(peer.Sink)                     {}
+func (r remoteEnd) Handle(method string, m peer.Handler) { r.methods["far "+method] = m }
+func (remoteEnd) AddSink(peer.Sink)                      {}
 
 type fleet struct{}
 
@@ -94,7 +94,7 @@
 		is.NoErr(remote.Follow(t.Context()))
 		local := configuration.New(testkit.NewMapStore(clock), nil, "near", clock, tally.NoopScope, log)
 
-		l := &link{methods: map[string]peer.Method{}}
+		l := &link{methods: map[string]peer.Handler{}}
 		spread.New(remote, fleet{}, remoteEnd{l}, log)
 		d := spread.New(local, fleet{}, l, log)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -103,7 +103,7 @@
 		start := time.Now()
 		// A change must be in force everywhere within 16 s. Heartbeats arrive each second.
 		for local.Generation() != remote.Generation() && time.Since(start) < 16*time.Second {
-			l.sinks[0]("far", &peer.Beat{Generation: remote.Generation()})
+			l.sinks[0]("far", &peer.Heartbeat{Generation: remote.Generation()})
 			time.Sleep(time.Second)
 		}
 		is.Equal(local.Generation(), remote.Generation())
--- a/internal/usage/receive.go
+++ b/internal/usage/receive.go
@@ -54,31 +54,31 @@
 }
 
 // receive records the state in a peer's heartbeat.
-func (u *Usage) receive(from string, b *peer.Beat) {
+func (u *Usage) receive(from string, b *peer.Heartbeat) {
 	now := u.clock.Now()
 	u.mu.Lock()
 	p := u.peerState(from)
 	p.at = now
 	in := b.Usage
-	if in != nil && in.Life != p.epoch && in.Life != p.previousEpoch {
-		p.reset(in.Life)
+	if in != nil && in.Epoch != p.epoch && in.Epoch != p.previousEpoch {
+		p.reset(in.Epoch)
 	}
-	if in == nil || in.Life != p.epoch || in.Number <= p.sequence {
+	if in == nil || in.Epoch != p.epoch || in.Sequence <= p.sequence {
 		u.mu.Unlock()
 		return
 	}
 	u.received.Inc(1)
 	u.pending = true
-	p.sequence = in.Number
-	if in.Whole {
+	p.sequence = in.Sequence
+	if in.Full {
 		clear(p.inFlight)
 		clear(p.pendingPrompts)
 		clear(p.waitingRanks)
 	}
-	p.partialView = in.Apart
-	maps.Copy(p.inFlight, in.Flights)
-	maps.Copy(p.pendingPrompts, in.Prompts)
-	for pool, r := range in.Waits {
+	p.partialView = in.PartialView
+	maps.Copy(p.inFlight, in.InFlight)
+	maps.Copy(p.pendingPrompts, in.PendingPrompts)
+	for pool, r := range in.WaitingRanks {
 		p.waitingRanks[pool] = r
 		if r == noRank {
 			delete(p.waitingRanks, pool)
@@ -89,7 +89,7 @@
 	}
 	spent := p.updateUsed(in)
 	u.mu.Unlock()
-	u.limits.AdoptLevels(now, in.Levels)
+	u.limits.AdoptLevels(now, in.BucketLevels)
 	for team, n := range spent {
 		u.limits.DeductRemoteUse(now, team, float64(n))
 	}
@@ -120,13 +120,13 @@
 // bucket here started without it too.
 func (p *peerState) updateUsed(in *peer.Usage) map[string]int64 {
 	out := map[string]int64{}
-	for team, n := range in.Used {
+	for team, n := range in.QuotaUsed {
 		if d := n - p.used[team]; d != 0 && p.complete {
 			out[team] = d
 		}
 		p.used[team] = n
 	}
-	p.complete = p.complete || in.Whole
+	p.complete = p.complete || in.Full
 	return out
 }
 
--- a/internal/usage/send.go
+++ b/internal/usage/send.go
@@ -20,7 +20,7 @@
 }
 
 // fillBeat adds to a heartbeat what changed since the last one to that peer.
-func (u *Usage) fillBeat(to string, b *peer.Beat) {
+func (u *Usage) fillBeat(to string, b *peer.Heartbeat) {
 	layout := u.fleet.Layout()
 	if !slices.Contains(layout.Members(u.self), to) {
 		return // it sends work to other targets
@@ -41,13 +41,13 @@
 		}
 		u.sentTo[to] = s
 	}
-	out := &peer.Usage{Whole: full}
+	out := &peer.Usage{Full: full}
 	if first && layout.CellCount() == 1 {
-		out.Levels = u.limits.Levels(now)
+		out.BucketLevels = u.limits.Levels(now)
 	}
-	out.Flights = diff(s.inFlight, u.inFlight, 0)
-	out.Prompts = diff(s.pendingPrompts, u.pendingPrompts, 0)
-	out.Waits = diff(s.waitingRanks, u.waitingRanks, noRank)
+	out.InFlight = diff(s.inFlight, u.inFlight, 0)
+	out.PendingPrompts = diff(s.pendingPrompts, u.pendingPrompts, 0)
+	out.WaitingRanks = diff(s.waitingRanks, u.waitingRanks, noRank)
 	for target, v := range u.speeds {
 		if _, known := s.speeds[target]; !known {
 			out.Speeds = set(out.Speeds, target, v)
@@ -56,17 +56,17 @@
 	}
 	for team, n := range u.used {
 		if layout.CellCount() == 1 && (s.used[team] != n || full) {
-			out.Used = set(out.Used, team, n)
+			out.QuotaUsed = set(out.QuotaUsed, team, n)
 			s.used[team] = n
 		}
 	}
-	changed := out.Flights != nil || out.Prompts != nil || out.Waits != nil || out.Speeds != nil || out.Used != nil
+	changed := out.InFlight != nil || out.PendingPrompts != nil || out.WaitingRanks != nil || out.Speeds != nil || out.QuotaUsed != nil
 	if !full && !changed && s.partialView == u.partialView {
 		return
 	}
-	out.Apart, s.partialView = u.partialView, u.partialView
+	out.PartialView, s.partialView = u.partialView, u.partialView
 	u.sequence++
-	out.Life, out.Number = u.epoch, u.sequence
+	out.Epoch, out.Sequence = u.epoch, u.sequence
 	b.Usage = out
 	u.sent.Inc(1)
 }
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -36,7 +36,7 @@
 type Peers interface {
 	AddSource(peer.Source)
 	AddSink(peer.Sink)
-	AddUp(func(fireflypath.Member))
+	OnConnect(func(fireflypath.Member))
 	FlushTo(names []string)
 }
 
@@ -120,7 +120,7 @@
 	}
 	peers.AddSource(u.fillBeat)
 	peers.AddSink(u.receive)
-	peers.AddUp(u.resetPeer)
+	peers.OnConnect(u.resetPeer)
 	return u
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -43,17 +43,17 @@
 	layout *cell.Layout
 }
 
-func (d *daemon) AddSource(s peer.Source)             { d.source = s }
-func (d *daemon) AddSink(s peer.Sink)                 { d.sink = s }
-func (d *daemon) AddUp(up func(fireflypath.Member))   { d.up = up }
-func (d *daemon) FlushTo([]string)                    { d.flushed++ }
-func (d *daemon) Live() []fireflypath.Member          { return d.live }
-func (d *daemon) Missing() int                        { return d.missing }
-func (d *daemon) Report() fireflypath.Mate            { d.reports++; return d.report }
-func (d *daemon) UpdatePeers(ms []fireflypath.Mate)   { d.peers = ms; d.updates++ }
-func (d *daemon) Used() map[string]float64            { return d.used }
-func (d *daemon) SetLargeFleet(int)                   {}
-func (d *daemon) Levels(time.Time) map[string]float64 { return map[string]float64{"red": 7} }
+func (d *daemon) AddSource(s peer.Source)               { d.source = s }
+func (d *daemon) AddSink(s peer.Sink)                   { d.sink = s }
+func (d *daemon) OnConnect(up func(fireflypath.Member)) { d.up = up }
+func (d *daemon) FlushTo([]string)                      { d.flushed++ }
+func (d *daemon) Live() []fireflypath.Member            { return d.live }
+func (d *daemon) Missing() int                          { return d.missing }
+func (d *daemon) Report() fireflypath.Mate              { d.reports++; return d.report }
+func (d *daemon) UpdatePeers(ms []fireflypath.Mate)     { d.peers = ms; d.updates++ }
+func (d *daemon) Used() map[string]float64              { return d.used }
+func (d *daemon) SetLargeFleet(int)                     {}
+func (d *daemon) Levels(time.Time) map[string]float64   { return map[string]float64{"red": 7} }
 
 func (d *daemon) Version() uint64 {
 	if !d.idle {
@@ -100,7 +100,7 @@
 // exchange sends a heartbeat from one daemon to the other.
 func exchange(from, to *daemon) {
 	from.usage.Step()
-	var b peer.Beat
+	var b peer.Heartbeat
 	from.source(to.name, &b)
 	to.sink(from.name, &b)
 	to.usage.Step()
@@ -177,7 +177,7 @@
 	a, b := ds[0], ds[1]
 	a.report.Flights = map[string]int{"t1": 3}
 	a.usage.Step()
-	var old peer.Beat
+	var old peer.Heartbeat
 	a.source("d1", &old)
 	a.report.Flights = map[string]int{"t1": 1}
 	exchange(a, b)
@@ -199,7 +199,7 @@
 	slices.SortFunc(d.live, func(a, b fireflypath.Member) int { return strings.Compare(a.Name, b.Name) })
 	for _, m := range d.live {
 		if m.Name != d.name {
-			d.sink(m.Name, &peer.Beat{})
+			d.sink(m.Name, &peer.Heartbeat{})
 		}
 	}
 	d.usage.Step()
