--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -9,73 +9,73 @@
 )
 
 // Serve accepts connections until the endpoint or the listener is closed.
-func (e *Endpoint) Serve(l net.Listener) error {
-	stop := context.AfterFunc(e.ctx, func() { l.Close() })
+func (e *Endpoint) Serve(ln net.Listener) error {
+	stop := context.AfterFunc(e.ctx, func() { ln.Close() })
 	defer stop()
 	for {
-		c, err := l.Accept()
+		nc, err := ln.Accept()
 		if err != nil {
 			if e.ctx.Err() != nil {
 				return ErrClosed
 			}
-			return errors.Wrap(err, "accept a peer")
+			return errors.Wrap(err, "accept a peer connection")
 		}
-		e.accept(c)
+		e.accept(nc)
 	}
 }
 
-// accept takes a connection in unless there are too many.
-func (e *Endpoint) accept(c net.Conn) {
+// accept serves an incoming connection, or closes it if there are too many.
+func (e *Endpoint) accept(nc net.Conn) {
 	e.mu.Lock()
-	full := e.closed || e.accepted >= maxConnections
+	full := e.closed || e.accepted >= maxAcceptedConnections
 	if !full {
 		e.accepted++
-		e.wg.Go(func() { e.welcome(c) })
+		e.wg.Go(func() { e.serveConn(nc) })
 	}
 	e.mu.Unlock()
 	if full {
-		e.count.refused.Inc(1)
-		c.Close()
+		e.metrics.refused.Inc(1)
+		nc.Close()
 	}
 }
 
-// welcome waits for the introduction and serves the connection to its end.
-func (e *Endpoint) welcome(c net.Conn) {
+// serveConn waits for the hello of the peer and serves the connection until it ends.
+func (e *Endpoint) serveConn(nc net.Conn) {
 	defer func() {
 		e.mu.Lock()
 		e.accepted--
 		e.mu.Unlock()
 	}()
-	ctx, cancel := context.WithTimeout(e.ctx, helloTimeout)
+	ctx, cancel := context.WithTimeout(e.ctx, handshakeTimeout)
 	defer cancel()
-	c, err := e.secure(ctx, c, tls.Server)
+	nc, err := e.tlsHandshake(ctx, nc, tls.Server)
 	if err != nil {
-		e.count.strangers.Inc(1)
+		e.metrics.handshakeFailures.Inc(1)
 		return
 	}
-	l := e.newLink(c, false)
+	c := e.newConnection(nc, false)
 	select {
-	case <-l.ready:
-	case <-l.conn.DisconnectNotify():
+	case <-c.ready:
+	case <-c.conn.DisconnectNotify():
 	case <-ctx.Done():
 	}
-	if l.giveUp() {
-		e.count.strangers.Inc(1)
-		l.close()
+	if c.abandonHello() {
+		e.metrics.handshakeFailures.Inc(1)
+		c.close()
 		return
 	}
-	l.run()
+	c.run()
 }
 
-// secure makes the TLS handshake, if there is one, and closes c if it fails.
-func (e *Endpoint) secure(ctx context.Context, c net.Conn, side func(net.Conn, *tls.Config) *tls.Conn) (net.Conn, error) {
-	if e.config == nil {
-		return c, nil
+// tlsHandshake does the TLS handshake if TLS is configured. It closes nc on failure.
+func (e *Endpoint) tlsHandshake(ctx context.Context, nc net.Conn, newTLSConn func(net.Conn, *tls.Config) *tls.Conn) (net.Conn, error) {
+	if e.tlsConfig == nil {
+		return nc, nil
 	}
-	t := side(c, e.config)
-	if err := t.HandshakeContext(ctx); err != nil {
-		c.Close()
+	tlsConn := newTLSConn(nc, e.tlsConfig)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
+		nc.Close()
 		return nil, errors.Wrap(err, "handshake with a peer")
 	}
-	return t, nil
+	return tlsConn, nil
 }
--- a/internal/peer/demand.go
+++ b/internal/peer/demand.go
@@ -8,24 +8,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Demand is the short form of fireflypath.Demand. It is sent to a dozen peers
-// each second, and so written as text, "SLOTS WAITING RUNNING POOL": half the
-// bytes of an object with names.
+// Demand is the compact form of fireflypath.Demand on the wire. It is sent to about
+// twelve peers every second and is therefore encoded as the text "SLOTS WAITING
+// RUNNING POOL", which takes half the bytes of a JSON object with field names.
 type Demand struct {
 	Pool string
-	// Slots is the learned window of the pool's targets in requests.
+	// Slots is the sum of the learned concurrency windows of the pool's targets, in
+	// requests.
 	Slots int
-	// WaitingRequests wait, Busy ones run, both by rank.
+	// WaitingRequests and RunningRequests count the requests by rank.
 	WaitingRequests []int
 	RunningRequests []int
 }
 
-// Equal reports whether two lines say the same.
+// Equal reports whether two demands are the same.
 func (d Demand) Equal(o Demand) bool {
 	return d.Pool == o.Pool && d.Slots == o.Slots && slices.Equal(d.WaitingRequests, o.WaitingRequests) && slices.Equal(d.RunningRequests, o.RunningRequests)
 }
 
-// MarshalText writes the short form.
+// MarshalText implements encoding.TextMarshaler.
 func (d Demand) MarshalText() ([]byte, error) {
 	b := strconv.AppendInt(nil, int64(d.Slots), 10)
 	b = appendCounts(append(b, ' '), d.WaitingRequests)
@@ -33,6 +34,7 @@
 	return append(append(b, ' '), d.Pool...), nil
 }
 
+// appendCounts appends counts separated by commas.
 func appendCounts(b []byte, vs []int) []byte {
 	for i, v := range vs {
 		if i > 0 {
@@ -43,9 +45,9 @@
 	return b
 }
 
-// UnmarshalText reads the short form.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Demand) UnmarshalText(text []byte) error {
-	const fields = 4 // the pool's name is last and may hold spaces
+	const fields = 4 // the pool's name comes last and may contain spaces
 	parts := strings.SplitN(string(text), " ", fields)
 	if len(parts) != fields {
 		return errors.Wrap(errMalformed, "demand")
@@ -55,20 +57,21 @@
 		return errors.Wrap(errMalformed, "slots of a demand")
 	}
 	d.Slots, d.Pool = slots, parts[fields-1]
-	if d.WaitingRequests, err = counts(parts[1]); err != nil {
+	if d.WaitingRequests, err = parseCounts(parts[1]); err != nil {
 		return err
 	}
-	d.RunningRequests, err = counts(parts[2])
+	d.RunningRequests, err = parseCounts(parts[2])
 	return err
 }
 
-func counts(text string) ([]int, error) {
+// parseCounts parses the output of appendCounts.
+func parseCounts(text string) ([]int, error) {
 	if text == "" {
 		return nil, nil
 	}
 	var out []int
-	for _, w := range strings.Split(text, ",") {
-		v, err := strconv.Atoi(w)
+	for _, field := range strings.Split(text, ",") {
+		v, err := strconv.Atoi(field)
 		if err != nil {
 			return nil, errors.Wrap(errMalformed, "count of a demand")
 		}
--- a/internal/peer/demand_test.go
+++ b/internal/peer/demand_test.go
@@ -29,7 +29,7 @@
 	}
 	for _, bad := range []string{`""`, `"x 1 1 chat"`, `"1 1,y 1 chat"`, `"1 1 1"`} {
 		if err := json.Unmarshal([]byte(bad), new(Demand)); err == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
--- a/internal/peer/endpoint.go
+++ b/internal/peer/endpoint.go
@@ -1,4 +1,7 @@
-// Package peer speaks jsonrpc2 with the other daemons.
+// Package peer connects the daemons of a fleet.
+//
+// Daemons send each other heartbeats and calls as JSON-RPC 2.0 messages over TCP,
+// optionally with mutual TLS. One connection carries both directions.
 package peer
 
 import (
@@ -21,110 +24,117 @@
 )
 
 const (
-	// DefaultHeartbeatInterval is the default time between heartbeats on a connection.
+	// DefaultHeartbeatInterval is the default time between two heartbeats on a
+	// connection.
 	DefaultHeartbeatInterval = time.Second
-	// silentBeats is how many beats may fail to come. With a check every quarter
-	// of a beat, a silent connection is closed at most 2.25 s after the last
-	// message, which leaves three quarters of a second of the 3 s for the new one.
-	silentBeats = 2
-	// helloTimeout bounds handshake and introduction, so that a stranger that
-	// says nothing does not hold a place.
-	helloTimeout = 2 * time.Second
-	// maxMessage bounds a message: a page of chunks is 256 KB.
-	maxMessage = 1 << 20
-	// maxConnections bounds incoming connections. A daemon holds about ten; a
-	// relief round of 370 daemons may bring each of the others for a while.
-	maxConnections = 512
-	// maxCalls bounds the calls of one connection that are being answered.
-	maxCalls = 16
-	// idleAfter is when a connection that is no neighbour's is closed.
-	idleAfter = 10 * time.Second
+	// maxMissedHeartbeats is the number of heartbeat intervals without a message after
+	// which a connection is closed. Connections are checked four times per interval, so
+	// at the default interval a silent connection is closed at most 2.25 s after its
+	// last message. A silent connection must be replaced within 3 s, which leaves 0.75 s
+	// for the new one.
+	maxMissedHeartbeats = 2
+	// handshakeTimeout limits the TLS handshake and the exchange of hello messages, so
+	// that a client that sends nothing does not occupy one of maxAcceptedConnections.
+	handshakeTimeout = 2 * time.Second
+	// maxMessageSize limits the size of a message. A response with chunks of a
+	// configuration has up to 256 KB.
+	maxMessageSize = 1 << 20
+	// maxAcceptedConnections limits incoming connections. A daemon usually has about
+	// ten. During a relief round in a fleet of 370 daemons, each of the others may
+	// connect for a short time.
+	maxAcceptedConnections = 512
+	// maxConcurrentCalls limits the calls of one connection that are handled at the
+	// same time.
+	maxConcurrentCalls = 16
+	// idleTimeout is how long a connection to a daemon that is not a neighbour stays
+	// open without calls.
+	idleTimeout = 10 * time.Second
 )
 
 var (
-	// ErrUnreachable means that no connection to the daemon could be had, or
-	// that it broke; a call may or may not have been done.
+	// ErrUnreachable is returned if the connection to a daemon could not be established
+	// or failed. The peer may or may not have executed the call.
 	ErrUnreachable = errors.New("daemon cannot be reached")
-	// ErrClosed means that this endpoint was closed.
+	// ErrClosed is returned after Close.
 	ErrClosed = errors.New("endpoint is closed")
 )
 
-// Handler answers a call of a peer.
+// Handler handles a call from a peer and returns its result.
 type Handler func(ctx context.Context, from string, params json.RawMessage) (any, error)
 
-// Source fills in its part of a beat to a peer.
-type Source func(to string, b *Heartbeat)
+// Source fills in its part of a heartbeat to a peer.
+type Source func(to string, hb *Heartbeat)
 
-// Sink takes its part from a peer's beat. It must not block.
-type Sink func(from string, b *Heartbeat)
+// Sink processes its part of a heartbeat from a peer. It must not block.
+type Sink func(from string, hb *Heartbeat)
 
-// Endpoint holds this daemon's connections to others. Configure it with
-// Handle, AddSource, AddSink and OnConnect before Serve.
+// Endpoint manages the connections to other daemons. Handle, AddSource, AddSink and
+// OnConnect must be called before Serve.
 type Endpoint struct {
-	network fireflypath.Network
-	config  *tls.Config
-	self    func() fireflypath.Member
-	beat    time.Duration
-	clock   clockwork.Clock
-	log     *zap.Logger
-	count   *counters
-
-	methods map[string]Handler
-	sources []Source
-	sinks   []Sink
-	ups     []func(fireflypath.Member)
-
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      conc.WaitGroup
-	dialing singleflight.Group
-
-	mu       sync.Mutex
-	closed   bool
-	links    map[string][]*link
-	keep     map[string]bool
-	accepted int
-	// watched is true once watch looks after the connections.
-	watched bool
-	flush   flush
+	network           fireflypath.Network
+	tlsConfig         *tls.Config
+	self              func() fireflypath.Member
+	heartbeatInterval time.Duration
+	clock             clockwork.Clock
+	log               *zap.Logger
+	metrics           *metrics
+
+	handlers  map[string]Handler
+	sources   []Source
+	sinks     []Sink
+	onConnect []func(fireflypath.Member)
+
+	ctx    context.Context
+	cancel context.CancelFunc
+	wg     conc.WaitGroup
+	dials  singleflight.Group
+
+	mu          sync.Mutex
+	closed      bool
+	connections map[string][]*connection
+	neighbours  map[string]bool
+	accepted    int
+	// monitored is true once monitor is running.
+	monitored bool
+	flush     flushState
 }
 
-// New makes an endpoint. A nil trust means plain connections. self is asked
-// for this daemon's record at each introduction.
-func New(network fireflypath.Network, trust *Certificates, self func() fireflypath.Member, beat time.Duration,
+// New returns an endpoint. Without certificates, connections are not encrypted. self
+// returns the record of this daemon; it is called for each hello message.
+func New(network fireflypath.Network, certs *Certificates, self func() fireflypath.Member, heartbeatInterval time.Duration,
 	clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
 ) *Endpoint {
 	e := &Endpoint{
-		network: network, self: self, beat: beat, clock: clock, log: log, count: newCounters(scope),
-		methods: map[string]Handler{}, links: map[string][]*link{},
-		flush: flush{names: map[string]bool{}},
+		network: network, self: self, heartbeatInterval: heartbeatInterval, clock: clock, log: log, metrics: newMetrics(scope),
+		handlers: map[string]Handler{}, connections: map[string][]*connection{},
+		flush: flushState{peers: map[string]bool{}},
 	}
-	if beat <= 0 {
-		e.beat = DefaultHeartbeatInterval
+	if heartbeatInterval <= 0 {
+		e.heartbeatInterval = DefaultHeartbeatInterval
 	}
-	if trust != nil {
-		e.config = trust.config()
+	if certs != nil {
+		e.tlsConfig = certs.config()
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	return e
 }
 
-// Handle sets the answer to a method.
-func (e *Endpoint) Handle(method string, m Handler) { e.methods[method] = m }
+// Handle registers the handler of a method.
+func (e *Endpoint) Handle(method string, h Handler) { e.handlers[method] = h }
 
-// AddSource adds a part of each beat sent.
+// AddSource registers a source for all heartbeats sent.
 func (e *Endpoint) AddSource(s Source) { e.sources = append(e.sources, s) }
 
-// AddSink adds a reader of each beat received.
+// AddSink registers a sink for all heartbeats received.
 func (e *Endpoint) AddSink(s Sink) { e.sinks = append(e.sinks, s) }
 
-// OnConnect adds what is told of each new connection's other side.
-func (e *Endpoint) OnConnect(up func(fireflypath.Member)) { e.ups = append(e.ups, up) }
+// OnConnect registers a function that is called with the peer of each new connection.
+func (e *Endpoint) OnConnect(fn func(fireflypath.Member)) { e.onConnect = append(e.onConnect, fn) }
 
-// Connect makes sure that there is a connection to the address and returns the
-// other side's record.
+// Connect opens a connection to an address and returns the record of the peer.
+// Concurrent calls for the same address share one attempt.
 func (e *Endpoint) Connect(ctx context.Context, addr string) (fireflypath.Member, error) {
-	ch := e.dialing.DoChan(addr, func() (any, error) { return e.dial(addr) })
+	ch := e.dials.DoChan(addr, func() (any, error) { return e.dial(addr) })
 	select {
 	case <-ctx.Done():
 		return fireflypath.Member{}, errors.Mark(ctx.Err(), ErrUnreachable)
@@ -136,41 +146,42 @@
 	}
 }
 
-// dial opens a connection and introduces this daemon.
+// dial opens a connection and exchanges hello messages.
 func (e *Endpoint) dial(addr string) (fireflypath.Member, error) {
 	var none fireflypath.Member
-	ctx, cancel := context.WithTimeout(e.ctx, helloTimeout)
+	ctx, cancel := context.WithTimeout(e.ctx, handshakeTimeout)
 	defer cancel()
-	e.count.dialed.Inc(1)
-	c, err := e.network.Dial(ctx, addr)
+	e.metrics.dialed.Inc(1)
+	nc, err := e.network.Dial(ctx, addr)
 	if err == nil {
-		c, err = e.secure(ctx, c, tls.Client)
+		nc, err = e.tlsHandshake(ctx, nc, tls.Client)
 	}
 	if err != nil {
-		e.count.dialFailed.Inc(1)
+		e.metrics.dialFailed.Inc(1)
 		return none, errors.Wrapf(err, "connect to %s", addr)
 	}
-	l := e.newLink(c, true)
+	c := e.newConnection(nc, true)
 	var theirs hello
-	err = l.conn.Call(ctx, methodHello, hello{Protocol: protocol, Member: e.self()}, &theirs)
+	err = c.conn.Call(ctx, methodHello, hello{Protocol: protocol, Member: e.self()}, &theirs)
 	if err == nil && theirs.Protocol != protocol {
 		err = errors.Newf("protocol %d", theirs.Protocol)
 	}
 	if err != nil {
-		l.close()
-		e.count.dialFailed.Inc(1)
+		c.close()
+		e.metrics.dialFailed.Inc(1)
 		return none, errors.Wrapf(err, "introduction to %s", addr)
 	}
-	l.introduce(theirs.Member)
-	if !e.spawn(l.run) {
-		e.drop(l)
-		l.close()
+	c.completeHello(theirs.Member)
+	if !e.spawn(c.run) {
+		e.removeConnection(c)
+		c.close()
 		return none, ErrClosed
 	}
 	return theirs.Member, nil
 }
 
-// spawn runs fn unless the endpoint is closed, whose Close waits for it.
+// spawn runs fn in a goroutine that Close waits for. It returns false if the endpoint is
+// closed.
 func (e *Endpoint) spawn(fn func()) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,92 +192,95 @@
 	return true
 }
 
-// add makes a connection usable and tells of its other side.
-func (e *Endpoint) add(l *link) {
+// addConnection makes a connection available for calls and calls the OnConnect functions.
+func (e *Endpoint) addConnection(c *connection) {
 	e.mu.Lock()
-	e.links[l.peer.Name] = append(e.links[l.peer.Name], l)
-	e.gauge()
-	if !e.watched && !e.closed {
-		e.watched = true
-		e.wg.Go(e.watch)
+	e.connections[c.peer.Name] = append(e.connections[c.peer.Name], c)
+	e.updateOpenGauge()
+	if !e.monitored && !e.closed {
+		e.monitored = true
+		e.wg.Go(e.monitor)
 	}
 	e.mu.Unlock()
-	for _, up := range e.ups {
-		up(l.peer)
+	for _, fn := range e.onConnect {
+		fn(c.peer)
 	}
-	l.wake()
+	c.wake()
 }
 
-func (e *Endpoint) gauge() {
+// updateOpenGauge sets the metric of open connections. The caller holds mu.
+func (e *Endpoint) updateOpenGauge() {
 	n := 0
-	for _, ls := range e.links {
-		n += len(ls)
+	for _, cs := range e.connections {
+		n += len(cs)
 	}
-	e.count.open.Update(float64(n))
+	e.metrics.open.Update(float64(n))
 }
 
-// drop forgets a connection.
-func (e *Endpoint) drop(l *link) {
+// removeConnection removes a closed connection.
+func (e *Endpoint) removeConnection(c *connection) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	ls := slices.DeleteFunc(e.links[l.peer.Name], func(o *link) bool { return o == l })
-	e.links[l.peer.Name] = ls
-	if len(ls) == 0 {
-		delete(e.links, l.peer.Name)
+	cs := slices.DeleteFunc(e.connections[c.peer.Name], func(other *connection) bool { return other == c })
+	e.connections[c.peer.Name] = cs
+	if len(cs) == 0 {
+		delete(e.connections, c.peer.Name)
 	}
-	e.gauge()
+	e.updateOpenGauge()
 }
 
-// best is the connection to a daemon that brought something last, or nil.
-func (e *Endpoint) best(name string) *link {
+// mostRecentlyActive returns the connection to a daemon that received a message last, or
+// nil if there is none.
+func (e *Endpoint) mostRecentlyActive(name string) *connection {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var best *link
-	for _, l := range e.links[name] {
-		if best == nil || l.heard.Load() > best.heard.Load() {
-			best = l
+	var latest *connection
+	for _, c := range e.connections[name] {
+		if latest == nil || c.lastReceived.Load() > latest.lastReceived.Load() {
+			latest = c
 		}
 	}
-	return best
+	return latest
 }
 
-// LastReceived is when the last message came from a daemon on an open connection.
+// LastReceived returns the time of the last message from a daemon on an open connection,
+// and false if there is no open connection.
 func (e *Endpoint) LastReceived(name string) (time.Time, bool) {
-	l := e.best(name)
-	if l == nil {
+	c := e.mostRecentlyActive(name)
+	if c == nil {
 		return time.Time{}, false
 	}
-	return time.Unix(0, l.heard.Load()), true
+	return time.Unix(0, c.lastReceived.Load()), true
 }
 
-// Connected lists the daemons with an open connection.
+// Connected returns the names of the daemons with an open connection, in order.
 func (e *Endpoint) Connected() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]string, 0, len(e.links))
-	for n := range e.links {
+	out := make([]string, 0, len(e.connections))
+	for n := range e.connections {
 		out = append(out, n)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// SetNeighbours names the daemons whose connections stay open without calls.
+// SetNeighbours sets the daemons whose connections stay open without calls.
 func (e *Endpoint) SetNeighbours(names []string) {
-	keep := make(map[string]bool, len(names))
+	neighbours := make(map[string]bool, len(names))
 	for _, n := range names {
-		keep[n] = true
+		neighbours[n] = true
 	}
 	e.mu.Lock()
-	e.keep = keep
+	e.neighbours = neighbours
 	e.mu.Unlock()
 }
 
-// Call asks another daemon, on its connection or on a new one. A broken
-// connection gives ErrUnreachable; it is not tried again here.
+// Call calls a method of another daemon, over an open connection or a new one. If the
+// connection fails, it returns ErrUnreachable and does not retry.
 func (e *Endpoint) Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error {
-	l := e.best(to.Name)
-	if l == nil {
+	c := e.mostRecentlyActive(to.Name)
+	if c == nil {
 		m, err := e.Connect(ctx, to.Peer)
 		if err != nil {
 			return err
@@ -274,17 +288,17 @@
 		if m.Name != to.Name {
 			return errors.Wrapf(ErrUnreachable, "%s is now %s", to.Peer, m.Name)
 		}
-		if l = e.best(to.Name); l == nil {
+		if c = e.mostRecentlyActive(to.Name); c == nil {
 			return errors.Wrapf(ErrUnreachable, "connection to %s closed", to.Name)
 		}
 	}
-	return l.call(ctx, method, params, result)
+	return c.call(ctx, method, params, result)
 }
 
-// watch looks after all connections. A timer of each would wake a daemon that has
-// hundreds of them more often than its work does.
-func (e *Endpoint) watch() {
-	t := e.clock.NewTicker(e.beat / 4)
+// monitor checks all connections periodically. With a timer for each of hundreds of
+// connections, the timers would wake the process more often than its work does.
+func (e *Endpoint) monitor() {
+	t := e.clock.NewTicker(e.heartbeatInterval / 4)
 	defer t.Stop()
 	for {
 		select {
@@ -292,24 +306,24 @@
 			return
 		case <-t.Chan():
 		}
-		for _, l := range e.open() {
-			l.look()
+		for _, c := range e.openConnections() {
+			c.check()
 		}
 	}
 }
 
-// open lists the connections.
-func (e *Endpoint) open() []*link {
+// openConnections returns all open connections.
+func (e *Endpoint) openConnections() []*connection {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make([]*link, 0, len(e.links))
-	for _, ls := range e.links {
-		out = append(out, ls...)
+	out := make([]*connection, 0, len(e.connections))
+	for _, cs := range e.connections {
+		out = append(out, cs...)
 	}
 	return out
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits for their goroutines.
 func (e *Endpoint) Close() {
 	e.mu.Lock()
 	e.closed = true
@@ -318,10 +332,10 @@
 	e.wg.Wait()
 }
 
-// quiet drops jsonrpc2's own lines: the counters tell.
-type quiet struct{}
+// discardLogger discards the log of jsonrpc2. The metrics count the same events.
+type discardLogger struct{}
 
 // Printf implements jsonrpc2.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-var _ jsonrpc2.Logger = quiet{}
+var _ jsonrpc2.Logger = discardLogger{}
--- a/internal/peer/endpoint_test.go
+++ b/internal/peer/endpoint_test.go
@@ -31,7 +31,7 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// authority signs certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -71,7 +71,8 @@
 	return p
 }
 
-// issue writes a daemon's certificate, in place of an earlier one of that name.
+// issue writes the certificate of a daemon to a file. It replaces an earlier one with the
+// same name.
 func (a *authority) issue(name string, until time.Time) settings.TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -92,14 +93,14 @@
 	}
 }
 
-// node is an endpoint on the in-memory network.
+// node is an endpoint on an in-memory network.
 type node struct {
 	*Endpoint
-	scope tally.TestScope
-	beats chan string
+	scope      tally.TestScope
+	heartbeats chan string
 }
 
-func (n *node) count(name string) int64 {
+func (n *node) counter(name string) int64 {
 	for _, c := range n.scope.Snapshot().Counters() {
 		if c.Name() == "peer."+name {
 			return c.Value()
@@ -108,19 +109,19 @@
 	return 0
 }
 
-func start(t *testing.T, nw *testkit.Network, name string, files *settings.TLS) *node {
-	n := &node{scope: tally.NewTestScope("", nil), beats: make(chan string, 100)}
+func startNode(t *testing.T, nw *testkit.Network, name string, files *settings.TLS) *node {
+	n := &node{scope: tally.NewTestScope("", nil), heartbeats: make(chan string, 100)}
 	clock := clockwork.NewRealClock()
-	var trust *Certificates
+	var certs *Certificates
 	if files != nil {
 		var err error
-		if trust, err = LoadCertificates(*files, clock, n.scope); err != nil {
+		if certs, err = LoadCertificates(*files, clock, n.scope); err != nil {
 			t.Fatal(err)
 		}
 	}
 	self := func() fireflypath.Member { return fireflypath.Member{Name: name, Peer: name + ":1"} }
-	n.Endpoint = New(nw.Host(name), trust, self, time.Second, clock, n.scope, zap.NewNop())
-	n.AddSink(func(from string, _ *Heartbeat) { n.beats <- from })
+	n.Endpoint = New(nw.Host(name), certs, self, time.Second, clock, n.scope, zap.NewNop())
+	n.AddSink(func(from string, _ *Heartbeat) { n.heartbeats <- from })
 	n.Handle("echo", func(_ context.Context, from string, p json.RawMessage) (any, error) {
 		return from + " " + string(p), nil
 	})
@@ -137,7 +138,7 @@
 	return fireflypath.Member{Name: name, Peer: name + ":1"}
 }
 
-func TestCallAndBeat(t *testing.T) {
+func TestCallAndHeartbeat(t *testing.T) {
 	a := newAuthority(t)
 	for _, secure := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -148,27 +149,27 @@
 				ca, cb := a.issue("a", time.Now().Add(time.Hour)), a.issue("b", time.Now().Add(time.Hour))
 				fa, fb = &ca, &cb
 			}
-			na, nb := start(t, nw, "a", fa), start(t, nw, "b", fb)
+			na, nb := startNode(t, nw, "a", fa), startNode(t, nw, "b", fb)
 			defer na.Close()
 			defer nb.Close()
 			var out string
 			is.NoErr(na.Call(t.Context(), member("b"), "echo", 7, &out))
 			is.Equal(out, "a 7")
-			is.NoErr(nb.Call(t.Context(), member("a"), "echo", 8, &out)) // the same connection serves both
+			is.NoErr(nb.Call(t.Context(), member("a"), "echo", 8, &out)) // uses the same connection
 			is.Equal(out, "b 8")
-			is.Equal(nb.count("dialed"), int64(0))
-			is.Equal(<-nb.beats, "a")
-			is.Equal(<-na.beats, "b")
+			is.Equal(nb.counter("dialed"), int64(0))
+			is.Equal(<-nb.heartbeats, "a")
+			is.Equal(<-na.heartbeats, "b")
 			err := na.Call(t.Context(), member("b"), "unknown", 7, &out)
 			is.True(err != nil && !errors.Is(err, ErrUnreachable))
 		})
 	}
 }
 
-// Something that is no daemon of ours connects: without a certificate, with one
-// of another authority, with an expired one, or with bytes that are no message.
-// Each is cut off and counted, and the endpoint goes on serving.
-func TestStrangers(t *testing.T) {
+// A client that is not a daemon of the fleet connects: without a certificate, with one of
+// another authority, with an expired one, or with invalid messages. Each is disconnected and
+// counted.
+func TestInvalidClientsAreRejected(t *testing.T) {
 	a, other := newAuthority(t), newAuthority(t)
 	frame := func(body string) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), body...)
@@ -180,13 +181,13 @@
 		send    []byte
 		counter string
 	}{
-		{"plain on tls", true, nil, []byte("GET / HTTP/1.1\r\n\r\n"), "strangers"},
+		{"plaintext on TLS", true, nil, []byte("GET / HTTP/1.1\r\n\r\n"), "strangers"},
 		{"another authority", true, func() settings.TLS { return other.issue("x", time.Now().Add(time.Hour)) }, nil, "strangers"},
 		{"expired", true, func() settings.TLS { return a.issue("x", time.Unix(1, 0)) }, nil, "strangers"},
-		{"says nothing", false, nil, []byte{}, "strangers"},
+		{"sends nothing", false, nil, []byte{}, "strangers"},
 		{"oversized", false, nil, []byte{0xff, 0xff, 0xff, 0xff}, "oversized"},
 		{"malformed", false, nil, frame(`{"jsonrpc":"2.0",`), "malformed"},
-		{"no introduction", false, nil, frame(`{"jsonrpc":"2.0","method":"echo","params":1,"id":1}`), "strangers"},
+		{"no hello", false, nil, frame(`{"jsonrpc":"2.0","method":"echo","params":1,"id":1}`), "strangers"},
 		{"other protocol", false, nil, frame(`{"jsonrpc":"2.0","method":"hello","params":{"protocol":9},"id":1}`), "strangers"},
 	}
 	for _, tt := range tests {
@@ -199,7 +200,7 @@
 					f := a.issue("b", time.Now().Add(time.Hour))
 					files = &f
 				}
-				nb := start(t, nw, "b", files)
+				nb := startNode(t, nw, "b", files)
 				defer nb.Close()
 				c, err := nw.Host("x").Dial(t.Context(), "b:1")
 				is.NoErr(err)
@@ -214,43 +215,44 @@
 					_, err = c.Write(tt.send)
 					is.NoErr(err)
 				}
-				limit := time.Duration(0) // at once
-				if tt.name == "says nothing" {
-					limit = helloTimeout
+				limit := time.Duration(0) // immediately
+				if tt.name == "sends nothing" {
+					limit = handshakeTimeout
 				}
-				expectEnd(t, c, limit)
+				expectClosed(t, c, limit)
 				synctest.Wait()
-				is.True(nb.count(tt.counter) > 0)
+				is.True(nb.counter(tt.counter) > 0)
 				is.Equal(len(nb.Connected()), 0)
 			})
 		})
 	}
 }
 
-// expectEnd reads until the other side closes, within a limit of virtual time.
-func expectEnd(t *testing.T, c net.Conn, limit time.Duration) {
-	began := time.Now()
+// expectClosed fails unless the other end closes the connection within a limit of virtual
+// time.
+func expectClosed(t *testing.T, c net.Conn, limit time.Duration) {
+	startedAt := time.Now()
 	b := make([]byte, 512)
 	for {
 		if _, err := c.Read(b); err != nil {
 			break
 		}
 	}
-	if time.Since(began) > limit {
-		t.Errorf("cut off only after %v", time.Since(began))
+	if time.Since(startedAt) > limit {
+		t.Errorf("connection closed after %v, want at most %v", time.Since(startedAt), limit)
 	}
 	c.Close()
 }
 
-// The operator replaces the certificates while the daemons run. New connections
-// use the new ones; a broken file leaves the old ones in use.
+// The operator replaces the certificate files while the daemons run. New connections use the
+// new certificates. If a file is invalid, the previous certificates stay in use.
 func TestCertificatesAreReloaded(t *testing.T) {
 	a := newAuthority(t)
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		nw := testkit.NewNetwork()
 		fa, fb := a.issue("a", time.Now().Add(time.Hour)), a.issue("b", time.Now().Add(time.Hour))
-		na, nb := start(t, nw, "a", &fa), start(t, nw, "b", &fb)
+		na, nb := startNode(t, nw, "a", &fa), startNode(t, nw, "b", &fb)
 		defer na.Close()
 		defer nb.Close()
 		_, err := na.Connect(t.Context(), "b:1")
@@ -270,32 +272,32 @@
 		time.Sleep(2 * time.Second)
 		_, err = na.Connect(t.Context(), "b:1")
 		is.NoErr(err)
-		is.True(nb.count("reload_failed") > 0)
+		is.True(nb.counter("reload_failed") > 0)
 	})
 }
 
-// A peer asks for more at once than it may. The rest is refused as busy, and
-// the connection stays usable.
-func TestCallsAreBounded(t *testing.T) {
+// A peer makes more concurrent calls than the limit. The calls above it are refused, and the
+// connection stays usable.
+func TestConcurrentCallsAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		nw := testkit.NewNetwork()
-		na, nb := start(t, nw, "a", nil), start(t, nw, "b", nil)
+		na, nb := startNode(t, nw, "a", nil), startNode(t, nw, "b", nil)
 		defer na.Close()
 		defer nb.Close()
-		hold := make(chan struct{})
-		nb.methods["hold"] = func(context.Context, string, json.RawMessage) (any, error) {
-			<-hold
+		release := make(chan struct{})
+		nb.handlers["hold"] = func(context.Context, string, json.RawMessage) (any, error) {
+			<-release
 			return nil, nil
 		}
-		errs := make(chan error, maxCalls+3)
-		for range maxCalls + 3 {
+		errs := make(chan error, maxConcurrentCalls+3)
+		for range maxConcurrentCalls + 3 {
 			go func() { errs <- na.Call(t.Context(), member("b"), "hold", 1, nil) }()
 		}
 		synctest.Wait()
-		close(hold)
+		close(release)
 		refused := 0
-		for range maxCalls + 3 {
+		for range maxConcurrentCalls + 3 {
 			if err := <-errs; err != nil {
 				is.True(strings.Contains(err.Error(), "too many"))
 				refused++
@@ -307,48 +309,49 @@
 	})
 }
 
-// A connection opened for one call to a daemon that is no neighbour must not
-// stay open for ever: 370 daemons would otherwise end in a full mesh.
+// A connection that was opened for a call to a daemon that is not a neighbour must not stay
+// open forever. Otherwise a fleet of 370 daemons would end up as a full mesh.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		nw := testkit.NewNetwork()
-		na, nb := start(t, nw, "a", nil), start(t, nw, "b", nil)
+		na, nb := startNode(t, nw, "a", nil), startNode(t, nw, "b", nil)
 		defer na.Close()
 		defer nb.Close()
 		_, err := na.Connect(t.Context(), "b:1")
 		is.NoErr(err)
-		time.Sleep(idleAfter - time.Second)
+		time.Sleep(idleTimeout - time.Second)
 		is.Equal(na.Connected(), []string{"b"})
 		time.Sleep(2 * time.Second)
 		is.Equal(len(na.Connected())+len(nb.Connected()), 0)
 	})
 }
 
-// heard takes the beats that have come from a daemon.
-func (n *node) heard(from string) int {
+// heartbeatsFrom removes the heartbeats received so far and returns the number of those
+// from a daemon.
+func (n *node) heartbeatsFrom(from string) int {
 	synctest.Wait()
-	sum := 0
+	count := 0
 	for {
 		select {
-		case name := <-n.beats:
+		case name := <-n.heartbeats:
 			if name == from {
-				sum++
+				count++
 			}
 		default:
-			return sum
+			return count
 		}
 	}
 }
 
-// Hundreds of daemons ask one of them what has changed. Each piece of news went out on
-// all of its connections at once, so that its callers waited behind thousands of
-// messages a second that others brought as well.
-func TestNewsGoToNeighboursAtOnce(t *testing.T) {
+// Hundreds of daemons poll one of them for changes. Flush once sent each update on all of its
+// connections, so that its callers waited behind thousands of messages a second with updates
+// that their neighbours sent them as well.
+func TestFlushReachesOnlyNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		nw := testkit.NewNetwork()
-		na, nb, nc := start(t, nw, "a", nil), start(t, nw, "b", nil), start(t, nw, "c", nil)
+		na, nb, nc := startNode(t, nw, "a", nil), startNode(t, nw, "b", nil), startNode(t, nw, "c", nil)
 		for _, n := range []*node{na, nb, nc} {
 			defer n.Close()
 		}
@@ -358,46 +361,46 @@
 		}
 		na.SetNeighbours([]string{"b"})
 		time.Sleep(100 * time.Millisecond)
-		nb.heard("a")
-		nc.heard("a")
+		nb.heartbeatsFrom("a")
+		nc.heartbeatsFrom("a")
 		for range 5 {
 			na.Flush()
-			time.Sleep(2 * flushPause)
+			time.Sleep(2 * minFlushInterval)
 		}
-		is.Equal(nb.heard("a"), 5)
-		is.Equal(nc.heard("a"), 0)
+		is.Equal(nb.heartbeatsFrom("a"), 5)
+		is.Equal(nc.heartbeatsFrom("a"), 0)
 		na.FlushTo([]string{"c"})
-		time.Sleep(2 * flushPause)
-		is.Equal(nb.heard("a"), 0)
-		is.Equal(nc.heard("a"), 1)
+		time.Sleep(2 * minFlushInterval)
+		is.Equal(nb.heartbeatsFrom("a"), 0)
+		is.Equal(nc.heartbeatsFrom("a"), 1)
 	})
 }
 
-// A daemon reports to another one, which is no neighbour, several times a second. Each
-// hears by that that the other lives: heartbeats beside it would double the messages
-// of a daemon to which all others report, and are still due when the reports end.
-func TestCallsStandInForHeartbeats(t *testing.T) {
+// A daemon calls another one that is not its neighbour several times a second. The calls and
+// their results show that both are alive. Additional heartbeats would double the messages of
+// a daemon that all others report to. When the calls end, heartbeats must be sent again.
+func TestCallsReplaceHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		nw := testkit.NewNetwork()
-		na, nb := start(t, nw, "a", nil), start(t, nw, "b", nil)
+		na, nb := startNode(t, nw, "a", nil), startNode(t, nw, "b", nil)
 		defer na.Close()
 		defer nb.Close()
 		na.SetNeighbours(nil)
 		nb.SetNeighbours(nil)
 		var out string
 		is.NoErr(na.Call(t.Context(), member("b"), "echo", 0, &out))
-		na.heard("b")
-		nb.heard("a")
+		na.heartbeatsFrom("b")
+		nb.heartbeatsFrom("a")
 		for range 20 {
 			time.Sleep(500 * time.Millisecond)
 			is.NoErr(na.Call(t.Context(), member("b"), "echo", 1, &out))
 		}
-		is.Equal(na.heard("b")+nb.heard("a"), 0)
-		is.Equal(na.count("dialed"), int64(1))
+		is.Equal(na.heartbeatsFrom("b")+nb.heartbeatsFrom("a"), 0)
+		is.Equal(na.counter("dialed"), int64(1))
 		time.Sleep(5 * time.Second)
-		is.True(na.heard("b") >= 3)
-		is.True(nb.heard("a") >= 3)
-		is.Equal(na.count("silent")+nb.count("silent"), int64(0))
+		is.True(na.heartbeatsFrom("b") >= 3)
+		is.True(nb.heartbeatsFrom("a") >= 3)
+		is.Equal(na.counter("silent")+nb.counter("silent"), int64(0))
 	})
 }
--- a/internal/peer/flush.go
+++ b/internal/peer/flush.go
@@ -4,77 +4,79 @@
 	"time"
 )
 
-// flush is which connections are woken soon.
-type flush struct {
-	// at is when connections were woken last; armed is true while they will be.
-	at    time.Time
-	armed bool
-	// neighbours stands for the connections that are kept, names for those with
-	// single daemons.
+// flushState holds the connections that the next flush sends a heartbeat on.
+type flushState struct {
+	// lastAt is the time of the last flush. scheduled is true while a timer for the next
+	// one is running.
+	lastAt    time.Time
+	scheduled bool
+	// neighbours is true if the flush includes all neighbours. peers holds the names of
+	// other daemons that it includes.
 	neighbours bool
-	names      map[string]bool
+	peers      map[string]bool
 }
 
-// flushPause is the least time between two flushes. News cross a fleet of 370
-// in at most seven steps; without a pause each of many news at once would send
-// a beat of its own on every connection.
-const flushPause = 25 * time.Millisecond
+// minFlushInterval is the minimum time between two flushes. Without it, each of many
+// simultaneous updates would be sent in a heartbeat of its own on every connection. An
+// update crosses a fleet of 370 daemons in at most seven hops.
+const minFlushInterval = 25 * time.Millisecond
 
-// Flush sends a beat to the neighbours soon, for news that should not wait. A
-// daemon that many others ask has hundreds of other connections; woken too, each of
-// them would carry every change to daemons that hear of it from their neighbours.
+// Flush sends a heartbeat to the neighbours soon, for updates that should not wait for the
+// next regular one. It leaves out other connections: a daemon that many others call has
+// hundreds of them, and their peers receive the updates from their own neighbours.
 func (e *Endpoint) Flush() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.flush.neighbours = true
-	e.arm()
+	e.scheduleFlush()
 }
 
-// FlushTo sends a beat to the named daemons soon.
+// FlushTo sends a heartbeat to the named daemons soon.
 func (e *Endpoint) FlushTo(names []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, n := range names {
-		e.flush.names[n] = true
+		e.flush.peers[n] = true
 	}
-	e.arm()
+	e.scheduleFlush()
 }
 
-// arm wakes what is due, at once or when the pause is over. The caller holds mu.
-func (e *Endpoint) arm() {
-	if e.flush.armed || e.closed {
+// scheduleFlush flushes at once, or once minFlushInterval has passed since the last flush.
+// The caller holds mu.
+func (e *Endpoint) scheduleFlush() {
+	if e.flush.scheduled || e.closed {
 		return
 	}
-	wait := flushPause - e.clock.Since(e.flush.at)
+	wait := minFlushInterval - e.clock.Since(e.flush.lastAt)
 	if wait <= 0 {
-		e.wakeDue()
+		e.flushNow()
 		return
 	}
-	e.flush.armed = true
+	e.flush.scheduled = true
 	e.clock.AfterFunc(wait, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.wakeDue()
+		e.flushNow()
 	})
 }
 
-// wakeDue has the connections that are due send a beat. The caller holds mu.
-func (e *Endpoint) wakeDue() {
+// flushNow makes the connections of the flush send a heartbeat. The caller holds mu.
+func (e *Endpoint) flushNow() {
 	f := &e.flush
-	for name, ls := range e.links {
-		if !f.names[name] && (!f.neighbours || !e.neighbour(name)) {
+	for name, cs := range e.connections {
+		if !f.peers[name] && (!f.neighbours || !e.isNeighbour(name)) {
 			continue
 		}
-		for _, l := range ls {
-			l.wake()
+		for _, c := range cs {
+			c.wake()
 		}
 	}
-	f.at, f.armed, f.neighbours = e.clock.Now(), false, false
-	clear(f.names)
+	f.lastAt, f.scheduled, f.neighbours = e.clock.Now(), false, false
+	clear(f.peers)
 }
 
-// neighbour is true for a daemon whose connection is kept without calls; all are
-// while nobody has said which. The caller holds mu.
-func (e *Endpoint) neighbour(name string) bool {
-	return e.keep == nil || e.keep[name]
+// isNeighbour reports whether the connection to a daemon stays open without calls. Before
+// the first SetNeighbours, all daemons count as neighbours. The caller holds mu.
+func (e *Endpoint) isNeighbour(name string) bool {
+	return e.neighbours == nil || e.neighbours[name]
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -4,87 +4,90 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// protocol is checked in the introduction; a daemon of another one is refused.
+// protocol is the version of the protocol. A connection between daemons of different
+// versions is closed at the hello exchange.
 const protocol = 1
 
 const (
-	methodHello = "hello"
-	methodBeat  = "b"
+	methodHello     = "hello"
+	methodHeartbeat = "b"
 )
 
-// hello introduces the daemons of a new connection to each other.
+// hello is the first message in each direction of a connection.
 type hello struct {
 	Protocol int                `json:"protocol"`
 	Member   fireflypath.Member `json:"member"`
 }
 
-// Heartbeat is the heartbeat on a connection. It carries what spreads through the
-// fleet; empty parts cost nothing.
+// Heartbeat is sent periodically in both directions of a connection and carries the updates
+// that daemons exchange. Empty fields are left out of the message.
 type Heartbeat struct {
-	// Generation is the configuration in force at the sender.
+	// Generation is the generation of the configuration in force at the sender.
 	Generation uint64 `json:"g,omitempty"`
-	// ViewHash is a hash over the members as the sender sees them, or 0 if it is
-	// the one told last.
+	// ViewHash is a hash of the members that are alive according to the sender, or 0 if
+	// it equals the last one sent.
 	ViewHash uint32 `json:"v,omitempty"`
-	// MemberUpdates are changes of members, each sent once on a connection.
+	// MemberUpdates are changes of the state of members, each sent once on a connection.
 	MemberUpdates []MemberUpdate `json:"n,omitempty"`
-	// Demands are the lines that changed since the last beat.
+	// Demands are the demands that changed since the last heartbeat to the peer.
 	Demands []Demand `json:"d,omitempty"`
-	// Evidence is what was seen of targets first-hand, each sent once.
+	// Evidence holds first-hand observations of targets, each sent once.
 	Evidence []Evidence `json:"e,omitempty"`
-	// Usage is what the sender has in flight and uses.
+	// Usage is the in-flight work and quota usage of the sender.
 	Usage *Usage `json:"u,omitempty"`
-	// QuarantineEntries are changes of what is known of requests that end targets, each sent once
-	// on a connection.
+	// QuarantineEntries are changes of the state of requests that crash targets, each
+	// sent once on a connection.
 	QuarantineEntries []QuarantineEntry `json:"h,omitempty"`
 }
 
-// QuarantineEntry is what is known of a request that ends targets.
+// QuarantineEntry is the state of a request that crashes targets or is suspected of it.
 type QuarantineEntry struct {
 	Digest string `json:"d"`
 	Pool   string `json:"p"`
 	// State is one of suspect, held, free.
 	State string `json:"s"`
-	// Version grows with each change, whoever makes it.
+	// Version increases with each change of the entry, at any daemon.
 	Version uint64 `json:"n"`
-	// Until is when the state ends, in milliseconds of Unix time.
+	// Until is the end of the state, in Unix milliseconds.
 	Until int64 `json:"u"`
-	// Crashes is how many targets ended, Times how often the request was held.
+	// Crashes is the number of targets that crashed under the request, HoldCount how
+	// often it was held.
 	Crashes   int `json:"t,omitempty"`
 	HoldCount int `json:"x,omitempty"`
 }
 
-// Usage is what a daemon has in flight and uses; what did not change since the
-// last one on the connection is left out.
+// Usage is the in-flight work and quota usage of a daemon. It leaves out what did not change
+// since the last one sent to the peer.
 type Usage struct {
-	// Epoch is another number after each start of the sender; Number grows with
-	// each message of a life.
+	// Epoch identifies the run of the sender's process and differs after each start.
+	// Sequence increases with each message of an epoch.
 	Epoch    uint64 `json:"s"`
 	Sequence uint64 `json:"n"`
-	// Full is true if nothing is left out.
+	// Full is true if the message contains the complete state.
 	Full bool `json:"a,omitempty"`
-	// InFlight counts the requests at each target.
+	// InFlight is the number of requests at each target.
 	InFlight map[string]int `json:"f,omitempty"`
-	// PendingPrompts is how much prompt waits for its prefill at each target, in
+	// PendingPrompts is the amount of prompt that waits for prefill at each target, in
 	// thousands of tokens.
 	PendingPrompts map[string]int `json:"p,omitempty"`
-	// WaitingRanks is the highest rank waiting in each pool; -1 is nothing.
+	// WaitingRanks is the highest rank waiting in each pool, or -1 if nothing waits.
 	WaitingRanks map[string]int `json:"w,omitempty"`
-	// Speeds is what the sender learned of targets.
+	// Speeds holds the speeds of targets that the sender learned.
 	Speeds map[string]fireflypath.Speed `json:"v,omitempty"`
-	// PartialView is true if the sender places work without knowing all that others place.
+	// PartialView is true if the sender dispatches work without knowing all in-flight
+	// work of the other daemons.
 	PartialView bool `json:"x,omitempty"`
-	// QuotaUsed is the sum of units of each team's quota since the daemon's start.
+	// QuotaUsed is the number of units of each team's quota used since the sender started.
 	QuotaUsed map[string]int64 `json:"q,omitempty"`
-	// BucketLevels is what the sender's copies of the quotas' buckets hold; it is told
-	// once on a connection, to a daemon that may just have started.
+	// BucketLevels holds the levels of the quotas' token buckets at the sender. It is sent
+	// once on a connection, since the peer may have just started.
 	BucketLevels map[string]float64 `json:"l,omitempty"`
 }
 
-// State is what is known of a member's life.
+// State is the state of a member.
 type State string
 
-// The states, with one letter for the wire.
+// The states of a member, as encoded in messages.
 const (
 	Alive   State = "a"
 	Suspect State = "s"
@@ -92,7 +95,7 @@
 	Left    State = "l"
 )
 
-// String is the word that logs print.
+// String returns the name of the state for logs.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -108,17 +111,17 @@
 	}
 }
 
-// MemberUpdate is a member's state at an incarnation.
+// MemberUpdate is the state of an incarnation of a member.
 type MemberUpdate struct {
 	State  State              `json:"s"`
 	Member fireflypath.Member `json:"m"`
 }
 
-// Evidence is first-hand news of a target.
+// Evidence is a first-hand observation of a target.
 type Evidence struct {
 	Target string `json:"t"`
-	// Observer is the daemon that saw it, Number its own count, so that an older
-	// message that comes late changes nothing.
+	// Observer is the daemon that made the observation. Sequence numbers its
+	// observations, so that an older one that arrives late is ignored.
 	Observer string `json:"b"`
 	Sequence uint64 `json:"n"`
 	// Kind is one of leaving, dead, back.
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -19,18 +19,19 @@
 	errMalformed = errors.New("message is malformed")
 )
 
-// lengthSize is the size of the length before each message.
-const lengthSize = 4
+// lengthPrefixSize is the size of the length that precedes each message, in bytes.
+const lengthPrefixSize = 4
 
-// stream carries JSON objects, each behind its length in four bytes.
+// stream implements jsonrpc2.ObjectStream. Each JSON object is preceded by its length as a
+// big-endian 32-bit integer.
 type stream struct {
 	conn  net.Conn
 	r     *bufio.Reader
 	limit int
-	// timeout bounds a write: a peer that stops reading would otherwise hold
-	// the lock under which all messages of the connection are written.
+	// timeout limits a write. Otherwise a peer that stops reading would block the lock
+	// that all writers of the connection need.
 	timeout time.Duration
-	count   *counters
+	metrics *metrics
 
 	mu  sync.Mutex
 	buf []byte
@@ -38,12 +39,12 @@
 
 var _ jsonrpc2.ObjectStream = (*stream)(nil)
 
-func newStream(conn net.Conn, limit int, timeout time.Duration, count *counters) *stream {
-	const readBuffer = 2 << 10 // a heartbeat fits; larger messages bypass it
-	return &stream{conn: conn, r: bufio.NewReaderSize(conn, readBuffer), limit: limit, timeout: timeout, count: count}
+func newStream(conn net.Conn, limit int, timeout time.Duration, m *metrics) *stream {
+	const readBuffer = 2 << 10 // holds a heartbeat; bufio reads larger messages directly
+	return &stream{conn: conn, r: bufio.NewReaderSize(conn, readBuffer), limit: limit, timeout: timeout, metrics: m}
 }
 
-// WriteObject sends one message in one write.
+// WriteObject sends a message with a single write to the connection.
 func (s *stream) WriteObject(obj any) error {
 	b, err := json.Marshal(obj)
 	if err != nil {
@@ -60,40 +61,41 @@
 		return err
 	}
 	n, err := s.conn.Write(s.buf)
-	s.count.sent.Inc(1)
-	s.count.sentBytes.Inc(int64(n))
+	s.metrics.sent.Inc(1)
+	s.metrics.sentBytes.Inc(int64(n))
 	if err != nil {
-		// A partly written message cannot be followed by another one.
+		// After a partial write, the peer could not find the start of the next message.
 		s.conn.Close()
 	}
-	if cap(s.buf) > keptBuffer {
+	if cap(s.buf) > maxRetainedBuffer {
 		s.buf = nil
 	}
 	return err
 }
 
-// keptBuffer is the largest buffer a quiet connection keeps.
-const keptBuffer = 4 << 10
+// maxRetainedBuffer is the capacity up to which the write buffer is kept for the next
+// message, in bytes.
+const maxRetainedBuffer = 4 << 10
 
-// ReadObject reads one message. The length is checked before memory is taken.
+// ReadObject reads one message. It checks the length before it allocates memory.
 func (s *stream) ReadObject(v any) error {
-	var head [lengthSize]byte
-	if _, err := io.ReadFull(s.r, head[:]); err != nil {
+	var prefix [lengthPrefixSize]byte
+	if _, err := io.ReadFull(s.r, prefix[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(prefix[:])
 	if int64(n) > int64(s.limit) {
-		s.count.oversized.Inc(1)
+		s.metrics.oversized.Inc(1)
 		return errors.Wrapf(errOversized, "%d bytes", n)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(s.r, b); err != nil {
 		return err
 	}
-	s.count.received.Inc(1)
-	s.count.receivedBytes.Inc(int64(n) + lengthSize)
+	s.metrics.received.Inc(1)
+	s.metrics.receivedBytes.Inc(int64(n) + lengthPrefixSize)
 	if err := json.Unmarshal(b, v); err != nil {
-		s.count.malformed.Inc(1)
+		s.metrics.malformed.Inc(1)
 		return errors.Wrapf(errMalformed, "%v", err)
 	}
 	return nil
@@ -104,20 +106,21 @@
 	return s.conn.Close()
 }
 
-type counters struct {
-	sent, sentBytes, received, receivedBytes    tally.Counter
-	oversized, malformed, strangers, refused    tally.Counter
-	silent, dialed, dialFailed, busy, duplicate tally.Counter
-	open                                        tally.Gauge
+// metrics are the counters and gauges of an endpoint.
+type metrics struct {
+	sent, sentBytes, received, receivedBytes         tally.Counter
+	oversized, malformed, handshakeFailures, refused tally.Counter
+	silent, dialed, dialFailed, busy, duplicate      tally.Counter
+	open                                             tally.Gauge
 }
 
-func newCounters(scope tally.Scope) *counters {
+func newMetrics(scope tally.Scope) *metrics {
 	scope = scope.SubScope("peer")
-	return &counters{
+	return &metrics{
 		sent: scope.Counter("sent"), sentBytes: scope.Counter("sent_bytes"),
 		received: scope.Counter("received"), receivedBytes: scope.Counter("received_bytes"),
 		oversized: scope.Counter("oversized"), malformed: scope.Counter("malformed"),
-		strangers: scope.Counter("strangers"), refused: scope.Counter("refused"),
+		handshakeFailures: scope.Counter("strangers"), refused: scope.Counter("refused"),
 		silent: scope.Counter("silent"), dialed: scope.Counter("dialed"),
 		dialFailed: scope.Counter("dial_failed"), busy: scope.Counter("busy"),
 		duplicate: scope.Counter("duplicate"), open: scope.Gauge("open"),
--- a/internal/peer/tcp.go
+++ b/internal/peer/tcp.go
@@ -8,11 +8,11 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// dialTimeout bounds a TCP connect; daemons are about a millisecond apart
-// (brief, "Sizes of today"), and a lost SYN is sent again after a second.
+// dialTimeout limits a TCP connect. The round trip between daemons takes about a
+// millisecond, and TCP sends a lost SYN again after a second.
 const dialTimeout = 1500 * time.Millisecond
 
-// TCP is the network of a daemon.
+// TCP implements fireflypath.Network over TCP.
 type TCP struct{}
 
 var _ fireflypath.Network = TCP{}
