--- a/internal/decide/quarantine/attribution.go
+++ b/internal/decide/quarantine/attribution.go
@@ -11,8 +11,8 @@
 	pool string
 	// poolSize is the number of targets in the pool.
 	poolSize int
-	// crashes holds at most one crash per target, ordered by end time, since the request
-	// was last held. pastCrashes holds those that led to earlier holds.
+	// crashes holds at most one crash per target, ordered by end time, since the last
+	// hold. pastCrashes holds earlier ones and those reported during a hold.
 	crashes, pastCrashes []Crash
 	// suspectSince is when the request became a suspect, zero if it is not one.
 	suspectSince time.Time
--- a/internal/decide/quota/quota_test.go
+++ b/internal/decide/quota/quota_test.go
@@ -126,18 +126,18 @@
 	is := is.New(t)
 	b := quota.New(start, fireflypath.Quota{Rate: 1000, Burst: 1000}, quota.Tolerance{}, 1)
 	now := start
-	high, asked := 0, 0
+	high, requested := 0, 0
 	for i := range 5000 {
 		now = now.Add(10 * time.Millisecond)
 		for range 4 {
 			b.Take(now, 10, 2)
 		}
 		if i%2 == 0 { // half of the quota's rate
-			asked++
+			requested++
 			if _, ok := b.Take(now, 10, 0); ok {
 				high++
 			}
 		}
 	}
-	is.True(high > asked*95/100)
+	is.True(high > requested*95/100)
 }
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -19,7 +19,7 @@
 type Local interface {
 	fireflypath.Scheduler
 	Report(m *fireflypath.Mate)
-	UpdatePeers(now time.Time, mates []fireflypath.Mate)
+	UpdatePeers(now time.Time, peers []fireflypath.Mate)
 	// AddInFlight counts a request that is already at a target.
 	AddInFlight(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
 	// TakeWaiting removes and returns all waiting requests.
--- a/internal/decide/share/ledger.go
+++ b/internal/decide/share/ledger.go
@@ -126,9 +126,9 @@
 }
 
 // Borrow adds a loan that was requested at the given time.
-func (l *Ledger) Borrow(asked, now time.Time, amount float64) {
+func (l *Ledger) Borrow(requestedAt, now time.Time, amount float64) {
 	l.prune(now)
-	if now.Sub(asked) < loanDuration && amount > 0 {
-		l.loans = append(l.loans, timedAmount{asked, amount, l.settled()})
+	if now.Sub(requestedAt) < loanDuration && amount > 0 {
+		l.loans = append(l.loans, timedAmount{requestedAt, amount, l.settled()})
 	}
 }
