--- a/internal/decide/keeper/keeper.go
+++ b/internal/decide/coordinator/coordinator.go
@@ -1,5 +1,5 @@
-// Package keeper chooses the daemons that coordinate fleet-wide state.
-package keeper
+// Package coordinator chooses the daemons that coordinate fleet-wide state.
+package coordinator
 
 import (
 	"cmp"
@@ -10,11 +10,11 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Coordinators returns up to n of the given live daemons, those with the lowest hashes of
+// Choose returns up to n of the given live daemons, those with the lowest hashes of
 // their names; daemons that are leaving are skipped. Daemons with the same view of the
 // fleet choose the same ones in the same order, and a daemon that joins or leaves does not
 // change the relative order of the others.
-func Coordinators(members []fireflypath.Member, n int) []fireflypath.Member {
+func Choose(members []fireflypath.Member, n int) []fireflypath.Member {
 	type candidate struct {
 		hash   uint64
 		member fireflypath.Member
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 
 	"github.com/fireflypath/fireflypath"
-	"github.com/fireflypath/fireflypath/internal/decide/keeper"
+	"github.com/fireflypath/fireflypath/internal/decide/coordinator"
 	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
 	"github.com/fireflypath/fireflypath/internal/digest"
 	"github.com/fireflypath/fireflypath/internal/peer"
@@ -233,7 +233,7 @@
 	for i := range 3 {
 		f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
 		if i == 1 {
-			f.unreachable[keeper.Coordinators(f.daemons[0].Live(), 1)[0].Name] = true
+			f.unreachable[coordinator.Choose(f.daemons[0].Live(), 1)[0].Name] = true
 		}
 	}
 	f.is.True(f.stepUntil(f.allHold))
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/fireflypath/fireflypath"
-	"github.com/fireflypath/fireflypath/internal/decide/keeper"
+	"github.com/fireflypath/fireflypath/internal/decide/coordinator"
 	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
 	"github.com/fireflypath/fireflypath/internal/digest"
 )
@@ -144,7 +144,7 @@
 	if q.deps.Members == nil {
 		return []fireflypath.Member{{Name: q.deps.Self}}
 	}
-	return keeper.Coordinators(q.deps.Members.Live(), coordinatorCount)
+	return coordinator.Choose(q.deps.Members.Live(), coordinatorCount)
 }
 
 // coordinatorIndex returns a daemon's index among the coordinators, or their number if it is
--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -18,7 +18,7 @@
 	"github.com/uber-go/tally/v4"
 
 	"github.com/fireflypath/fireflypath"
-	"github.com/fireflypath/fireflypath/internal/decide/keeper"
+	"github.com/fireflypath/fireflypath/internal/decide/coordinator"
 	"github.com/fireflypath/fireflypath/internal/decide/quota"
 	"github.com/fireflypath/fireflypath/internal/peer"
 )
@@ -271,5 +271,5 @@
 // size of the fleet needs.
 func (q *Quotas) coordinators() []fireflypath.Member {
 	live := q.members.Live()
-	return keeper.Coordinators(live, 1+len(live)/daemonsPerCoordinator)
+	return coordinator.Choose(live, 1+len(live)/daemonsPerCoordinator)
 }
