--- a/cmd/fireflypath/page_test.go
+++ b/cmd/fireflypath/page_test.go
@@ -69,7 +69,7 @@
 		p.vars[name] = e.Addr()
 	}
 	reg := configuration.New(p.store, nil, "d1", clock, tally.NoopScope, zap.NewNop())
-	is.NoErr(reg.Follow(t.Context()))
+	is.NoErr(reg.Poll(t.Context()))
 	cfg := testkit.Settings(nil)
 	cfg.Name = "d1"
 	d, err := daemon.New(cfg, daemon.Deps{Store: p.store, Configs: reg, Committer: reg, Clock: clock})
--- a/internal/configuration/collect.go
+++ b/internal/configuration/collect.go
@@ -24,10 +24,10 @@
 	revision uint64
 }
 
-// Collect looks through one part of the chunks. It removes those that no
+// CollectGarbage looks through one part of the chunks. It removes those that no
 // manifest has named for collectGrace and puts back those that are named but
 // gone. A crash between chunks and manifest leaves such orphans behind.
-func (r *Registry) Collect(ctx context.Context) error {
+func (r *Registry) CollectGarbage(ctx context.Context) error {
 	r.mu.Lock()
 	shard := r.shard
 	r.shard = (shard + 1) % (len(shards) + 1)
--- a/internal/configuration/commit.go
+++ b/internal/configuration/commit.go
@@ -26,10 +26,10 @@
 )
 
 var (
-	// ErrAlone means that this daemon has no service to commit to.
-	ErrAlone = errors.New("daemon runs without the platform's service")
-	// ErrLost means that another change was committed first.
-	ErrLost = errors.Wrap(fireflypath.ErrConflict, "another change was committed first")
+	// ErrNoStore means that this daemon has no service to commit to.
+	ErrNoStore = errors.New("daemon runs without the platform's service")
+	// ErrSuperseded means that another change was committed first.
+	ErrSuperseded = errors.Wrap(fireflypath.ErrConflict, "another change was committed first")
 	// ErrRefused means that the change itself is wrong; its cause says why.
 	ErrRefused = errors.New("change is refused")
 )
@@ -39,7 +39,7 @@
 // other error means that nothing was changed.
 func (r *Registry) Commit(ctx context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
 	if r.store == nil {
-		return fireflypath.Commit{ID: c.ID}, ErrAlone
+		return fireflypath.Commit{ID: c.ID}, ErrNoStore
 	}
 	if c.ID == "" || len(c.Words) > maxWords {
 		return fireflypath.Commit{ID: c.ID}, errors.Wrapf(ErrRefused, "no id, or above %d bytes", maxWords)
@@ -48,7 +48,7 @@
 	maybe := false
 	for try := 0; ; try++ {
 		done, err := r.attempt(ctx, c)
-		if err == nil || errors.Is(err, ErrLost) || errors.Is(err, ErrRefused) {
+		if err == nil || errors.Is(err, ErrSuperseded) || errors.Is(err, ErrRefused) {
 			return done, err
 		}
 		overtaken := errors.Is(err, fireflypath.ErrConflict)
@@ -84,7 +84,7 @@
 	if c.Base != 0 && c.Base != m.Generation {
 		r.count.conflicts.Inc(1)
 		done.Lost = m.winner(c.Base)
-		return done, errors.Wrapf(ErrLost, "change %s is in force as generation %d", done.Lost, m.Generation)
+		return done, errors.Wrapf(ErrSuperseded, "change %s is in force as generation %d", done.Lost, m.Generation)
 	}
 	s, err := r.apply(c, m)
 	if err != nil {
@@ -224,7 +224,7 @@
 func (r *Registry) Settle(ctx context.Context, id string) (fireflypath.Commit, error) {
 	done := fireflypath.Commit{ID: id}
 	if r.store == nil {
-		return done, ErrAlone
+		return done, ErrNoStore
 	}
 	m, _, err := r.read(ctx)
 	if err != nil {
@@ -243,7 +243,7 @@
 // Note appends a line without a change.
 func (r *Registry) Note(ctx context.Context, l fireflypath.AuditLine) error {
 	if r.store == nil {
-		return ErrAlone
+		return ErrNoStore
 	}
 	for try := 0; ; try++ {
 		err := r.noteOnce(ctx, l)
--- a/internal/configuration/commit_test.go
+++ b/internal/configuration/commit_test.go
@@ -99,7 +99,7 @@
 				is := is.New(t)
 				store := newStore()
 				r := newRegistry("d1", store)
-				is.NoErr(r.Follow(t.Context()))
+				is.NoErr(r.Poll(t.Context()))
 				n := map[string]int{}
 				var mu sync.Mutex
 				store.SetFault(func(op, key string) testkit.Fault {
@@ -135,7 +135,7 @@
 		is := is.New(t)
 		store := newStore()
 		r := newRegistry("d1", store)
-		is.NoErr(r.Follow(t.Context()))
+		is.NoErr(r.Poll(t.Context()))
 		down := false
 		store.SetFault(func(op, key string) testkit.Fault {
 			if down {
@@ -168,8 +168,8 @@
 		is := is.New(t)
 		store := newStore()
 		r1, r2 := newRegistry("d1", store), newRegistry("d2", store)
-		is.NoErr(r1.Follow(t.Context()))
-		is.NoErr(r2.Follow(t.Context()))
+		is.NoErr(r1.Poll(t.Context()))
+		is.NoErr(r2.Poll(t.Context()))
 		is.Equal(r1.Current(), r2.Current())
 		_, err := r1.Commit(t.Context(), addTeam("a", 1))
 		is.NoErr(err)
@@ -196,7 +196,7 @@
 		}
 		wg.Wait()
 		r := newRegistry("late", store)
-		is.NoErr(r.Follow(t.Context()))
+		is.NoErr(r.Poll(t.Context()))
 		is.Equal(len(r.Current().Teams), 5)
 		is.Equal(r.Generation(), uint64(6))
 		lines, err := r.Trail(t.Context(), 100)
--- a/internal/configuration/registry_test.go
+++ b/internal/configuration/registry_test.go
@@ -53,7 +53,7 @@
 	store := newStore()
 	clock := clockwork.NewRealClock()
 	r1 := New(store, bigConfig(29_000), "d1", clock, tally.NoopScope, zap.NewNop())
-	is.NoErr(r1.Follow(t.Context()))
+	is.NoErr(r1.Poll(t.Context()))
 	for _, e := range store.Snapshot() {
 		is.True(len(e.Value) < fireflypath.MaxValue/4)
 	}
@@ -93,7 +93,7 @@
 				is := is.New(t)
 				store := newStore()
 				r := newRegistry("d1", store)
-				is.NoErr(r.Follow(t.Context()))
+				is.NoErr(r.Poll(t.Context()))
 				old := store.Snapshot()
 				if wiped {
 					old = nil
@@ -107,7 +107,7 @@
 				is.Equal(teams(r.Current()), "a ")
 
 				late := newRegistry("d2", store)
-				is.NoErr(late.Follow(t.Context()))
+				is.NoErr(late.Poll(t.Context()))
 				is.Equal(teams(late.Current()), "a ")
 				_, err = late.Commit(t.Context(), addTeam("b", 0))
 				is.NoErr(err)
@@ -125,7 +125,7 @@
 		is := is.New(t)
 		store := newStore()
 		r := newRegistry("d1", store)
-		is.NoErr(r.Follow(t.Context()))
+		is.NoErr(r.Poll(t.Context()))
 		before := len(store.Snapshot())
 		store.SetFault(func(op, key string) testkit.Fault {
 			if op == "put" && key == manifestKey {
@@ -137,12 +137,12 @@
 		is.True(errors.Is(err, fireflypath.ErrUnavailable))
 		store.SetFault(nil)
 		late := newRegistry("d2", store)
-		is.NoErr(late.Follow(t.Context()))
+		is.NoErr(late.Poll(t.Context()))
 		is.Equal(teams(late.Current()), "")
 		is.Equal(len(store.Snapshot()), before+1)
 		collect := func() {
 			for range len(shards) + 1 {
-				is.NoErr(late.Collect(t.Context()))
+				is.NoErr(late.CollectGarbage(t.Context()))
 			}
 		}
 		collect()
@@ -168,7 +168,7 @@
 			return testkit.Fault{Before: fireflypath.ErrUnavailable}
 		})
 		r2 := newRegistry("d2", store)
-		is.True(r2.Follow(t.Context()) != nil)
+		is.True(r2.Poll(t.Context()) != nil)
 		is.Equal(r2.Generation(), uint64(0))
 		is.NoErr(r2.Pull(t.Context(), &peerSource{r: r1}))
 		is.Equal(teams(r2.Current()), "a ")
--- a/internal/configuration/retain_test.go
+++ b/internal/configuration/retain_test.go
@@ -14,7 +14,7 @@
 func TestRetain(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry("d1", newStore())
-	r.Retain(500)
+	r.SetRetention(500)
 	const n = 800
 	for i := range n {
 		is.NoErr(r.Note(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), Words: "order"}))
@@ -26,6 +26,6 @@
 	is.Equal(lines[0].ID, "n799")
 	_, err = r.Settle(t.Context(), "n500")
 	is.NoErr(err)
-	r.Retain(1)
+	r.SetRetention(1)
 	is.Equal(r.pages, idPages) // an id must stay known for as long as it may be repeated
 }
--- a/internal/configuration/trail.go
+++ b/internal/configuration/trail.go
@@ -32,10 +32,10 @@
 	Lines    []fireflypath.AuditLine `json:"lines"`
 }
 
-// Retain sets how many lines of the trail are kept at least; it must be called
+// SetRetention sets how many lines of the trail are kept at least; it must be called
 // before Run. Daemons with different settings keep what the one that collects
 // is told. Ids are looked up in the newest pages whatever is kept.
-func (r *Registry) Retain(lines int) {
+func (r *Registry) SetRetention(lines int) {
 	r.pages = max(idPages, (lines+pageLines-1)/pageLines)
 }
 
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -58,7 +58,7 @@
 		switch {
 		case !d.Watch:
 			r.forget()
-		case r.Follow(ctx) == nil:
+		case r.Poll(ctx) == nil:
 			wait, pause = 0, retryFirst
 		default:
 			wait = pause
@@ -66,7 +66,7 @@
 		}
 		if d.Collect && r.clock.Since(collected) >= collectEvery {
 			collected = r.clock.Now()
-			if err := r.Collect(ctx); err != nil {
+			if err := r.CollectGarbage(ctx); err != nil {
 				r.log.Debug("could not collect orphans", zap.Error(err))
 			}
 		}
@@ -85,8 +85,8 @@
 	r.revision = 0
 }
 
-// Follow makes one step: a first read, or one watch for the next manifest.
-func (r *Registry) Follow(ctx context.Context) error {
+// Poll makes one step: a first read, or one watch for the next manifest.
+func (r *Registry) Poll(ctx context.Context) error {
 	r.mu.Lock()
 	revision, seen := r.revision, r.seen
 	r.mu.Unlock()
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -37,7 +37,7 @@
 	}
 	d.registry = registry.New(d.deps.Store, d.cfg.Initial, d.cfg.Name, d.deps.Clock, d.scope, d.deps.Log)
 	if n := d.cfg.Records.Trail; n > 0 {
-		d.registry.Retain(n)
+		d.registry.SetRetention(n)
 	}
 	d.deps.Configs = d.registry
 	if d.deps.Committer == nil {
@@ -129,12 +129,12 @@
 	if d.deps.Store == nil || d.deps.Orderer != nil {
 		return nil
 	}
-	members, caller := fireflypath.Members(alone{d}), order.Caller(nil)
+	members, caller := fireflypath.Members(alone{d}), order.PeerCaller(nil)
 	if d.members != nil {
 		members, caller = d.members, d.peers
 	}
 	d.orders = order.New(d.cfg.Name, d.deps.Store, d.deps.Configs, members, caller, d.engine,
-		order.WeightsEvery, d.deps.Clock, d.scope, d.deps.Log)
+		order.WeightReadInterval, d.deps.Clock, d.scope, d.deps.Log)
 	if d.peers != nil {
 		d.orders.Handle(d.peers)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -86,7 +86,7 @@
 	peerPort net.Listener
 	exchange *exchange.Exchange
 	board    *leaving.Board
-	orders   *order.Orders
+	orders   *order.Issuer
 
 	scope    tally.Scope
 	reports  io.Closer
--- a/internal/order/lease.go
+++ b/internal/order/lease.go
@@ -64,7 +64,7 @@
 func (e errHeld) Error() string { return "orders are sent by daemon " + e.by }
 
 // acquire makes this daemon the holder, or returns errHeld.
-func (o *Orders) acquire(ctx context.Context) (*tenure, error) {
+func (o *Issuer) acquire(ctx context.Context) (*tenure, error) {
 	began := o.clock.Now()
 	id, err := o.store.Grant(ctx, leaseTime)
 	if err != nil {
@@ -89,7 +89,7 @@
 }
 
 // claim writes the holder's record unless there is one.
-func (o *Orders) claim(ctx context.Context, mine holder, id fireflypath.LeaseID) error {
+func (o *Issuer) claim(ctx context.Context, mine holder, id fireflypath.LeaseID) error {
 	b, err := json.Marshal(mine)
 	if err != nil {
 		return errors.Wrap(err, "encode the holder")
@@ -117,7 +117,7 @@
 
 // number takes the next fencing number while holding the lease, so that later
 // holders have higher ones.
-func (o *Orders) number(ctx context.Context, t *tenure) error {
+func (o *Issuer) number(ctx context.Context, t *tenure) error {
 	e, err := o.store.Get(ctx, fenceKey)
 	if err != nil && !errors.Is(err, fireflypath.ErrNotFound) {
 		return errors.Wrap(err, "read the fencing number")
@@ -142,7 +142,7 @@
 	return nil
 }
 
-func (o *Orders) writeFence(ctx context.Context, t *tenure, f fence, revision uint64) error {
+func (o *Issuer) writeFence(ctx context.Context, t *tenure, f fence, revision uint64) error {
 	b, err := json.Marshal(f)
 	if err != nil {
 		return errors.Wrap(err, "encode the fencing number")
@@ -152,7 +152,7 @@
 }
 
 // renew extends a tenure that is getting old.
-func (o *Orders) renew(ctx context.Context, t *tenure) error {
+func (o *Issuer) renew(ctx context.Context, t *tenure) error {
 	began := o.clock.Now()
 	if !began.Before(t.until) {
 		return fireflypath.ErrLapsed
@@ -168,7 +168,7 @@
 }
 
 // release ends a tenure in order.
-func (o *Orders) release(ctx context.Context, t *tenure) {
+func (o *Issuer) release(ctx context.Context, t *tenure) {
 	if !o.clock.Now().Before(t.until) {
 		return // another may hold it
 	}
--- a/internal/order/orders.go
+++ b/internal/order/orders.go
@@ -26,10 +26,10 @@
 	// heldWait is the pause before asking again for a lease that another holds
 	// who cannot be reached.
 	heldWait = time.Second
-	// WeightsEvery is the time between two orders that make a target read from
+	// WeightReadInterval is the time between two orders that make a target read from
 	// the weight store, over the whole fleet. The store's rate is not known yet;
 	// a read of weights takes minutes, so the pause costs little.
-	WeightsEvery = 2 * time.Second
+	WeightReadInterval = 2 * time.Second
 )
 
 // Sender gives an order to a target once. Its errors are fireflypath.ErrUnsent,
@@ -38,19 +38,19 @@
 	Order(ctx context.Context, t fireflypath.Target, o fireflypath.Order) error
 }
 
-// Caller asks another daemon.
-type Caller interface {
+// PeerCaller asks another daemon.
+type PeerCaller interface {
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
-// Orders implements fireflypath.Orderer: the holder of the lease sends, every
+// Issuer implements fireflypath.Orderer: the holder of the lease sends, every
 // other daemon passes orders on to it.
-type Orders struct {
+type Issuer struct {
 	name    string
 	store   fireflypath.Store
 	configs fireflypath.Configs
 	members fireflypath.Members
-	caller  Caller
+	caller  PeerCaller
 	sender  Sender
 	clock   clockwork.Clock
 	log     *zap.Logger
@@ -68,15 +68,15 @@
 	sent, refused, unknown, forwarded, tenures, stopped tally.Counter
 }
 
-var _ fireflypath.Orderer = (*Orders)(nil)
+var _ fireflypath.Orderer = (*Issuer)(nil)
 
 // New makes the orders of the daemon of that name. every is the least time
 // between two orders that read from the weight store.
 func New(name string, store fireflypath.Store, configs fireflypath.Configs, members fireflypath.Members,
-	caller Caller, sender Sender, every time.Duration, clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
-) *Orders {
+	caller PeerCaller, sender Sender, every time.Duration, clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
+) *Issuer {
 	scope = scope.SubScope("order")
-	return &Orders{
+	return &Issuer{
 		name: name, store: store, configs: configs, members: members, caller: caller, sender: sender,
 		clock: clock, log: log, every: every, weights: rate.NewLimiter(rate.Every(every), 1),
 		turn: make(chan struct{}, 1),
@@ -87,17 +87,17 @@
 	}
 }
 
-func (o *Orders) nonce() string { return ulid.Make().String() }
+func (o *Issuer) nonce() string { return ulid.Make().String() }
 
 // Handle registers the answer to peers that pass orders on.
-func (o *Orders) Handle(e *peer.Endpoint) { e.Handle(method, o.answer) }
+func (o *Issuer) Handle(e *peer.Endpoint) { e.Handle(method, o.answer) }
 
 // Release ends this daemon's tenure in order, for a planned stop.
-func (o *Orders) Release(ctx context.Context) { o.retire(ctx, 0) }
+func (o *Issuer) Release(ctx context.Context) { o.retire(ctx, 0) }
 
 // Run keeps the lease while orders come, and releases it when they cease, until
 // the context ends.
-func (o *Orders) Run(ctx context.Context) error {
+func (o *Issuer) Run(ctx context.Context) error {
 	t := o.clock.NewTicker(time.Second)
 	defer t.Stop()
 	for {
@@ -112,7 +112,7 @@
 
 // retire renews the tenure, or releases it if it has been idle. It leaves the
 // tenure alone while an order is under way.
-func (o *Orders) retire(ctx context.Context, idle time.Duration) {
+func (o *Issuer) retire(ctx context.Context, idle time.Duration) {
 	select {
 	case o.turn <- struct{}{}:
 	default:
@@ -135,20 +135,20 @@
 	}
 }
 
-func (o *Orders) held() *tenure {
+func (o *Issuer) held() *tenure {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.tenure
 }
 
-func (o *Orders) hold(t *tenure) {
+func (o *Issuer) hold(t *tenure) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.tenure = t
 }
 
 // Order sends an order, or has the holder of the lease send it.
-func (o *Orders) Order(ctx context.Context, w fireflypath.Order) error {
+func (o *Issuer) Order(ctx context.Context, w fireflypath.Order) error {
 	maybe := false
 	for {
 		err := o.local(ctx, w)
@@ -180,7 +180,7 @@
 }
 
 // local sends as the holder; errHeld means that another daemon is it.
-func (o *Orders) local(ctx context.Context, w fireflypath.Order) error {
+func (o *Issuer) local(ctx context.Context, w fireflypath.Order) error {
 	target, err := o.target(w.Target)
 	if err != nil {
 		return err
@@ -208,7 +208,7 @@
 	}
 }
 
-func (o *Orders) target(name string) (fireflypath.Target, error) {
+func (o *Issuer) target(name string) (fireflypath.Target, error) {
 	for _, t := range o.configs.Current().Targets {
 		if t.Name == name {
 			return t, nil
@@ -218,7 +218,7 @@
 }
 
 // ready gives a tenure with enough time left for one order.
-func (o *Orders) ready(ctx context.Context) (*tenure, error) {
+func (o *Issuer) ready(ctx context.Context) (*tenure, error) {
 	if t := o.held(); t != nil {
 		err := o.renew(ctx, t)
 		if err == nil && o.clock.Now().Add(sendTime).Before(t.until) {
@@ -244,7 +244,7 @@
 }
 
 // due is how long an order must wait.
-func (o *Orders) due(t *tenure, target fireflypath.Target, w fireflypath.Order) time.Duration {
+func (o *Issuer) due(t *tenure, target fireflypath.Target, w fireflypath.Order) time.Duration {
 	now := o.clock.Now()
 	var wait time.Duration
 	if !target.Fenced {
@@ -259,7 +259,7 @@
 }
 
 // pause waits and keeps the lease meanwhile.
-func (o *Orders) pause(ctx context.Context, wait time.Duration) error {
+func (o *Issuer) pause(ctx context.Context, wait time.Duration) error {
 	end := o.clock.Now().Add(wait)
 	for left := wait; left > 0; left = end.Sub(o.clock.Now()) {
 		select {
@@ -275,7 +275,7 @@
 }
 
 // send gives the order to the target and names the outcome.
-func (o *Orders) send(ctx context.Context, t *tenure, target fireflypath.Target, w fireflypath.Order) error {
+func (o *Issuer) send(ctx context.Context, t *tenure, target fireflypath.Target, w fireflypath.Order) error {
 	w.Fence, w.Sent = t.fence, o.clock.Now().UTC()
 	ctx, cancel := clockwork.WithTimeout(ctx, o.clock, sendTime)
 	defer cancel()
@@ -306,7 +306,7 @@
 
 // forward has the holder send. If done is false, an error means that the order
 // may have been sent all the same.
-func (o *Orders) forward(ctx context.Context, holder string, w fireflypath.Order) (done bool, err error) {
+func (o *Issuer) forward(ctx context.Context, holder string, w fireflypath.Order) (done bool, err error) {
 	for _, m := range o.members.Live() {
 		if m.Name != holder || holder == o.name {
 			continue
@@ -329,7 +329,7 @@
 	return false, nil
 }
 
-func (o *Orders) answer(ctx context.Context, _ string, params json.RawMessage) (any, error) {
+func (o *Issuer) answer(ctx context.Context, _ string, params json.RawMessage) (any, error) {
 	var w fireflypath.Order
 	if err := json.Unmarshal(params, &w); err != nil {
 		return nil, errors.Wrap(err, "decode an order")
--- a/internal/order/orders_test.go
+++ b/internal/order/orders_test.go
@@ -27,7 +27,7 @@
 // numbers, "loose" ignores them.
 type site struct {
 	store *testkit.MapStore
-	all   map[string]*Orders
+	all   map[string]*Issuer
 	stops map[string]context.CancelFunc
 
 	mu    sync.Mutex
@@ -40,7 +40,7 @@
 
 func newSite(n int) *site {
 	s := &site{
-		store: testkit.NewMapStore(clockwork.NewRealClock()), all: map[string]*Orders{},
+		store: testkit.NewMapStore(clockwork.NewRealClock()), all: map[string]*Issuer{},
 		stops: map[string]context.CancelFunc{}, seen: map[string]uint64{}, dead: map[string]bool{},
 	}
 	for i := range n {
@@ -50,7 +50,7 @@
 }
 
 func (s *site) start(name string) {
-	o := New(name, s.store, s, s, s, s, WeightsEvery, clockwork.NewRealClock(), tally.NoopScope, zap.NewNop())
+	o := New(name, s.store, s, s, s, s, WeightReadInterval, clockwork.NewRealClock(), tally.NoopScope, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	s.all[name], s.stops[name] = o, cancel
 	go func() { _ = o.Run(ctx) }()
@@ -266,7 +266,7 @@
 			is.NoErr(s.all[fmt.Sprint("d", i/6)].Order(within(t, time.Minute), o))
 		}
 		for i := range s.taken[1:] {
-			is.True(s.taken[i+1].Sent.Sub(s.taken[i].Sent) >= WeightsEvery)
+			is.True(s.taken[i+1].Sent.Sub(s.taken[i].Sent) >= WeightReadInterval)
 		}
 	})
 }
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -91,7 +91,7 @@
 		log := zap.NewNop()
 		store := testkit.NewMapStore(clock)
 		remote := configuration.New(store, configWithTeams(29_000), "far", clock, tally.NoopScope, log)
-		is.NoErr(remote.Follow(t.Context()))
+		is.NoErr(remote.Poll(t.Context()))
 		local := configuration.New(testkit.NewMapStore(clock), nil, "near", clock, tally.NoopScope, log)
 
 		l := &link{methods: map[string]peer.Handler{}}
