--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -25,7 +25,7 @@
 // way is a route that answers with the length of the body.
 type way struct{}
 
-func (way) ID() string { return "id" }
+func (way) NewID() string { return "id" }
 
 func (way) Rank(r *request.Request) (int, bool) {
 	if r.Inbound.Token == "" {
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -43,8 +43,8 @@
 // Route runs a request and sets its reply.
 type Route interface {
 	Serve(ctx context.Context, r *request.Request)
-	// ID makes the id of a refusal that never becomes a request.
-	ID() string
+	// NewID makes the id of a refusal that never becomes a request.
+	NewID() string
 	// Rank is the rank of the request's tier, by its header. It reports false
 	// if the header alone refuses the request; the reply is set then.
 	Rank(r *request.Request) (int, bool)
@@ -134,7 +134,7 @@
 }
 
 func (s *Server) unknown(c fiber.Ctx) error {
-	id := s.route.ID()
+	id := s.route.NewID()
 	c.RequestCtx().Response.Header.Set(headerID, id)
 	write(c.RequestCtx(), refuse.Reply(&fireflypath.Refusal{
 		Code: fireflypath.ReasonNoPool, Detail: "no call has this path and method", Run: fireflypath.RunNo, ID: id,
@@ -241,7 +241,7 @@
 
 // unreadable answers what the library could not parse.
 func (s *Server) unreadable(c *fasthttp.RequestCtx, err error) {
-	ref := &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: "the request is not HTTP", Run: fireflypath.RunNo, ID: s.route.ID()}
+	ref := &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: "the request is not HTTP", Run: fireflypath.RunNo, ID: s.route.NewID()}
 	reply := refuse.Reply(ref)
 	var small *fasthttp.ErrSmallBuffer
 	switch {
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -172,7 +172,7 @@
 	single := d.deps.Store == nil && len(d.cfg.Peers.Seeds) == 0
 	d.exchange = exchange.New(d.members, d.peers, d.deps.Configs,
 		&limits{d.pools, &d.rules, d.deps.Configs, clock}, single, clock, d.scope)
-	d.pools.Begin(d.exchange.InitialShare)
+	d.pools.SetInitialShare(d.exchange.InitialShare)
 	d.board = leaving.New(d.cfg.Name, d.mates, d.peers, d.peersLeaving, d.peersBack, clock, d.scope)
 	if d.deps.Leaving == nil {
 		d.deps.Leaving, d.deps.Back = d.board.Leaving, d.board.Back
@@ -202,11 +202,11 @@
 }
 
 func (d *Daemon) peersLeaving(target, _ string) {
-	d.evidence.Leaving(target, evidence.SourcePeers, d.deps.Clock.Now())
+	d.evidence.ReportLeaving(target, evidence.SourcePeers, d.deps.Clock.Now())
 }
 
 func (d *Daemon) peersBack(target string) {
-	d.evidence.Staying(target, evidence.SourcePeers, d.deps.Clock.Now())
+	d.evidence.ReportStaying(target, evidence.SourcePeers, d.deps.Clock.Now())
 }
 
 // firstConfiguration waits until there is a configuration, from the service or
--- a/internal/daemon/gated.go
+++ b/internal/daemon/gated.go
@@ -141,10 +141,10 @@
 		d.deps.Scheduler = d.gatedScheduler
 	}
 	d.pools = pools.New(d.deps.Clock, nil, d.deps.Scheduler)
-	d.pools.Bound(waiting)
+	d.pools.SetMaxWaitingBytes(waiting)
 	if d.members != nil {
 		d.dispatch = dispatch.New(d.cfg.Name, d.peers, d.members, d.deps.Clock, d.scope, d.deps.Log, d.shared)
-		d.pools.OnMade(d.place)
+		d.pools.OnCreate(d.place)
 		d.work.Go(d.followTargets)
 	}
 	d.pools.Apply(d.deps.Configs.Current())
--- a/internal/daemon/scheduling.go
+++ b/internal/daemon/scheduling.go
@@ -29,7 +29,7 @@
 		waiting = defaultWaiting
 	}
 	d.pools = pools.New(d.deps.Clock, d.deps.Relief, d.deps.Scheduler)
-	d.pools.Bound(waiting)
+	d.pools.SetMaxWaitingBytes(waiting)
 	d.evidence = evidence.New(d.heardLeaving, d.heardBack)
 	d.pools.Apply(d.deps.Configs.Current())
 	d.work.Go(func() { d.pools.Follow(d.ctx, d.deps.Configs) })
--- a/internal/daemon/way.go
+++ b/internal/daemon/way.go
@@ -52,9 +52,9 @@
 		Rules:    &d.rules,
 		Recorder: d.deps.Recorder,
 		Leaving: func(target string) {
-			d.evidence.Leaving(target, evidence.SourceTarget, d.deps.Clock.Now())
+			d.evidence.ReportLeaving(target, evidence.SourceTarget, d.deps.Clock.Now())
 		},
-		Dead: d.sawDead,
+		Unreachable: d.sawDead,
 	})
 	return nil
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -161,7 +161,7 @@
 					peers = append(peers, m)
 				}
 			}
-			d.pool.Hear(peers)
+			d.pool.UpdatePeers(peers)
 			d.dispatch.UpdatePeers(peers)
 		}
 	}
@@ -194,12 +194,12 @@
 	c.maxInFlight[name] = max(c.maxInFlight[name], c.inFlight[name])
 	c.mu.Unlock()
 	time.Sleep(duration / 2)
-	d.pool.Tell(r, fireflypath.EventFirst, -1)
+	d.pool.Notify(r, fireflypath.EventFirst, -1)
 	time.Sleep(duration / 2)
 	c.mu.Lock()
 	c.inFlight[name]--
 	c.mu.Unlock()
-	d.pool.Tell(r, fireflypath.EventDone, -1)
+	d.pool.Notify(r, fireflypath.EventDone, -1)
 	return true
 }
 
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -156,7 +156,7 @@
 	if pool == nil {
 		return nil, notRun(fireflypath.ReasonNoPool, "the pool was removed", retryAfterTargetRefusal)
 	}
-	if !g.deps.Pools.Reserve(&att.Work) {
+	if !g.deps.Pools.ReserveBytes(&att.Work) {
 		return nil, notRun(fireflypath.ReasonFull, "the waiting requests take up all memory allowed", time.Second)
 	}
 	c.attempts = append(c.attempts, att)
@@ -252,7 +252,7 @@
 
 // requeueUnsent lets a request of which no byte was sent wait for a target again.
 func (g *Gate) requeueUnsent(c *call, att *attempt, n int) *refusal {
-	if err := att.Owner.Again(c.ctx, &att.Request); err != nil {
+	if err := att.Owner.Requeue(c.ctx, &att.Request); err != nil {
 		return g.waitRefusal(c, att, err)
 	}
 	att.target = att.Target
@@ -275,13 +275,13 @@
 // markNotRun ends an attempt that its target did not run.
 func (g *Gate) markNotRun(att *attempt) {
 	att.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWithdrawn)
-	att.Owner.Tell(&att.Request, fireflypath.EventRefused, -1)
+	att.Owner.Notify(&att.Request, fireflypath.EventRefused, -1)
 }
 
 // markAnswered ends an attempt with a complete response.
 func (g *Gate) markAnswered(att *attempt) {
 	att.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateAnswered)
-	att.Owner.Tell(&att.Request, fireflypath.EventDone, -1)
+	att.Owner.Notify(&att.Request, fireflypath.EventDone, -1)
 }
 
 // observeLoad passes the load that the target reports in its response to the pools.
--- a/internal/route/catalog/catalog.go
+++ b/internal/route/catalog/catalog.go
@@ -13,27 +13,27 @@
 
 // Catalog is the index of one configuration. It is never changed.
 type Catalog struct {
-	Config *fireflypath.Config
-	teams  map[[sha256.Size]byte]entry
-	tiers  map[string]*fireflypath.Tier
-	pools  map[string]*fireflypath.Pool
-	models map[string]*fireflypath.Pool
+	Config       *fireflypath.Config
+	teamsByKey   map[[sha256.Size]byte]keyEntry
+	tiers        map[string]*fireflypath.Tier
+	pools        map[string]*fireflypath.Pool
+	poolsByModel map[string]*fireflypath.Pool
 }
 
-type entry struct {
-	hash  [sha256.Size]byte
-	team  *fireflypath.Team
-	until time.Time
+type keyEntry struct {
+	hash      [sha256.Size]byte
+	team      *fireflypath.Team
+	expiresAt time.Time
 }
 
 // New indexes the configuration.
 func New(cfg *fireflypath.Config) *Catalog {
 	c := &Catalog{
-		Config: cfg,
-		teams:  make(map[[sha256.Size]byte]entry, len(cfg.Teams)),
-		tiers:  make(map[string]*fireflypath.Tier, len(cfg.Tiers)),
-		pools:  make(map[string]*fireflypath.Pool, len(cfg.Pools)),
-		models: map[string]*fireflypath.Pool{},
+		Config:       cfg,
+		teamsByKey:   make(map[[sha256.Size]byte]keyEntry, len(cfg.Teams)),
+		tiers:        make(map[string]*fireflypath.Tier, len(cfg.Tiers)),
+		pools:        make(map[string]*fireflypath.Pool, len(cfg.Pools)),
+		poolsByModel: map[string]*fireflypath.Pool{},
 	}
 	for i := range cfg.Tiers {
 		c.tiers[cfg.Tiers[i].Name] = &cfg.Tiers[i]
@@ -50,30 +50,30 @@
 func (c *Catalog) addPool(p *fireflypath.Pool) {
 	c.pools[p.Name] = p
 	for _, m := range p.Models {
-		c.models[m] = p
+		c.poolsByModel[m] = p
 	}
 }
 
 func (c *Catalog) addTeam(t *fireflypath.Team) {
 	for _, k := range t.Keys {
-		e := entry{team: t, until: k.Until}
+		e := keyEntry{team: t, expiresAt: k.Until}
 		if n, err := hex.Decode(e.hash[:], []byte(k.Hash)); err == nil && n == len(e.hash) {
-			c.teams[e.hash] = e
+			c.teamsByKey[e.hash] = e
 		}
 	}
 }
 
-// Team is the team whose key hashes from the token, or nil.
+// TeamByToken is the team whose key hashes from the token, or nil.
 //
 // The map finds a candidate by the hash, of which a caller can choose no byte;
 // the comparison of the whole hash takes the same time for every token.
-func (c *Catalog) Team(token string, now time.Time) *fireflypath.Team {
+func (c *Catalog) TeamByToken(token string, now time.Time) *fireflypath.Team {
 	sum := sha256.Sum256([]byte(token))
-	e := c.teams[sum]
+	e := c.teamsByKey[sum]
 	if subtle.ConstantTimeCompare(e.hash[:], sum[:]) != 1 {
 		return nil
 	}
-	if !e.until.IsZero() && !now.Before(e.until) {
+	if !e.expiresAt.IsZero() && !now.Before(e.expiresAt) {
 		return nil
 	}
 	return e.team
@@ -89,23 +89,23 @@
 	return c.pools[name]
 }
 
-// Model is the pool that serves the model, or nil.
-func (c *Catalog) Model(name string) *fireflypath.Pool {
-	return c.models[name]
+// PoolByModel is the pool that serves the model, or nil.
+func (c *Catalog) PoolByModel(name string) *fireflypath.Pool {
+	return c.poolsByModel[name]
 }
 
 // Cache holds the catalog of the configuration in force.
 type Cache struct {
-	last atomic.Pointer[Catalog]
+	current atomic.Pointer[Catalog]
 }
 
-// For is the configuration's catalog. Requests pay two atomic loads; the first
+// Get is the configuration's catalog. Requests pay two atomic loads; the first
 // one after a change builds the index.
-func (c *Cache) For(cfg *fireflypath.Config) *Catalog {
-	if cat := c.last.Load(); cat != nil && cat.Config == cfg {
+func (c *Cache) Get(cfg *fireflypath.Config) *Catalog {
+	if cat := c.current.Load(); cat != nil && cat.Config == cfg {
 		return cat
 	}
 	cat := New(cfg)
-	c.last.Store(cat)
+	c.current.Store(cat)
 	return cat
 }
--- a/internal/route/claim/claim.go
+++ b/internal/route/claim/claim.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// maxKey bounds a key; keys are usually UUIDs.
-	maxKey = 256
-	// retry is given when the store was down for the request's whole time.
-	retry = 2 * time.Second
+	// maxKeyLength bounds a key; keys are usually UUIDs.
+	maxKeyLength = 256
+	// retryAfter is given when the store was down for the request's whole time.
+	retryAfter = 2 * time.Second
 )
 
 // Claim is the step.
@@ -40,7 +40,7 @@
 	if r.Inbound.Key == "" || r.Work.Idempotent {
 		return nil
 	}
-	if len(r.Inbound.Key) > maxKey {
+	if len(r.Inbound.Key) > maxKeyLength {
 		return refuse(fireflypath.ReasonMalformed, "the idempotency key is too long", fireflypath.RunNo)
 	}
 	err := s.claims.Claim(ctx, r.Team.Name, r.Inbound.Key, r.Work.ID, r.Work.Deadline)
@@ -50,20 +50,20 @@
 		r.Claimed = true
 		return nil
 	case errors.As(err, &held):
-		return refuse(fireflypath.ReasonClaimed, s.tell(held), fireflypath.RunUnknown)
+		return refuse(fireflypath.ReasonClaimed, s.conflictDetail(held), fireflypath.RunUnknown)
 	case ctx.Err() != nil:
 		r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn)
 		return refuse(fireflypath.ReasonWithdrawn, "the caller left while its key was claimed", fireflypath.RunNo)
 	default:
 		r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateExpired)
 		ref := refuse(fireflypath.ReasonClaimUnavailable, err.Error(), fireflypath.RunNo)
-		ref.RetryAfter = retry
+		ref.RetryAfter = retryAfter
 		return ref
 	}
 }
 
-// tell adds how the holder ended if this daemon knows.
-func (s *Claim) tell(held *claim.HeldError) string {
+// conflictDetail adds how the holder ended if this daemon knows.
+func (s *Claim) conflictDetail(held *claim.HeldError) string {
 	if s.recorder != nil {
 		if rec := s.recorder.Find(held.Holder); rec != nil {
 			return held.Error() + ", which was " + rec.State
--- a/internal/route/classify/classify.go
+++ b/internal/route/classify/classify.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// tokenBytes is the length of prompt text taken for one token (docs/PROTOCOLS.md).
-	tokenBytes = 4
+	// bytesPerToken is the length of prompt text taken for one token (docs/PROTOCOLS.md).
+	bytesPerToken = 4
 	// defaultOutput is the output expected of callers that name no bound; it
 	// is the common default of completions APIs, rounded up to a power of two.
 	defaultOutput = 256
 	// maxOutput bounds what a caller may ask for: no engine holds more.
 	maxOutput = 1 << 20
-	// maxModel bounds a model's name, which records keep.
-	maxModel = 256
+	// maxModelName bounds a model's name, which records keep.
+	maxModelName = 256
 )
 
 // Classify is the step that reads the body of model work.
@@ -42,12 +42,12 @@
 	r.Call.Key = r.Inbound.Key
 	r.Work.Bytes = len(r.Inbound.Body)
 	if r.Inbound.Service != "" {
-		return service(r)
+		return classifyService(r)
 	}
-	return engine(r)
+	return classifyEngine(r)
 }
 
-func service(r *request.Request) error {
+func classifyService(r *request.Request) error {
 	p := r.Catalog.Pool(r.Inbound.Service)
 	if p == nil || p.Kind != fireflypath.KindService {
 		return refuse(fireflypath.ReasonNoPool, "no service pool has this name")
@@ -56,7 +56,7 @@
 	r.Call.Header = r.Inbound.Header
 	r.Call.Body = r.Inbound.Body
 	r.Work.Cost = fireflypath.Cost{Prompt: 1}
-	return use(r, p)
+	return setPool(r, p)
 }
 
 // body is what is read of a completions call.
@@ -95,34 +95,34 @@
 	return nil
 }
 
-func engine(r *request.Request) error {
+func classifyEngine(r *request.Request) error {
 	var b body
 	if err := json.Unmarshal(r.Inbound.Body, &b); err != nil {
 		return refuse(fireflypath.ReasonMalformed, "the body is not a completions call in JSON: "+err.Error())
 	}
-	p := r.Catalog.Model(b.Model)
-	if p == nil || len(b.Model) > maxModel {
+	p := r.Catalog.PoolByModel(b.Model)
+	if p == nil || len(b.Model) > maxModelName {
 		return refuse(fireflypath.ReasonNoPool, "no pool serves the model")
 	}
 	if b.Max != nil && (*b.Max < 0 || *b.Max > maxOutput) {
 		return refuse(fireflypath.ReasonMalformed, "max_tokens is out of range")
 	}
-	text, ok := b.text()
+	text, ok := b.promptText()
 	if !ok {
 		return refuse(fireflypath.ReasonMalformed, "the body has neither a prompt nor messages")
 	}
-	if err := stream(r, &b); err != nil {
+	if err := requestStream(r, &b); err != nil {
 		return err
 	}
 	r.Call.Path = r.Inbound.Path
 	r.Work.Model = b.Model
-	r.Work.Cost = cost(&b, text)
-	r.Work.Prefix = prefix(text)
-	return use(r, p)
+	r.Work.Cost = estimateCost(&b, text)
+	r.Work.Prefix = prefixHashes(text)
+	return setPool(r, p)
 }
 
-// use checks that the team may use the pool.
-func use(r *request.Request, p *fireflypath.Pool) error {
+// setPool checks that the team may use the pool.
+func setPool(r *request.Request, p *fireflypath.Pool) error {
 	if len(r.Team.Pools) > 0 && !slices.Contains(r.Team.Pools, p.Name) {
 		return refuse(fireflypath.ReasonForbidden, "the team may not use the pool")
 	}
@@ -131,8 +131,8 @@
 	return nil
 }
 
-func cost(b *body, text string) fireflypath.Cost {
-	c := fireflypath.Cost{Prompt: max(1, (len(text)+tokenBytes-1)/tokenBytes), Output: defaultOutput}
+func estimateCost(b *body, text string) fireflypath.Cost {
+	c := fireflypath.Cost{Prompt: max(1, (len(text)+bytesPerToken-1)/bytesPerToken), Output: defaultOutput}
 	if b.Max != nil {
 		c.Output = *b.Max
 	}
--- a/internal/route/classify/prompt.go
+++ b/internal/route/classify/prompt.go
@@ -14,8 +14,8 @@
 // blockBytes is the prompt text of one cache block (docs/PROTOCOLS.md).
 const blockBytes = 256
 
-// text is the prompt as the engine counts it: a chat's contents one after the other.
-func (b *body) text() (string, bool) {
+// promptText is the prompt as the engine counts it: a chat's contents one after the other.
+func (b *body) promptText() (string, bool) {
 	if b.Prompt != nil {
 		return *b.Prompt, true
 	}
@@ -26,8 +26,8 @@
 	return out.String(), len(b.Messages) > 0
 }
 
-// prefix is the cumulative hash at the end of each full block.
-func prefix(text string) []uint64 {
+// prefixHashes is the cumulative hash at the end of each full block.
+func prefixHashes(text string) []uint64 {
 	n := len(text) / blockBytes
 	if n == 0 {
 		return nil
@@ -43,8 +43,8 @@
 	return out
 }
 
-// stream makes the body ask for a stream: only streams can be resumed.
-func stream(r *request.Request, b *body) error {
+// requestStream makes the body ask for a stream: only streams can be resumed.
+func requestStream(r *request.Request, b *body) error {
 	r.Call.Body = r.Inbound.Body
 	r.Call.Stream = b.Stream != nil && *b.Stream
 	if r.Call.Stream {
--- a/internal/route/dispatch/dispatch.go
+++ b/internal/route/dispatch/dispatch.go
@@ -11,20 +11,20 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// retry is given when a target refused: by then its refusal has steered new
+// retryAfter is given when a target refused: by then its refusal has steered new
 // work elsewhere (3 s, docs/DESIGN.md).
-const retry = time.Second
+const retryAfter = time.Second
 
 // Dispatch is the step in which a request's bytes leave, once.
 type Dispatch struct {
-	backends map[fireflypath.Kind]fireflypath.Backend
-	leaving  func(target string)
-	dead     func(target string)
+	backends    map[fireflypath.Kind]fireflypath.Backend
+	leaving     func(target string)
+	unreachable func(target string)
 }
 
 // New returns the step; leaving spreads what a target says of itself.
 func New(backends map[fireflypath.Kind]fireflypath.Backend, leaving, dead func(target string)) *Dispatch {
-	return &Dispatch{backends: backends, leaving: leaving, dead: dead}
+	return &Dispatch{backends: backends, leaving: leaving, unreachable: dead}
 }
 
 // String names the step.
@@ -42,15 +42,15 @@
 			return nil
 		case errors.Is(err, fireflypath.ErrUnsent):
 			if errors.Is(err, fireflypath.ErrUnreached) {
-				d.dead(r.Target.Name)
+				d.unreachable(r.Target.Name)
 			}
-			if err := r.Owner.Again(ctx, r); err != nil {
+			if err := r.Owner.Requeue(ctx, r); err != nil {
 				return err
 			}
 		case errors.Is(err, fireflypath.ErrNotRun):
-			return d.refused(r, err)
+			return d.targetRefused(r, err)
 		default:
-			r.Broken = err
+			r.AnswerErr = err
 			return nil
 		}
 	}
@@ -70,13 +70,13 @@
 	return err
 }
 
-func (d *Dispatch) refused(r *request.Request, err error) error {
+func (d *Dispatch) targetRefused(r *request.Request, err error) error {
 	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
-	r.Owner.Tell(r, fireflypath.EventRefused, -1)
+	r.Owner.Notify(r, fireflypath.EventRefused, -1)
 	if errors.Is(err, fireflypath.ErrDraining) {
 		d.leaving(r.Target.Name)
 	}
 	return &fireflypath.Refusal{
-		Code: fireflypath.ReasonTargetRefused, Detail: err.Error(), Run: fireflypath.RunNo, RetryAfter: retry,
+		Code: fireflypath.ReasonTargetRefused, Detail: err.Error(), Run: fireflypath.RunNo, RetryAfter: retryAfter,
 	}
 }
--- a/internal/route/dispatch/dispatch_test.go
+++ b/internal/route/dispatch/dispatch_test.go
@@ -26,8 +26,8 @@
 
 var errEnd = errors.New("the wait ended")
 
-func (failing) Again(context.Context, *request.Request) error     { return errEnd }
-func (failing) Tell(*request.Request, fireflypath.EventKind, int) {}
+func (failing) Requeue(context.Context, *request.Request) error     { return errEnd }
+func (failing) Notify(*request.Request, fireflypath.EventKind, int) {}
 
 // A request meets a target that takes no connection, before the next look at
 // that target. The other daemons must hear of it. That this host has no
--- a/internal/route/early/early_test.go
+++ b/internal/route/early/early_test.go
@@ -26,7 +26,7 @@
 	}
 	first := ask("a", "x")
 	is.True(!first.Work.Early)
-	e.Refused(first, &fireflypath.Refusal{RetryAfter: time.Second})
+	e.RecordRefusal(first, &fireflypath.Refusal{RetryAfter: time.Second})
 	is.True(ask("a", "x").Work.Early)
 	is.True(!ask("a", "y").Work.Early)
 	is.True(!ask("b", "x").Work.Early)
--- a/internal/route/evidence/evidence.go
+++ b/internal/route/evidence/evidence.go
@@ -25,42 +25,42 @@
 // speaker won, a target that said it drains would get work again from a list
 // that has not heard yet.
 type Evidence struct {
-	leaving func(target, why string)
-	back    func(target string)
+	onLeaving func(target, why string)
+	onBack    func(target string)
 
 	mu sync.Mutex
-	// says holds when each source last said that the target leaves.
-	says map[string]map[Source]time.Time
+	// reports holds when each source last said that the target leaves.
+	reports map[string]map[Source]time.Time
 }
 
 // New returns Evidence that calls leaving and back at changes, with a lock held.
 func New(leaving func(target, why string), back func(target string)) *Evidence {
-	return &Evidence{leaving: leaving, back: back, says: map[string]map[Source]time.Time{}}
+	return &Evidence{onLeaving: leaving, onBack: back, reports: map[string]map[Source]time.Time{}}
 }
 
-// Leaving takes that the source said at a time that the target leaves.
-func (e *Evidence) Leaving(target string, source Source, at time.Time) {
+// ReportLeaving takes that the source said at a time that the target leaves.
+func (e *Evidence) ReportLeaving(target string, source Source, at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.says[target] == nil {
-		e.says[target] = map[Source]time.Time{}
-		defer e.leaving(target, string(source))
+	if e.reports[target] == nil {
+		e.reports[target] = map[Source]time.Time{}
+		defer e.onLeaving(target, string(source))
 	}
-	e.says[target][source] = at
+	e.reports[target][source] = at
 }
 
-// Staying takes that the source said at a time that the target does not leave.
+// ReportStaying takes that the source said at a time that the target does not leave.
 // A reading older than the source's word to the contrary is a late report.
-func (e *Evidence) Staying(target string, source Source, at time.Time) {
+func (e *Evidence) ReportStaying(target string, source Source, at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	said, ok := e.says[target][source]
+	said, ok := e.reports[target][source]
 	if !ok || at.Before(said) {
 		return
 	}
-	delete(e.says[target], source)
-	if len(e.says[target]) == 0 {
-		delete(e.says, target)
-		e.back(target)
+	delete(e.reports[target], source)
+	if len(e.reports[target]) == 0 {
+		delete(e.reports, target)
+		e.onBack(target)
 	}
 }
--- a/internal/route/evidence/evidence_test.go
+++ b/internal/route/evidence/evidence_test.go
@@ -19,13 +19,13 @@
 		func(target string) { told = append(told, "back "+target) },
 	)
 	at := time.Unix(100, 0)
-	e.Leaving("t", evidence.SourceTarget, at)
-	e.Staying("t", evidence.SourceTarget, at.Add(-time.Second)) // a late report
-	e.Staying("t", evidence.SourceHosts, at.Add(time.Second))   // never said otherwise
+	e.ReportLeaving("t", evidence.SourceTarget, at)
+	e.ReportStaying("t", evidence.SourceTarget, at.Add(-time.Second)) // a late report
+	e.ReportStaying("t", evidence.SourceHosts, at.Add(time.Second))   // never said otherwise
 	is.Equal(told, []string{"leaving t"})
-	e.Leaving("t", evidence.SourceHosts, at.Add(2*time.Second))
-	e.Staying("t", evidence.SourceTarget, at.Add(3*time.Second))
+	e.ReportLeaving("t", evidence.SourceHosts, at.Add(2*time.Second))
+	e.ReportStaying("t", evidence.SourceTarget, at.Add(3*time.Second))
 	is.Equal(told, []string{"leaving t"})
-	e.Staying("t", evidence.SourceHosts, at.Add(4*time.Second))
+	e.ReportStaying("t", evidence.SourceHosts, at.Add(4*time.Second))
 	is.Equal(told, []string{"leaving t", "back t"})
 }
--- a/internal/route/identify/identify.go
+++ b/internal/route/identify/identify.go
@@ -24,17 +24,17 @@
 
 // Run sets the team and the tier.
 func (*Identify) Run(_ context.Context, r *request.Request) error {
-	team := r.Catalog.Team(r.Inbound.Token, r.Work.Arrived)
+	team := r.Catalog.TeamByToken(r.Inbound.Token, r.Work.Arrived)
 	if r.Inbound.Token == "" || team == nil {
 		return refuse(fireflypath.ReasonUnauthorized, "no team has this key")
 	}
 	r.Team = team
 	r.Work.Team = team.Name
 	r.Work.Weight = max(team.Weight, 1)
-	return tier(r, team)
+	return setTier(r, team)
 }
 
-func tier(r *request.Request, team *fireflypath.Team) error {
+func setTier(r *request.Request, team *fireflypath.Team) error {
 	name := r.Inbound.Tier
 	if name == "" {
 		name = team.Tiers[0]
--- a/internal/route/meter/meter.go
+++ b/internal/route/meter/meter.go
@@ -21,8 +21,8 @@
 	tiers sync.Map // of string to *tier
 }
 
-// tier is one tier's instruments.
-type tier struct {
+// tierMetrics is one tier's instruments.
+type tierMetrics struct {
 	scope    tally.Scope
 	requests tally.Counter
 	// goodput counts whole answers in time, late the other whole ones.
@@ -40,9 +40,9 @@
 	return &Meter{scope: scope}
 }
 
-// Ended counts the end of a request; ref is nil for a whole answer.
-func (m *Meter) Ended(now time.Time, r *request.Request, ref *fireflypath.Refusal) {
-	t := m.tier(r.Work.Tier)
+// RecordEnd counts the end of a request; ref is nil for a whole answer.
+func (m *Meter) RecordEnd(now time.Time, r *request.Request, ref *fireflypath.Refusal) {
+	t := m.forTier(r.Work.Tier)
 	t.requests.Inc(1)
 	if !r.Sent.IsZero() {
 		t.wait.RecordDuration(r.Sent.Sub(r.Work.Arrived))
@@ -51,7 +51,7 @@
 		t.tokens.Inc(int64(r.Tokens))
 	}
 	if ref != nil {
-		t.refusal(ref.Code).Inc(1)
+		t.refusedCounter(ref.Code).Inc(1)
 		return
 	}
 	t.latency.RecordDuration(now.Sub(r.Work.Arrived))
@@ -62,16 +62,16 @@
 	t.goodput.Inc(1)
 }
 
-func (m *Meter) tier(name string) *tier {
+func (m *Meter) forTier(name string) *tierMetrics {
 	if t, ok := m.tiers.Load(name); ok {
-		return t.(*tier)
+		return t.(*tierMetrics)
 	}
 	tag := name
 	if tag == "" {
 		tag = "none"
 	}
 	s := m.scope.Tagged(map[string]string{"tier": tag})
-	t, _ := m.tiers.LoadOrStore(name, &tier{
+	t, _ := m.tiers.LoadOrStore(name, &tierMetrics{
 		scope:    s,
 		requests: s.Counter("requests"),
 		goodput:  s.Counter("goodput"),
@@ -80,10 +80,10 @@
 		wait:     s.Histogram("wait_seconds", buckets),
 		latency:  s.Histogram("latency_seconds", buckets),
 	})
-	return t.(*tier)
+	return t.(*tierMetrics)
 }
 
-func (t *tier) refusal(code fireflypath.Reason) tally.Counter {
+func (t *tierMetrics) refusedCounter(code fireflypath.Reason) tally.Counter {
 	if c, ok := t.refused.Load(code); ok {
 		return c.(tally.Counter)
 	}
--- a/internal/route/parse/parse.go
+++ b/internal/route/parse/parse.go
@@ -13,9 +13,9 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// longest bounds a deadline: a waiting request holds memory, and work whose
+// maxDeadline bounds a deadline: a waiting request holds memory, and work whose
 // answer may come a day later is no request.
-const longest = 24 * time.Hour
+const maxDeadline = 24 * time.Hour
 
 // Parse is the first step: it needs no configuration.
 type Parse struct {
@@ -35,13 +35,13 @@
 // Run sets Arrived, Deadline (zero if the caller names none) and Idempotent.
 func (p *Parse) Run(_ context.Context, r *request.Request) error {
 	r.Work.Arrived = p.clock.Now()
-	if err := p.deadline(r); err != nil {
+	if err := p.setDeadline(r); err != nil {
 		return err
 	}
-	return idempotent(r)
+	return setIdempotent(r)
 }
 
-func (p *Parse) deadline(r *request.Request) error {
+func (p *Parse) setDeadline(r *request.Request) error {
 	text := r.Inbound.Deadline
 	if text == "" {
 		return nil
@@ -55,23 +55,23 @@
 		if d <= 0 {
 			return malformed("the deadline is not above zero")
 		}
-		at = r.Work.Arrived.Add(min(d, longest+1))
+		at = r.Work.Arrived.Add(min(d, maxDeadline+1))
 	}
 	if !at.After(r.Work.Arrived) {
 		return &fireflypath.Refusal{
 			Code: fireflypath.ReasonDeadline, Detail: "the deadline had passed on arrival", Run: fireflypath.RunNo,
 		}
 	}
-	if at.Sub(r.Work.Arrived) > longest {
-		return malformed("the deadline is more than " + longest.String() + " away")
+	if at.Sub(r.Work.Arrived) > maxDeadline {
+		return malformed("the deadline is more than " + maxDeadline.String() + " away")
 	}
 	r.Work.Deadline = at
 	return nil
 }
 
-func idempotent(r *request.Request) error {
+func setIdempotent(r *request.Request) error {
 	if r.Inbound.Idempotent == "" {
-		r.Work.Idempotent = byMethod(r)
+		r.Work.Idempotent = idempotentByMethod(r)
 		return nil
 	}
 	v, err := strconv.ParseBool(r.Inbound.Idempotent)
@@ -82,7 +82,7 @@
 	return nil
 }
 
-func byMethod(r *request.Request) bool {
+func idempotentByMethod(r *request.Request) bool {
 	if r.Inbound.Service == "" {
 		return true
 	}
--- a/internal/route/poll/poll.go
+++ b/internal/route/poll/poll.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// Every is the time between two rounds, and between two reports of a target
+	// Interval is the time between two rounds, and between two reports of a target
 	// that holds work. A target that leaves may get no new work after 3 s: one
 	// period, the report's own lag and the read fit in.
-	Every = time.Second
-	// width bounds the reads under way at once.
-	width = 16
-	// readTime bounds one read, so that a stuck target delays only itself.
-	readTime = 2 * time.Second
+	Interval = time.Second
+	// maxConcurrentReads bounds the reads under way at once.
+	maxConcurrentReads = 16
+	// readTimeout bounds one read, so that a stuck target delays only itself.
+	readTimeout = 2 * time.Second
 )
 
 // Deps is what the poller reads from and writes to.
@@ -34,11 +34,11 @@
 	Hosts fireflypath.Hosts
 	// Serves reports whether this daemon sends work to a target; others are not polled.
 	Serves func(fireflypath.Target) bool
-	// Holds names the targets at which this daemon has work; may be nil.
-	Holds func() map[string]bool
-	// Mates is how many daemons read the same targets and tell each other of
+	// ActiveTargets names the targets at which this daemon has work; may be nil.
+	ActiveTargets func() map[string]bool
+	// Readers is how many daemons read the same targets and tell each other of
 	// those that leave, with this one; nil for a daemon alone.
-	Mates func() int
+	Readers func() int
 	// Observe takes load reports and cache events.
 	Observe func(fireflypath.Event)
 	// Evidence takes what each source says of a target's leaving.
@@ -46,36 +46,36 @@
 	// Suspects are targets that some daemon found dead; they are read like those
 	// that hold work. It may be nil.
 	Suspects func() map[string]bool
-	// Dead takes that a target took no connection, Answers that it did. Both
+	// Unreachable takes that a target took no connection, Answers that it did. Both
 	// may be nil.
-	Dead    func(target string)
-	Answers func(target string)
+	Unreachable func(target string)
+	Reachable   func(target string)
 }
 
 // Poller runs until its context ends.
 type Poller struct {
 	deps Deps
 
-	mu   sync.Mutex
-	busy map[string]bool
+	mu      sync.Mutex
+	reading map[string]bool
 
 	schedule *schedule
 }
 
 // New returns a poller.
 func New(deps Deps) *Poller {
-	return &Poller{deps: deps, busy: map[string]bool{}, schedule: newSchedule()}
+	return &Poller{deps: deps, reading: map[string]bool{}, schedule: newSchedule()}
 }
 
 // Run polls at once and then round by round.
 func (p *Poller) Run(ctx context.Context) {
-	t := p.deps.Clock.NewTicker(Every)
+	t := p.deps.Clock.NewTicker(Interval)
 	defer t.Stop()
-	slots := make(chan struct{}, width)
+	slots := make(chan struct{}, maxConcurrentReads)
 	var reads conc.WaitGroup
 	defer reads.Wait()
 	for {
-		p.round(ctx, &reads, slots)
+		p.startRound(ctx, &reads, slots)
 		select {
 		case <-ctx.Done():
 			return
@@ -84,23 +84,23 @@
 	}
 }
 
-func (p *Poller) round(ctx context.Context, reads *conc.WaitGroup, slots chan struct{}) {
+func (p *Poller) startRound(ctx context.Context, reads *conc.WaitGroup, slots chan struct{}) {
 	cfg := p.deps.Configs.Current()
 	kinds := make(map[string]fireflypath.Kind, len(cfg.Pools))
 	for _, c := range cfg.Pools {
 		kinds[c.Name] = c.Kind
 	}
-	if p.deps.Hosts != nil && p.enter("hosts list") {
-		reads.Go(func() { p.hosts(ctx, cfg) })
+	if p.deps.Hosts != nil && p.beginRead("hosts list") {
+		reads.Go(func() { p.pollHosts(ctx, cfg) })
 	}
-	for _, c := range p.schedule.choose(p.deps.Clock.Now(), p.candidates(cfg, kinds), p.mates()) {
-		if !p.enter(c.Name) {
+	for _, c := range p.schedule.selectDue(p.deps.Clock.Now(), p.candidates(cfg, kinds), p.readers()) {
+		if !p.beginRead(c.Name) {
 			continue
 		}
 		reads.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			p.target(ctx, c.watcher, c.Target)
+			p.pollTarget(ctx, c.watcher, c.Target)
 		})
 	}
 }
@@ -108,8 +108,8 @@
 // candidates are the targets that this daemon serves.
 func (p *Poller) candidates(cfg *fireflypath.Config, kinds map[string]fireflypath.Kind) []candidate {
 	var held, suspects map[string]bool
-	if p.deps.Holds != nil {
-		held = p.deps.Holds()
+	if p.deps.ActiveTargets != nil {
+		held = p.deps.ActiveTargets()
 	}
 	if p.deps.Suspects != nil {
 		suspects = p.deps.Suspects()
@@ -117,74 +117,74 @@
 	out := make([]candidate, 0, len(cfg.Targets))
 	for _, t := range cfg.Targets {
 		if w := p.deps.Watchers[kinds[t.Pool]]; w != nil && p.deps.Serves(t) {
-			out = append(out, candidate{Target: t, watcher: w, held: held[t.Name] || suspects[t.Name]})
+			out = append(out, candidate{Target: t, watcher: w, active: held[t.Name] || suspects[t.Name]})
 		}
 	}
 	return out
 }
 
-func (p *Poller) mates() int {
-	if p.deps.Mates == nil {
+func (p *Poller) readers() int {
+	if p.deps.Readers == nil {
 		return 1
 	}
-	return p.deps.Mates()
+	return p.deps.Readers()
 }
 
-// enter reports whether nothing is being read under the name.
-func (p *Poller) enter(name string) bool {
+// beginRead reports whether nothing is being read under the name.
+func (p *Poller) beginRead(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[name] {
+	if p.reading[name] {
 		return false
 	}
-	p.busy[name] = true
+	p.reading[name] = true
 	return true
 }
 
-func (p *Poller) leave(name string) {
+func (p *Poller) endRead(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, name)
+	delete(p.reading, name)
 }
 
-func (p *Poller) target(ctx context.Context, w fireflypath.Watcher, t fireflypath.Target) {
-	defer p.leave(t.Name)
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+func (p *Poller) pollTarget(ctx context.Context, w fireflypath.Watcher, t fireflypath.Target) {
+	defer p.endRead(t.Name)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	// A target that cannot be read brings no event; its reports age.
 	events, err := w.Poll(ctx, t)
-	p.reached(t.Name, err)
+	p.reportReachability(t.Name, err)
 	for _, e := range events {
 		switch e.Kind {
 		case fireflypath.EventLeaving:
-			p.deps.Evidence.Leaving(t.Name, evidence.SourceTarget, e.Report.Measured)
+			p.deps.Evidence.ReportLeaving(t.Name, evidence.SourceTarget, e.Report.Measured)
 		case fireflypath.EventBack:
-			p.deps.Evidence.Staying(t.Name, evidence.SourceTarget, e.Report.Measured)
+			p.deps.Evidence.ReportStaying(t.Name, evidence.SourceTarget, e.Report.Measured)
 		default:
 			p.deps.Observe(e)
 		}
 	}
 }
 
-// reached tells whether the target took a connection. A late answer tells
+// reportReachability tells whether the target took a connection. A late answer tells
 // neither: an overloaded target would be taken from all daemons, and its load
 // would fall on the next one.
-func (p *Poller) reached(target string, err error) {
+func (p *Poller) reportReachability(target string, err error) {
 	switch {
 	case errors.Is(err, fireflypath.ErrUnreached):
-		if p.deps.Dead != nil {
-			p.deps.Dead(target)
+		if p.deps.Unreachable != nil {
+			p.deps.Unreachable(target)
 		}
-	case err == nil && p.deps.Answers != nil:
-		p.deps.Answers(target)
+	case err == nil && p.deps.Reachable != nil:
+		p.deps.Reachable(target)
 	}
 }
 
-// hosts compares the platform's list with the targets. A host that is not on
+// pollHosts compares the platform's list with the targets. A host that is not on
 // the list says nothing: the list lags, and new hosts are missing at first.
-func (p *Poller) hosts(ctx context.Context, cfg *fireflypath.Config) {
-	defer p.leave("hosts list")
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+func (p *Poller) pollHosts(ctx context.Context, cfg *fireflypath.Config) {
+	defer p.endRead("hosts list")
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	hosts, err := p.deps.Hosts.Hosts(ctx)
 	if err != nil {
@@ -198,9 +198,9 @@
 	for _, t := range cfg.Targets {
 		switch states[t.Addr] {
 		case fireflypath.HostLeaving:
-			p.deps.Evidence.Leaving(t.Name, evidence.SourceHosts, now)
+			p.deps.Evidence.ReportLeaving(t.Name, evidence.SourceHosts, now)
 		case fireflypath.HostLive:
-			p.deps.Evidence.Staying(t.Name, evidence.SourceHosts, now)
+			p.deps.Evidence.ReportStaying(t.Name, evidence.SourceHosts, now)
 		}
 	}
 }
--- a/internal/route/poll/poll_test.go
+++ b/internal/route/poll/poll_test.go
@@ -73,7 +73,7 @@
 	is.Equal(<-told, "leaving e0")
 	again, live := asked, lists
 	for again != nil || live != nil {
-		clock.Advance(poll.Every)
+		clock.Advance(poll.Interval)
 		select {
 		case name := <-again:
 			is.Equal(name, "e0") // e1's read is still under way
--- a/internal/route/poll/schedule_test.go
+++ b/internal/route/poll/schedule_test.go
@@ -39,14 +39,14 @@
 			all := make([]candidate, tt.targets)
 			last, gap := map[string]int{}, map[bool]int{}
 			for i := range all {
-				all[i] = candidate{Target: fireflypath.Target{Name: fmt.Sprint("e", i)}, held: i < tt.held}
+				all[i] = candidate{Target: fireflypath.Target{Name: fmt.Sprint("e", i)}, active: i < tt.held}
 			}
 			reads := 0
 			const seconds = 120
 			for at := range seconds {
-				for _, c := range s.choose(time.Unix(int64(at), 0), all, tt.mates) {
+				for _, c := range s.selectDue(time.Unix(int64(at), 0), all, tt.mates) {
 					if was, ok := last[c.Name]; ok {
-						gap[c.held] = max(gap[c.held], at-was)
+						gap[c.active] = max(gap[c.active], at-was)
 					}
 					last[c.Name] = at
 					reads++
--- a/internal/route/pool/events.go
+++ b/internal/route/pool/events.go
@@ -11,16 +11,16 @@
 func (p *Pool) Observe(e fireflypath.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if e.Work != nil && ends(e.Kind) {
+	if e.Work != nil && endsRequest(e.Kind) {
 		delete(p.running, e.Work)
 	}
-	p.sched.Observe(p.clock.Now(), e)
-	p.moves.Add(1)
-	p.pump()
+	p.scheduler.Observe(p.clock.Now(), e)
+	p.version.Add(1)
+	p.dispatchReady()
 }
 
-// Tell passes on an event of a dispatched request.
-func (p *Pool) Tell(r *request.Request, kind fireflypath.EventKind, cached int) {
+// Notify passes on an event of a dispatched request.
+func (p *Pool) Notify(r *request.Request, kind fireflypath.EventKind, cached int) {
 	p.Observe(fireflypath.Event{
 		Kind: kind, Target: r.Target.Name, Work: &r.Work, Sent: r.Sent, Tokens: r.Tokens, Cached: cached,
 	})
@@ -32,9 +32,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sheds = change(p.clock.Now(), p.sheds[:0])
-	p.moves.Add(1)
-	p.shed()
-	p.pump()
+	p.version.Add(1)
+	p.refuseShed()
+	p.dispatchReady()
 }
 
 // SetTargets replaces the targets.
@@ -45,9 +45,9 @@
 	for _, t := range targets {
 		p.targets[t.Name] = t
 	}
-	p.sched.SetTargets(p.clock.Now(), targets)
-	p.moves.Add(1)
-	p.pump()
+	p.scheduler.SetTargets(p.clock.Now(), targets)
+	p.version.Add(1)
+	p.dispatchReady()
 }
 
 // SetPool puts changed bounds of the pool in force, and the rank of the lowest
@@ -55,28 +55,28 @@
 func (p *Pool) SetPool(pool fireflypath.Pool, lowest int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s, ok := p.sched.(interface {
+	if s, ok := p.scheduler.(interface {
 		SetPool(pool fireflypath.Pool, lowest int)
 	}); ok {
 		s.SetPool(pool, lowest)
 	}
-	p.pump()
+	p.dispatchReady()
 }
 
 // SetShare puts a share of the targets' windows in force.
 func (p *Pool) SetShare(s fireflypath.Share) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sched.SetShare(p.clock.Now(), s)
-	p.moves.Add(1)
-	p.pump()
+	p.scheduler.SetShare(p.clock.Now(), s)
+	p.version.Add(1)
+	p.dispatchReady()
 }
 
-// Moves changes whenever what Report tells may have changed.
-func (p *Pool) Moves() uint64 { return p.moves.Load() }
+// Version changes whenever what Report tells may have changed.
+func (p *Pool) Version() uint64 { return p.version.Load() }
 
-// shared is a scheduler that counts what all daemons have in flight.
-type shared interface {
+// peerScheduler is a scheduler that counts what all daemons have in flight.
+type peerScheduler interface {
 	Report(m *fireflypath.Mate)
 	UpdatePeers(now time.Time, mates []fireflypath.Mate)
 }
@@ -85,19 +85,19 @@
 func (p *Pool) Report(m *fireflypath.Mate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s, ok := p.sched.(shared); ok {
+	if s, ok := p.scheduler.(peerScheduler); ok {
 		s.Report(m)
 	}
 }
 
-// Hear takes in what the other daemons have.
-func (p *Pool) Hear(mates []fireflypath.Mate) {
+// UpdatePeers takes in what the other daemons have.
+func (p *Pool) UpdatePeers(mates []fireflypath.Mate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s, ok := p.sched.(shared); ok {
+	if s, ok := p.scheduler.(peerScheduler); ok {
 		s.UpdatePeers(p.clock.Now(), mates)
-		p.moves.Add(1)
-		p.pump()
+		p.version.Add(1)
+		p.dispatchReady()
 	}
 }
 
@@ -105,27 +105,27 @@
 func (p *Pool) Demand() fireflypath.Demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sched.Demand(p.clock.Now())
+	return p.scheduler.Demand(p.clock.Now())
 }
 
 // Views appends what is known of the targets.
 func (p *Pool) Views(out []fireflypath.TargetView) []fireflypath.TargetView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.sched.Views(p.clock.Now(), out)
+	return p.scheduler.Views(p.clock.Now(), out)
 }
 
 // Relieve refuses waiting work of lower tiers and returns the tokens freed.
 func (p *Pool) Relieve(rank, tokens int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	sheds := p.sched.Relieve(p.clock.Now(), rank, tokens, nil)
+	sheds := p.scheduler.Relieve(p.clock.Now(), rank, tokens, nil)
 	freed := 0
 	for _, s := range sheds {
 		if s.Work.Life.State() == fireflypath.StateWaiting {
 			freed += s.Work.Cost.Tokens()
 		}
-		p.give(s)
+		p.refuse(s)
 	}
 	return freed
 }
@@ -142,5 +142,5 @@
 	}
 	p.mu.Unlock()
 	p.cancel()
-	p.asks.Wait()
+	p.reliefRequests.Wait()
 }
--- a/internal/route/pool/open.go
+++ b/internal/route/pool/open.go
@@ -5,35 +5,35 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// running is a dispatched request that has not ended.
-type running struct {
-	r      *request.Request
-	target string
+// runningRequest is a dispatched request that has not ended.
+type runningRequest struct {
+	request *request.Request
+	target  string
 }
 
-// Open appends what is known of the requests that wait or run and that the
+// OpenRequests appends what is known of the requests that wait or run and that the
 // filter lets through, for operators. Only what no longer changes is read: the
 // rest belongs to the request's goroutine.
-func (p *Pool) Open(match func(*fireflypath.Work) bool, out []fireflypath.Record) []fireflypath.Record {
+func (p *Pool) OpenRequests(match func(*fireflypath.Work) bool, out []fireflypath.Record) []fireflypath.Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for w, r := range p.waiting {
 		if match(w) {
-			out = append(out, open(r))
+			out = append(out, openRecord(r))
 		}
 	}
 	for w, run := range p.running {
 		if !match(w) {
 			continue
 		}
-		rec := open(run.r)
-		rec.Target, rec.Dispatched = run.target, run.r.Sent
+		rec := openRecord(run.request)
+		rec.Target, rec.Dispatched = run.target, run.request.Sent
 		out = append(out, rec)
 	}
 	return out
 }
 
-func open(r *request.Request) fireflypath.Record {
+func openRecord(r *request.Request) fireflypath.Record {
 	w := &r.Work
 	return fireflypath.Record{
 		ID: w.ID, Team: w.Team, Tier: w.Tier, Pool: w.Pool, Arrived: w.Arrived, Deadline: w.Deadline,
@@ -41,8 +41,8 @@
 	}
 }
 
-// ends is true for the events after which a request no longer runs.
-func ends(kind fireflypath.EventKind) bool {
+// endsRequest is true for the events after which a request no longer runs.
+func endsRequest(kind fireflypath.EventKind) bool {
 	switch kind {
 	case fireflypath.EventDone, fireflypath.EventFailed, fireflypath.EventRefused, fireflypath.EventUnsent:
 		return true
--- a/internal/route/pool/open_test.go
+++ b/internal/route/pool/open_test.go
@@ -31,18 +31,18 @@
 	go func() { done <- p.Wait(t.Context(), r) }()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	for len(p.Open(all, nil)) == 0 && ctx.Err() == nil {
+	for len(p.OpenRequests(all, nil)) == 0 && ctx.Err() == nil {
 		runtime.Gosched() // the offer is on its way
 	}
-	is.Equal(p.Open(all, nil)[0].State, "waiting")
+	is.Equal(p.OpenRequests(all, nil)[0].State, "waiting")
 	p.SetTargets([]fireflypath.Target{{Name: "e1", Pool: "chat", Addr: "127.0.0.1:1", Domain: "a"}})
 	is.NoErr(<-done)
-	got := p.Open(all, nil)
+	got := p.OpenRequests(all, nil)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].State, "dispatched")
 	is.Equal(got[0].Target, "e1")
 	is.Equal(got[0].Generation, uint64(3))
-	is.Equal(len(p.Open(func(w *fireflypath.Work) bool { return w.ID == "d1.Y" }, nil)), 0)
-	p.Tell(r, fireflypath.EventDone, -1)
-	is.Equal(len(p.Open(all, nil)), 0)
+	is.Equal(len(p.OpenRequests(func(w *fireflypath.Work) bool { return w.ID == "d1.Y" }, nil)), 0)
+	p.Notify(r, fireflypath.EventDone, -1)
+	is.Equal(len(p.OpenRequests(all, nil)), 0)
 }
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -17,16 +17,16 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// minWake keeps a scheduler that asks to be woken at once from spinning.
-const minWake = time.Millisecond
+// minWakeDelay keeps a scheduler that asks to be woken at once from spinning.
+const minWakeDelay = time.Millisecond
 
-// viewLife bounds how often a flood of refusals reads all targets under the
+// maxViewAge bounds how often a flood of refusals reads all targets under the
 // pool's lock; what operators read of them is at most this much older.
-const viewLife = 10 * time.Millisecond
+const maxViewAge = 10 * time.Millisecond
 
-// shownTargets is how many of the least loaded targets a refusal's record shows:
+// maxRecordedTargets is how many of the least loaded targets a refusal's record shows:
 // if those were full, so were the others.
-const shownTargets = 16
+const maxRecordedTargets = 16
 
 // Pool holds one lock around its scheduler. All moves of a waiting request's
 // Life are made under that lock.
@@ -36,43 +36,43 @@
 	relief fireflypath.Relief
 	// bytes counts the memory of waiting requests over all pools.
 	bytes *atomic.Int64
-	// moves counts what may have changed the work that waits or is at targets.
-	moves atomic.Uint64
+	// version counts what may have changed the work that waits or is at targets.
+	version atomic.Uint64
 
-	mu      sync.Mutex
-	sched   fireflypath.Scheduler
-	waiting map[*fireflypath.Work]*request.Request
-	running map[*fireflypath.Work]running
-	targets map[string]fireflypath.Target
-	closed  *fireflypath.Refusal
-	place   fireflypath.Placement
-	sheds   []fireflypath.Shed
+	mu        sync.Mutex
+	scheduler fireflypath.Scheduler
+	waiting   map[*fireflypath.Work]*request.Request
+	running   map[*fireflypath.Work]runningRequest
+	targets   map[string]fireflypath.Target
+	closed    *fireflypath.Refusal
+	placement fireflypath.Placement
+	sheds     []fireflypath.Shed
 	// views is what refusals' records show of the targets, as of viewed.
-	views  []fireflypath.TargetView
-	viewed time.Time
-	timer  clockwork.Timer
-	wakeAt time.Time
+	views       []fireflypath.TargetView
+	viewsReadAt time.Time
+	timer       clockwork.Timer
+	wakeAt      time.Time
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	asks   conc.WaitGroup
+	ctx            context.Context
+	cancel         context.CancelFunc
+	reliefRequests conc.WaitGroup
 }
 
 // New returns a pool without targets. A nil relief stands for a daemon alone.
 func New(name string, clock clockwork.Clock, sched fireflypath.Scheduler, relief fireflypath.Relief) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
-		name: name, clock: clock, relief: relief, sched: sched, bytes: &atomic.Int64{},
+		name: name, clock: clock, relief: relief, scheduler: sched, bytes: &atomic.Int64{},
 		waiting: map[*fireflypath.Work]*request.Request{},
-		running: map[*fireflypath.Work]running{},
+		running: map[*fireflypath.Work]runningRequest{},
 		targets: map[string]fireflypath.Target{},
 		ctx:     ctx, cancel: cancel,
 	}
 }
 
-// Count makes the pool subtract from n the bytes of requests whose wait ends;
+// CountBytes makes the pool subtract from n the bytes of requests whose wait ends;
 // whoever offers one has added them. It is called before the pool is used.
-func (p *Pool) Count(n *atomic.Int64) {
+func (p *Pool) CountBytes(n *atomic.Int64) {
 	p.bytes = n
 }
 
@@ -86,19 +86,19 @@
 // first, the error is a refusal as withdrawn.
 func (p *Pool) Wait(ctx context.Context, r *request.Request) error {
 	p.offer(r)
-	return p.turn(ctx, r)
+	return p.awaitTurn(ctx, r)
 }
 
-// Again lets a request wait once more of whose dispatch no byte left.
-func (p *Pool) Again(ctx context.Context, r *request.Request) error {
+// Requeue lets a request wait once more of whose dispatch no byte left.
+func (p *Pool) Requeue(ctx context.Context, r *request.Request) error {
 	p.mu.Lock()
 	r.Draft.Unsent()
 	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWaiting)
 	p.waiting[&r.Work] = r
-	p.moves.Add(1)
+	p.version.Add(1)
 	p.bytes.Add(int64(r.Work.Bytes))
 	delete(p.running, &r.Work)
-	p.sched.Observe(p.clock.Now(), fireflypath.Event{
+	p.scheduler.Observe(p.clock.Now(), fireflypath.Event{
 		Kind: fireflypath.EventUnsent, Target: r.Target.Name, Work: &r.Work, Sent: r.Sent, Cached: -1,
 	})
 	if ctx.Err() != nil {
@@ -107,9 +107,9 @@
 		return err
 	}
 	p.refuseIfClosed(r)
-	p.pump()
+	p.dispatchReady()
 	p.mu.Unlock()
-	return p.turn(ctx, r)
+	return p.awaitTurn(ctx, r)
 }
 
 func (p *Pool) offer(r *request.Request) {
@@ -118,19 +118,19 @@
 	// A placement brings the scheduler's own count; a refused request keeps this.
 	r.Draft.Ahead(len(p.waiting))
 	p.waiting[&r.Work] = r
-	p.moves.Add(1)
+	p.version.Add(1)
 	if p.refuseIfClosed(r) {
 		return
 	}
-	p.sheds = p.sched.Offer(p.clock.Now(), &r.Work, p.sheds[:0])
-	p.shed()
-	p.pump()
+	p.sheds = p.scheduler.Offer(p.clock.Now(), &r.Work, p.sheds[:0])
+	p.refuseShed()
+	p.dispatchReady()
 }
 
-func (p *Pool) turn(ctx context.Context, r *request.Request) error {
+func (p *Pool) awaitTurn(ctx context.Context, r *request.Request) error {
 	select {
 	case t := <-r.Turn:
-		return p.take(r, t)
+		return p.applyTurn(r, t)
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	return p.take(r, <-r.Turn)
+	return p.applyTurn(r, <-r.Turn)
 }
 
 // withdraw takes the request out of the queue, or returns nil if it no longer
@@ -148,22 +148,22 @@
 	if !r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
 		return nil
 	}
-	p.sched.Withdraw(p.clock.Now(), &r.Work)
-	p.forget(r)
-	p.pump()
-	return p.refusal(r, fireflypath.Shed{
+	p.scheduler.Withdraw(p.clock.Now(), &r.Work)
+	p.removeWaiting(r)
+	p.dispatchReady()
+	return p.newRefusal(r, fireflypath.Shed{
 		Reason: fireflypath.ReasonWithdrawn, Detail: "the caller left while the request waited",
 	})
 }
 
-// forget ends a request's wait. The lock is held.
-func (p *Pool) forget(r *request.Request) {
-	p.moves.Add(1)
+// removeWaiting ends a request's wait. The lock is held.
+func (p *Pool) removeWaiting(r *request.Request) {
+	p.version.Add(1)
 	delete(p.waiting, &r.Work)
 	p.bytes.Add(-int64(r.Work.Bytes))
 }
 
-func (p *Pool) take(r *request.Request, t request.Turn) error {
+func (p *Pool) applyTurn(r *request.Request, t request.Turn) error {
 	if t.Refusal != nil {
 		return t.Refusal
 	}
@@ -171,42 +171,42 @@
 	return nil
 }
 
-// pump carries out what the scheduler decides now. The lock is held.
-func (p *Pool) pump() {
+// dispatchReady carries out what the scheduler decides now. The lock is held.
+func (p *Pool) dispatchReady() {
 	if len(p.waiting) == 0 {
 		// Nothing to place, and nothing that a timer could change.
 		return
 	}
 	now := p.clock.Now()
-	for len(p.waiting) > 0 && p.sched.Next(now, &p.place) {
+	for len(p.waiting) > 0 && p.scheduler.Next(now, &p.placement) {
 		p.dispatch(now)
 	}
 	if len(p.waiting) > 0 {
-		p.arm(now)
+		p.scheduleWake(now)
 	}
 }
 
 func (p *Pool) dispatch(now time.Time) {
-	w := p.place.Work
+	w := p.placement.Work
 	r := p.waiting[w]
 	if r == nil || !w.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched) {
-		p.sched.Observe(now, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: p.place.Target, Work: w, Cached: -1})
+		p.scheduler.Observe(now, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: p.placement.Target, Work: w, Cached: -1})
 		return
 	}
-	p.forget(r)
+	p.removeWaiting(r)
 	r.Sent = now
-	p.running[w] = running{r: r, target: p.place.Target}
-	r.Draft.Placed(now, &p.place)
-	r.Turn <- request.Turn{Target: p.targets[p.place.Target]}
+	p.running[w] = runningRequest{request: r, target: p.placement.Target}
+	r.Draft.Placed(now, &p.placement)
+	r.Turn <- request.Turn{Target: p.targets[p.placement.Target]}
 }
 
-// arm sets the timer if the scheduler wants to be woken earlier than it is set.
-func (p *Pool) arm(now time.Time) {
-	at := p.sched.Wake(now)
+// scheduleWake sets the timer if the scheduler wants to be woken earlier than it is set.
+func (p *Pool) scheduleWake(now time.Time) {
+	at := p.scheduler.Wake(now)
 	if at.IsZero() || p.closed != nil {
 		return
 	}
-	if soonest := now.Add(minWake); at.Before(soonest) {
+	if soonest := now.Add(minWakeDelay); at.Before(soonest) {
 		at = soonest
 	}
 	if !p.wakeAt.IsZero() && !at.Before(p.wakeAt) {
@@ -216,50 +216,50 @@
 	if p.timer != nil {
 		p.timer.Stop()
 	}
-	p.timer = p.clock.AfterFunc(at.Sub(now), p.tick)
+	p.timer = p.clock.AfterFunc(at.Sub(now), p.onTimer)
 }
 
-func (p *Pool) tick() {
+func (p *Pool) onTimer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.wakeAt = time.Time{}
 	p.expire()
-	p.pump()
+	p.dispatchReady()
 }
 
 func (p *Pool) expire() {
-	p.sheds = p.sched.Expire(p.clock.Now(), p.sheds[:0])
-	p.shed()
+	p.sheds = p.scheduler.Expire(p.clock.Now(), p.sheds[:0])
+	p.refuseShed()
 }
 
-// shed refuses what the scheduler gave up. The lock is held.
-func (p *Pool) shed() {
+// refuseShed refuses what the scheduler gave up. The lock is held.
+func (p *Pool) refuseShed() {
 	for _, s := range p.sheds {
 		switch {
 		case !s.Relief:
-			p.give(s)
+			p.refuse(s)
 		case p.relief == nil:
-			p.yield(s)
+			p.refuseAfterLower(s)
 		default:
-			p.ask(s)
+			p.requestRelief(s)
 		}
 	}
 }
 
-// yield refuses work of a higher tier, and before it what lower work waits here.
+// refuseAfterLower refuses work of a higher tier, and before it what lower work waits here.
 // The lock is held.
-func (p *Pool) yield(s fireflypath.Shed) {
+func (p *Pool) refuseAfterLower(s fireflypath.Shed) {
 	if r := p.waiting[s.Work]; r == nil {
 		return
 	}
-	for _, own := range p.sched.Relieve(p.clock.Now(), s.Work.Rank, s.Tokens, nil) {
-		p.give(own)
+	for _, own := range p.scheduler.Relieve(p.clock.Now(), s.Work.Rank, s.Tokens, nil) {
+		p.refuse(own)
 	}
-	p.give(s)
+	p.refuse(s)
 }
 
-// give refuses one piece of work that still waits.
-func (p *Pool) give(s fireflypath.Shed) {
+// refuse refuses one piece of work that still waits.
+func (p *Pool) refuse(s fireflypath.Shed) {
 	state := fireflypath.StateShed
 	if s.Reason == fireflypath.ReasonDeadline {
 		state = fireflypath.StateExpired
@@ -269,33 +269,33 @@
 		return
 	}
 	now := p.clock.Now()
-	p.sched.Withdraw(now, s.Work)
-	p.forget(r)
+	p.scheduler.Withdraw(now, s.Work)
+	p.removeWaiting(r)
 	if r.Draft != nil {
-		r.Draft.Refused(p.seen(now))
+		r.Draft.Refused(p.targetViews(now))
 	}
-	r.Turn <- request.Turn{Refusal: p.refusal(r, s)}
+	r.Turn <- request.Turn{Refusal: p.newRefusal(r, s)}
 }
 
-// seen is what is known of the targets, read again after viewLife. The lock is held.
-func (p *Pool) seen(now time.Time) []fireflypath.TargetView {
-	if p.viewed.IsZero() || now.Sub(p.viewed) >= viewLife {
-		p.views, p.viewed = p.sched.Views(now, p.views[:0]), now
-		slices.SortStableFunc(p.views, func(a, b fireflypath.TargetView) int { return cmp.Compare(load(&a), load(&b)) })
+// targetViews is what is known of the targets, read again after maxViewAge. The lock is held.
+func (p *Pool) targetViews(now time.Time) []fireflypath.TargetView {
+	if p.viewsReadAt.IsZero() || now.Sub(p.viewsReadAt) >= maxViewAge {
+		p.views, p.viewsReadAt = p.scheduler.Views(now, p.views[:0]), now
+		slices.SortStableFunc(p.views, func(a, b fireflypath.TargetView) int { return cmp.Compare(usedFraction(&a), usedFraction(&b)) })
 	}
-	return p.views[:min(len(p.views), shownTargets)]
+	return p.views[:min(len(p.views), maxRecordedTargets)]
 }
 
-// load is the part of a target's window that is taken; a target that takes no
+// usedFraction is the part of a target's window that is taken; a target that takes no
 // work comes behind all others.
-func load(v *fireflypath.TargetView) float64 {
+func usedFraction(v *fireflypath.TargetView) float64 {
 	if v.State != "ready" || v.Window == 0 || v.Part == 0 {
 		return math.Inf(1)
 	}
 	return float64(v.Held) / (float64(v.Window) * v.Part)
 }
 
-func (p *Pool) refusal(r *request.Request, s fireflypath.Shed) *fireflypath.Refusal {
+func (p *Pool) newRefusal(r *request.Request, s fireflypath.Shed) *fireflypath.Refusal {
 	return &fireflypath.Refusal{
 		Code: s.Reason, Tier: r.Work.Tier, Detail: s.Detail, Run: fireflypath.RunNo,
 		RetryAfter: s.RetryAfter, ID: r.Work.ID, Generation: r.Config.Generation,
@@ -307,7 +307,7 @@
 	if p.closed == nil {
 		return false
 	}
-	p.give(fireflypath.Shed{
+	p.refuse(fireflypath.Shed{
 		Work: &r.Work, Reason: p.closed.Code, Detail: p.closed.Detail, RetryAfter: p.closed.RetryAfter,
 	})
 	return true
--- a/internal/route/pool/yield_test.go
+++ b/internal/route/pool/yield_test.go
@@ -63,7 +63,7 @@
 				is.Equal(works[2].Life.State(), fireflypath.StateShed)
 			})
 		}
-		for len(p.Open(func(*fireflypath.Work) bool { return true }, nil)) < 3 && t.Context().Err() == nil {
+		for len(p.OpenRequests(func(*fireflypath.Work) bool { return true }, nil)) < 3 && t.Context().Err() == nil {
 			runtime.Gosched() // the offers are on their way
 		}
 		clock.Advance(2 * time.Second)
--- a/internal/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -19,43 +19,43 @@
 
 // Pools implements fireflypath.Cluster.
 type Pools struct {
-	clock  clockwork.Clock
-	relief fireflypath.Relief
-	sched  func(fireflypath.Pool) fireflypath.Scheduler
-	// made is told of each new pool and its scheduler; nil if nobody wants to know.
-	made func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)
-	// bytes is the memory of waiting requests, limit its bound.
-	bytes atomic.Int64
-	limit int64
+	clock        clockwork.Clock
+	relief       fireflypath.Relief
+	newScheduler func(fireflypath.Pool) fireflypath.Scheduler
+	// onCreate is told of each new pool and its scheduler; nil if nobody wants to know.
+	onCreate func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)
+	// waitingBytes is the memory of waiting requests, limit its bound.
+	waitingBytes    atomic.Int64
+	maxWaitingBytes int64
 
 	// shares holds the last fireflypath.Share of each pool, by its name.
 	shares sync.Map
-	// sharing is held while a share is put in force, so that a pool which is
+	// shareMu is held while a share is put in force, so that a pool which is
 	// made meanwhile does not keep an older one.
-	sharing sync.Mutex
-	// begin gives the share of a new pool; nil for a daemon without peers.
-	begin atomic.Pointer[func(string) fireflypath.Share]
-
-	mu      sync.Mutex
-	applied *fireflypath.Config
-	stopped *fireflypath.Refusal
-	byName  atomic.Pointer[map[string]*pool.Pool]
-	// home maps a target to its pool.
-	home atomic.Pointer[map[string]*pool.Pool]
+	shareMu sync.Mutex
+	// initialShare gives the share of a new pool; nil for a daemon without peers.
+	initialShare atomic.Pointer[func(string) fireflypath.Share]
+
+	mu         sync.Mutex
+	applied    *fireflypath.Config
+	stopReason *fireflypath.Refusal
+	byName     atomic.Pointer[map[string]*pool.Pool]
+	// byTarget maps a target to its pool.
+	byTarget atomic.Pointer[map[string]*pool.Pool]
 }
 
 // New returns Pools without any; sched makes the scheduler of a pool.
 func New(clock clockwork.Clock, relief fireflypath.Relief, sched func(fireflypath.Pool) fireflypath.Scheduler) *Pools {
-	p := &Pools{clock: clock, relief: relief, sched: sched, limit: math.MaxInt64}
+	p := &Pools{clock: clock, relief: relief, newScheduler: sched, maxWaitingBytes: math.MaxInt64}
 	p.byName.Store(&map[string]*pool.Pool{})
-	p.home.Store(&map[string]*pool.Pool{})
+	p.byTarget.Store(&map[string]*pool.Pool{})
 	return p
 }
 
-// OnMade has each new pool told of, with its scheduler. It is called before the first
+// OnCreate has each new pool told of, with its scheduler. It is called before the first
 // configuration is applied.
-func (p *Pools) OnMade(made func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)) {
-	p.made = made
+func (p *Pools) OnCreate(made func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)) {
+	p.onCreate = made
 }
 
 // Follow applies each configuration until the context ends.
@@ -85,15 +85,15 @@
 	for _, c := range cfg.Pools {
 		next[c.Name] = old[c.Name]
 		if next[c.Name] == nil {
-			next[c.Name] = p.make(c)
+			next[c.Name] = p.create(c)
 		}
-		next[c.Name].SetPool(c, lowest(cfg))
+		next[c.Name].SetPool(c, lowestRank(cfg))
 	}
-	p.assign(cfg, next)
+	p.assignTargets(cfg, next)
 	p.byName.Store(&next)
 	for name, n := range next {
 		if old[name] == nil {
-			p.share(name, n)
+			p.setInitialShare(name, n)
 		}
 	}
 	for name, gone := range old {
@@ -103,8 +103,8 @@
 	}
 }
 
-// lowest is the rank of the lowest tier.
-func lowest(cfg *fireflypath.Config) int {
+// lowestRank is the rank of the lowest tier.
+func lowestRank(cfg *fireflypath.Config) int {
 	n := 0
 	for _, t := range cfg.Tiers {
 		n = max(n, t.Rank)
@@ -112,38 +112,38 @@
 	return n
 }
 
-func (p *Pools) make(c fireflypath.Pool) *pool.Pool {
-	sched := p.sched(c)
+func (p *Pools) create(c fireflypath.Pool) *pool.Pool {
+	sched := p.newScheduler(c)
 	n := pool.New(c.Name, p.clock, sched, p.relief)
-	n.Count(&p.bytes)
-	p.share(c.Name, n)
-	if p.made != nil {
-		p.made(c, n, sched)
+	n.CountBytes(&p.waitingBytes)
+	p.setInitialShare(c.Name, n)
+	if p.onCreate != nil {
+		p.onCreate(c, n, sched)
 	}
-	if p.stopped != nil {
-		n.Close(*p.stopped)
+	if p.stopReason != nil {
+		n.Close(*p.stopReason)
 	}
 	return n
 }
 
-// Begin sets where the share of a new pool comes from.
-func (p *Pools) Begin(share func(pool string) fireflypath.Share) {
-	p.begin.Store(&share)
+// SetInitialShare sets where the share of a new pool comes from.
+func (p *Pools) SetInitialShare(share func(pool string) fireflypath.Share) {
+	p.initialShare.Store(&share)
 }
 
-// share gives a new pool its share. It is called before the pool gets requests,
+// setInitialShare gives a new pool its share. It is called before the pool gets requests,
 // and again once ApplyShare finds the pool: one that came between is not lost.
-func (p *Pools) share(name string, n *pool.Pool) {
-	begin := p.begin.Load()
+func (p *Pools) setInitialShare(name string, n *pool.Pool) {
+	begin := p.initialShare.Load()
 	if begin == nil {
 		return
 	}
-	p.sharing.Lock()
-	defer p.sharing.Unlock()
+	p.shareMu.Lock()
+	defer p.shareMu.Unlock()
 	n.SetShare((*begin)(name))
 }
 
-func (p *Pools) assign(cfg *fireflypath.Config, pools map[string]*pool.Pool) {
+func (p *Pools) assignTargets(cfg *fireflypath.Config, pools map[string]*pool.Pool) {
 	targets := make(map[string][]fireflypath.Target, len(pools))
 	home := make(map[string]*pool.Pool, len(cfg.Targets))
 	for _, t := range cfg.Targets {
@@ -153,7 +153,7 @@
 	for name, n := range pools {
 		n.SetTargets(targets[name])
 	}
-	p.home.Store(&home)
+	p.byTarget.Store(&home)
 }
 
 // Pool is the pool of the name under the configuration, or nil.
@@ -169,42 +169,42 @@
 	return (*p.byName.Load())[name]
 }
 
-// Bound limits the bytes of all waiting requests. It is called before the
+// SetMaxWaitingBytes limits the bytes of all waiting requests. It is called before the
 // first request.
-func (p *Pools) Bound(bytes int) {
-	p.limit = int64(bytes)
+func (p *Pools) SetMaxWaitingBytes(bytes int) {
+	p.maxWaitingBytes = int64(bytes)
 }
 
-// Reserve counts a request that is about to wait. It reports false if there is
+// ReserveBytes counts a request that is about to wait. It reports false if there is
 // no memory for it, after lower work of any pool has given way.
 //
 // The bound is over all pools, so the newcomer can be of a higher tier than
 // what waits in another pool. Refusing it there would shed a higher tier while
 // a lower one holds work.
-func (p *Pools) Reserve(w *fireflypath.Work) bool {
+func (p *Pools) ReserveBytes(w *fireflypath.Work) bool {
 	n := int64(w.Bytes)
-	if p.bytes.Add(n) <= p.limit || p.displace(w.Rank) {
+	if p.waitingBytes.Add(n) <= p.maxWaitingBytes || p.displaceLowerTiers(w.Rank) {
 		return true
 	}
-	p.bytes.Add(-n)
+	p.waitingBytes.Add(-n)
 	return false
 }
 
-// displace refuses waiting work of lower tiers, the lowest first, until the
+// displaceLowerTiers refuses waiting work of lower tiers, the lowest first, until the
 // bound is met.
-func (p *Pools) displace(rank int) bool {
+func (p *Pools) displaceLowerTiers(rank int) bool {
 	for below := maxRank - 1; below >= rank; below-- {
 		for _, n := range *p.byName.Load() {
-			for p.bytes.Load() > p.limit && n.Relieve(below, 1) > 0 {
+			for p.waitingBytes.Load() > p.maxWaitingBytes && n.Relieve(below, 1) > 0 {
 			}
 		}
 	}
-	return p.bytes.Load() <= p.limit
+	return p.waitingBytes.Load() <= p.maxWaitingBytes
 }
 
 // Observe passes an event to the pool of its target.
 func (p *Pools) Observe(e fireflypath.Event) {
-	if n := (*p.home.Load())[e.Target]; n != nil {
+	if n := (*p.byTarget.Load())[e.Target]; n != nil {
 		n.Observe(e)
 	}
 }
@@ -212,7 +212,7 @@
 // Stop refuses all that waits in any pool and whatever comes later.
 func (p *Pools) Stop(why fireflypath.Refusal) {
 	p.mu.Lock()
-	p.stopped = &why
+	p.stopReason = &why
 	all := maps.Clone(*p.byName.Load())
 	p.mu.Unlock()
 	for _, n := range all {
@@ -229,8 +229,8 @@
 	return out
 }
 
-// Holds names the targets at which this daemon has work.
-func (p *Pools) Holds() map[string]bool {
+// ActiveTargets names the targets at which this daemon has work.
+func (p *Pools) ActiveTargets() map[string]bool {
 	out := map[string]bool{}
 	for _, v := range p.Views() {
 		if v.Requests > 0 {
@@ -240,12 +240,12 @@
 	return out
 }
 
-// Open is what is known of the requests that wait or run now and that the filter
+// OpenRequests is what is known of the requests that wait or run now and that the filter
 // lets through.
-func (p *Pools) Open(match func(*fireflypath.Work) bool) []fireflypath.Record {
+func (p *Pools) OpenRequests(match func(*fireflypath.Work) bool) []fireflypath.Record {
 	var out []fireflypath.Record
 	for _, n := range *p.byName.Load() {
-		out = n.Open(match, out)
+		out = n.OpenRequests(match, out)
 	}
 	return out
 }
@@ -255,7 +255,7 @@
 	all := *p.byName.Load()
 	n := uint64(len(all))
 	for _, one := range all {
-		n += one.Moves()
+		n += one.Version()
 	}
 	return n
 }
@@ -272,7 +272,7 @@
 // UpdatePeers takes in what the other daemons have in flight and waiting.
 func (p *Pools) UpdatePeers(mates []fireflypath.Mate) {
 	for _, n := range *p.byName.Load() {
-		n.Hear(mates)
+		n.UpdatePeers(mates)
 	}
 }
 
@@ -296,8 +296,8 @@
 
 // ApplyShare puts a share in force.
 func (p *Pools) ApplyShare(name string, s fireflypath.Share) {
-	p.sharing.Lock()
-	defer p.sharing.Unlock()
+	p.shareMu.Lock()
+	defer p.shareMu.Unlock()
 	p.shares.Store(name, s)
 	if n := (*p.byName.Load())[name]; n != nil {
 		n.SetShare(s)
--- a/internal/route/pools/pools_test.go
+++ b/internal/route/pools/pools_test.go
@@ -96,7 +96,7 @@
 		return shares{sched.New(sched.Config{Pool: c}), &got}
 	})
 	part := 0.1
-	p.Begin(func(string) fireflypath.Share { return fireflypath.Share{Default: part} })
+	p.SetInitialShare(func(string) fireflypath.Share { return fireflypath.Share{Default: part} })
 	part = 0.3
 	p.ApplyShare("chat", fireflypath.Share{Default: part})
 	p.Apply(&fireflypath.Config{Generation: 1, Pools: []fireflypath.Pool{{Name: "chat", Kind: fireflypath.KindEngine}}})
--- a/internal/route/queue/queue.go
+++ b/internal/route/queue/queue.go
@@ -10,9 +10,9 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// retry is given for want of memory, which running requests free within
+// retryAfter is given for want of memory, which running requests free within
 // seconds.
-const retry = time.Second
+const retryAfter = time.Second
 
 // Queue is the step that ends with a target or a refusal as not run.
 type Queue struct {
@@ -35,11 +35,11 @@
 	if p == nil {
 		return &fireflypath.Refusal{Code: fireflypath.ReasonNoPool, Detail: "the pool was removed", Run: fireflypath.RunNo}
 	}
-	if !q.pools.Reserve(&r.Work) {
+	if !q.pools.ReserveBytes(&r.Work) {
 		r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateShed)
 		return &fireflypath.Refusal{
 			Code: fireflypath.ReasonFull, Detail: "the waiting requests take up all memory allowed",
-			Run: fireflypath.RunNo, RetryAfter: retry,
+			Run: fireflypath.RunNo, RetryAfter: retryAfter,
 		}
 	}
 	r.Owner = p
--- a/internal/route/record/record.go
+++ b/internal/route/record/record.go
@@ -11,12 +11,12 @@
 
 // Record is the step; requests refused before it get a record of their end only.
 type Record struct {
-	to fireflypath.Recorder
+	recorder fireflypath.Recorder
 }
 
 // New returns the step; a nil recorder keeps none.
 func New(to fireflypath.Recorder) *Record {
-	return &Record{to: to}
+	return &Record{recorder: to}
 }
 
 // String names the step.
@@ -26,6 +26,6 @@
 
 // Run sets the draft that the later steps write to.
 func (s *Record) Run(_ context.Context, r *request.Request) error {
-	r.Draft = draft.New(s.to, &r.Work, r.Config.Generation)
+	r.Draft = draft.New(s.recorder, &r.Work, r.Config.Generation)
 	return nil
 }
--- a/internal/route/relay/body.go
+++ b/internal/route/relay/body.go
@@ -10,22 +10,22 @@
 	"github.com/fireflypath/fireflypath/internal/route/refuse"
 )
 
-// errCut makes the caller's connection end without the end mark.
-var errCut = errors.New("answer could not be finished")
+// errIncomplete makes the caller's connection end without the end mark.
+var errIncomplete = errors.New("answer could not be finished")
 
-// body is a streamed answer. It reads from the target only as fast as the
+// streamBody is a streamed answer. It reads from the target only as fast as the
 // caller takes, so a slow caller costs one piece of memory.
-type body struct {
-	l      *Relay
-	f      *follower
-	rest   []byte
-	err    error
-	events bool
-	ended  bool
+type streamBody struct {
+	relay       *Relay
+	follower    *follower
+	pending     []byte
+	err         error
+	eventStream bool
+	ended       bool
 }
 
-func newBody(l *Relay, f *follower, first fireflypath.Chunk, err error, events bool) *body {
-	b := &body{l: l, f: f, rest: first.Data, err: err, events: events}
+func newStreamBody(l *Relay, f *follower, first fireflypath.Chunk, err error, events bool) *streamBody {
+	b := &streamBody{relay: l, follower: f, pending: first.Data, err: err, eventStream: events}
 	if err != nil && !errors.Is(err, io.EOF) {
 		b.fail()
 	}
@@ -34,65 +34,65 @@
 
 // Read returns a piece as soon as it comes, and with it those that are there
 // already: each Read is a write to the caller.
-func (b *body) Read(p []byte) (int, error) {
-	for len(b.rest) == 0 {
+func (b *streamBody) Read(p []byte) (int, error) {
+	for len(b.pending) == 0 {
 		if b.err != nil {
 			return 0, b.finish()
 		}
-		c, err := b.f.next()
-		b.rest, b.err = c.Data, err
+		c, err := b.follower.next()
+		b.pending, b.err = c.Data, err
 		if err != nil && !errors.Is(err, io.EOF) {
 			b.fail()
 		}
 	}
-	n := b.fill(p, 0)
-	for b.err == nil && len(b.rest) == 0 && n < len(p) && b.f.ready() {
-		c, err := b.f.next()
-		b.rest, b.err = c.Data, err
+	n := b.copyPending(p, 0)
+	for b.err == nil && len(b.pending) == 0 && n < len(p) && b.follower.ready() {
+		c, err := b.follower.next()
+		b.pending, b.err = c.Data, err
 		if err != nil && !errors.Is(err, io.EOF) {
 			b.fail()
 		}
-		n = b.fill(p, n)
+		n = b.copyPending(p, n)
 	}
 	return n, nil
 }
 
-func (b *body) fill(p []byte, n int) int {
-	k := copy(p[n:], b.rest)
-	b.rest = b.rest[k:]
+func (b *streamBody) copyPending(p []byte, n int) int {
+	k := copy(p[n:], b.pending)
+	b.pending = b.pending[k:]
 	return n + k
 }
 
 // fail ends a cut answer: the caller of a stream reads why.
-func (b *body) fail() {
-	ref := b.l.fail(b.f, b.err)
+func (b *streamBody) fail() {
+	ref := b.relay.fail(b.follower, b.err)
 	b.ended = true
-	b.err = errCut
+	b.err = errIncomplete
 	var r *fireflypath.Refusal
-	if b.events && errors.As(ref, &r) {
-		b.rest = append(slices.Clip(b.rest), "event: error\ndata: "...)
-		b.rest = append(b.rest, refuse.JSON(r)...)
-		b.rest = append(b.rest, "\n\n"...)
+	if b.eventStream && errors.As(ref, &r) {
+		b.pending = append(slices.Clip(b.pending), "event: error\ndata: "...)
+		b.pending = append(b.pending, refuse.JSON(r)...)
+		b.pending = append(b.pending, "\n\n"...)
 	}
 }
 
-func (b *body) finish() error {
+func (b *streamBody) finish() error {
 	if b.ended {
 		return b.err
 	}
 	b.ended = true
 	if errors.Is(b.err, io.EOF) {
-		b.l.whole(b.f)
+		b.relay.complete(b.follower)
 	}
 	return b.err
 }
 
 // Close ends an answer whose caller left before its end.
-func (b *body) Close() error {
+func (b *streamBody) Close() error {
 	if b.ended {
 		return nil
 	}
 	b.ended = true
-	b.l.abandoned(b.f)
+	b.relay.callerLeft(b.follower)
 	return nil
 }
--- a/internal/route/relay/body_test.go
+++ b/internal/route/relay/body_test.go
@@ -25,8 +25,8 @@
 
 type owner struct{}
 
-func (owner) Again(context.Context, *request.Request) error     { return nil }
-func (owner) Tell(*request.Request, fireflypath.EventKind, int) {}
+func (owner) Requeue(context.Context, *request.Request) error     { return nil }
+func (owner) Notify(*request.Request, fireflypath.EventKind, int) {}
 
 // A caller reads slowly, or not at all, while its engine is fast. What the
 // daemon took from the engine beyond the caller's reads stays in memory, for
@@ -36,7 +36,7 @@
 	e := &endless{}
 	r := &request.Request{Answer: e, Owner: owner{}}
 	f := newFollower(t.Context(), clockwork.NewFakeClock(), r)
-	b := newBody(nil, f, fireflypath.Chunk{}, nil, true)
+	b := newStreamBody(nil, f, fireflypath.Chunk{}, nil, true)
 	p := make([]byte, 1050)
 	for n := 1; n <= 100; n++ {
 		k, err := b.Read(p)
--- a/internal/route/relay/follower.go
+++ b/internal/route/relay/follower.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// maxBroken bounds resumes in a row that fail at once. With the pauses
+	// maxFailures bounds resumes in a row that fail at once. With the pauses
 	// below they last about 1.5 s, longer than a target's network takes to
 	// come back from a moved route, and far shorter than a restart: a
 	// restarted target no longer holds the answer.
-	maxBroken  = 5
-	firstPause = 50 * time.Millisecond
-	// maxSilent bounds resumes in a row that bring nothing for the silence
+	maxFailures = 5
+	basePause   = 50 * time.Millisecond
+	// maxTimeouts bounds resumes in a row that bring nothing for the silence
 	// limit. A target may queue work that long, so it is generous; it ends
 	// the wait for one that accepts connections and does nothing else.
-	maxSilent = 30
-	// cancelTime bounds telling a target that its work is no longer wanted.
-	cancelTime = 2 * time.Second
+	maxTimeouts = 30
+	// cancelTimeout bounds telling a target that its work is no longer wanted.
+	cancelTimeout = 2 * time.Second
 )
 
 // follower reads one answer over as many connections as it takes.
@@ -34,29 +34,29 @@
 // the answer. The caller would wait for ever or read half an answer; a resume
 // behind the last event on a new connection costs no second run.
 type follower struct {
-	ctx    context.Context
-	clock  clockwork.Clock
-	r      *request.Request
-	answer fireflypath.Answer
-	offset int
-	broken int
-	silent int
-	begun  bool
-	told   bool
-	closed bool
+	ctx           context.Context
+	clock         clockwork.Clock
+	request       *request.Request
+	answer        fireflypath.Answer
+	offset        int
+	failures      int
+	timeouts      int
+	started       bool
+	firstReported bool
+	closed        bool
 }
 
 func newFollower(ctx context.Context, clock clockwork.Clock, r *request.Request) *follower {
 	if !r.Work.Idempotent {
 		ctx = context.WithoutCancel(ctx)
 	}
-	return &follower{ctx: ctx, clock: clock, r: r, answer: r.Answer}
+	return &follower{ctx: ctx, clock: clock, request: r, answer: r.Answer}
 }
 
-// begin returns the first piece, after which there is a head.
-func (f *follower) begin() (fireflypath.Chunk, error) {
+// start returns the first piece, after which there is a head.
+func (f *follower) start() (fireflypath.Chunk, error) {
 	if f.answer == nil {
-		if err := f.resume(f.r.Broken); err != nil {
+		if err := f.resume(f.request.AnswerErr); err != nil {
 			return fireflypath.Chunk{}, err
 		}
 	}
@@ -67,7 +67,7 @@
 	return f.answer.Head()
 }
 
-func (f *follower) cached() int {
+func (f *follower) cachedTokens() int {
 	if f.answer == nil {
 		return -1
 	}
@@ -76,8 +76,8 @@
 
 // next returns the next piece, or io.EOF after the whole answer.
 func (f *follower) next() (fireflypath.Chunk, error) {
-	if f.begun && !f.told && !f.ready() {
-		f.tell()
+	if f.started && !f.firstReported && !f.ready() {
+		f.reportFirstToken()
 	}
 	for {
 		c, err := f.answer.Next(f.ctx)
@@ -102,21 +102,21 @@
 
 func (f *follower) progress(c fireflypath.Chunk) {
 	f.offset = c.Offset
-	f.r.Tokens += c.Tokens
-	f.broken = 0
-	f.silent = 0
-	if f.begun {
+	f.request.Tokens += c.Tokens
+	f.failures = 0
+	f.timeouts = 0
+	if f.started {
 		return
 	}
-	f.begun = true
-	f.r.Draft.First(f.clock.Now())
+	f.started = true
+	f.request.Draft.First(f.clock.Now())
 }
 
-// tell reports the first token, when the first piece is on its way to the
+// reportFirstToken reports the first token, when the first piece is on its way to the
 // caller. An answer that came all at once is only reported as done.
-func (f *follower) tell() {
-	f.told = true
-	f.r.Owner.Tell(f.r, fireflypath.EventFirst, f.cached())
+func (f *follower) reportFirstToken() {
+	f.firstReported = true
+	f.request.Owner.Notify(f.request, fireflypath.EventFirst, f.cachedTokens())
 }
 
 // resume asks for the rest until a connection answers, or returns why not.
@@ -125,44 +125,44 @@
 		if f.ctx.Err() != nil {
 			return errors.Wrap(f.ctx.Err(), "caller left")
 		}
-		if !f.count(cause) {
+		if !f.allowResume(cause) {
 			return cause
 		}
-		a, err := f.r.Backend.Resume(f.ctx, f.r.Target, &f.r.Call, f.offset)
+		a, err := f.request.Backend.Resume(f.ctx, f.request.Target, &f.request.Call, f.offset)
 		if errors.Is(err, fireflypath.ErrGone) {
 			return errors.Wrap(cause, err.Error())
 		}
-		f.r.Draft.Resumed()
+		f.request.Draft.Resumed()
 		if err == nil {
-			f.replace(a)
+			f.setAnswer(a)
 			return nil
 		}
 		cause = err
 	}
 }
 
-// count pauses before a resume and reports whether there may be one more.
-func (f *follower) count(cause error) bool {
+// allowResume pauses before a resume and reports whether there may be one more.
+func (f *follower) allowResume(cause error) bool {
 	var t net.Error
 	if errors.As(cause, &t) && t.Timeout() && !errors.Is(cause, fireflypath.ErrUnsent) {
-		f.silent++
-		return f.silent <= maxSilent
+		f.timeouts++
+		return f.timeouts <= maxTimeouts
 	}
-	f.broken++
-	if f.broken > maxBroken {
+	f.failures++
+	if f.failures > maxFailures {
 		return false
 	}
-	if f.broken == 1 {
+	if f.failures == 1 {
 		return true
 	}
 	select {
-	case <-f.clock.After(firstPause << f.broken):
+	case <-f.clock.After(basePause << f.failures):
 	case <-f.ctx.Done():
 	}
 	return true
 }
 
-func (f *follower) replace(a fireflypath.Answer) {
+func (f *follower) setAnswer(a fireflypath.Answer) {
 	if f.answer != nil {
 		_ = f.answer.Close()
 	}
@@ -179,10 +179,10 @@
 	}
 }
 
-// abandon ends the answer of a caller that left. The target is told to stop
+// cancelTarget ends the answer of a caller that left. The target is told to stop
 // only if the work may be cut; other work runs to its end, unread.
-func (f *follower) abandon() {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(f.ctx), cancelTime)
+func (f *follower) cancelTarget() {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(f.ctx), cancelTimeout)
 	defer cancel()
-	_ = f.r.Backend.Cancel(ctx, f.r.Target, f.r.Work.ID)
+	_ = f.request.Backend.Cancel(ctx, f.request.Target, f.request.Work.ID)
 }
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// small is the largest answer that is read whole before a byte is passed
+	// maxBuffered is the largest answer that is read whole before a byte is passed
 	// on, so that a cut one still gets a refusal with a status.
-	small = 64 << 10
-	// maxWhole bounds an answer assembled for a caller that wants no stream.
-	maxWhole = 16 << 20
+	maxBuffered = 64 << 10
+	// maxAssembled bounds an answer assembled for a caller that wants no stream.
+	maxAssembled = 16 << 20
 )
 
 var errTooLong = errors.New("answer is longer than the bound")
@@ -42,7 +42,7 @@
 // Run sets the reply. A streamed one ends after Run has returned.
 func (l *Relay) Run(ctx context.Context, r *request.Request) error {
 	f := newFollower(ctx, l.clock, r)
-	first, err := f.begin()
+	first, err := f.start()
 	if err != nil && (f.answer == nil || !errors.Is(err, io.EOF)) {
 		return l.fail(f, err)
 	}
@@ -62,17 +62,17 @@
 // one body, which saves a short one a write.
 func (l *Relay) stream(f *follower, first fireflypath.Chunk, err error) error {
 	events := append([]byte(nil), first.Data...)
-	for err == nil && f.ready() && len(events) < small {
+	for err == nil && f.ready() && len(events) < maxBuffered {
 		var c fireflypath.Chunk
 		c, err = f.next()
 		events = append(events, c.Data...)
 	}
 	if errors.Is(err, io.EOF) {
-		f.r.Reply.Body = events
-		l.whole(f)
+		f.request.Reply.Body = events
+		l.complete(f)
 		return nil
 	}
-	f.r.Reply.Stream = newBody(l, f, fireflypath.Chunk{Data: events}, err, true)
+	f.request.Reply.Stream = newStreamBody(l, f, fireflypath.Chunk{Data: events}, err, true)
 	return nil
 }
 
@@ -80,13 +80,13 @@
 
 // plain passes on an answer without events.
 func (l *Relay) plain(f *follower, first fireflypath.Chunk, err error) error {
-	r := f.r
+	r := f.request
 	if n, ok := f.answer.(interface{ Length() int }); ok {
 		r.Reply.Length = n.Length()
 	}
-	if r.Reply.Length > small || r.Reply.Length < 0 && err == nil {
+	if r.Reply.Length > maxBuffered || r.Reply.Length < 0 && err == nil {
 		// An answer of unknown length may come slowly; its pieces are not held back.
-		r.Reply.Stream = newBody(l, f, first, err, false)
+		r.Reply.Stream = newStreamBody(l, f, first, err, false)
 		return nil
 	}
 	body := append([]byte(nil), first.Data...)
@@ -99,28 +99,28 @@
 		return l.fail(f, err)
 	}
 	r.Reply.Body = body
-	l.whole(f)
+	l.complete(f)
 	return nil
 }
 
-func (l *Relay) whole(f *follower) {
-	r := f.r
+func (l *Relay) complete(f *follower) {
+	r := f.request
 	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateAnswered)
-	r.Owner.Tell(r, fireflypath.EventDone, f.cached())
+	r.Owner.Notify(r, fireflypath.EventDone, f.cachedTokens())
 	f.close()
 	l.ended(r, nil)
 }
 
 // fail ends a request whose answer will not be whole.
 func (l *Relay) fail(f *follower, err error) error {
-	r := f.r
+	r := f.request
 	if f.ctx.Err() != nil {
 		f.close()
-		f.abandon()
-		return l.left(f)
+		f.cancelTarget()
+		return l.withdraw(f)
 	}
 	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
-	r.Owner.Tell(r, fireflypath.EventFailed, f.cached())
+	r.Owner.Notify(r, fireflypath.EventFailed, f.cachedTokens())
 	f.close()
 	ref := &fireflypath.Refusal{
 		Code: fireflypath.ReasonTarget, Tier: r.Work.Tier, Run: fireflypath.RunUnknown,
@@ -131,14 +131,14 @@
 	return ref
 }
 
-// abandoned ends the answer of a caller that left. Work that may not be cut is
+// callerLeft ends the answer of a caller that left. Work that may not be cut is
 // read to its end, because a target may take a closed connection for a cancel.
-func (l *Relay) abandoned(f *follower) {
-	r := f.r
+func (l *Relay) callerLeft(f *follower) {
+	r := f.request
 	if r.Work.Idempotent {
 		f.close()
-		f.abandon()
-		_ = l.left(f)
+		f.cancelTarget()
+		_ = l.withdraw(f)
 		return
 	}
 	for {
@@ -147,13 +147,13 @@
 		}
 	}
 	f.close()
-	_ = l.left(f)
+	_ = l.withdraw(f)
 }
 
-func (l *Relay) left(f *follower) error {
-	r := f.r
+func (l *Relay) withdraw(f *follower) error {
+	r := f.request
 	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
-	r.Owner.Tell(r, fireflypath.EventFailed, f.cached())
+	r.Owner.Notify(r, fireflypath.EventFailed, f.cachedTokens())
 	ref := &fireflypath.Refusal{
 		Code: fireflypath.ReasonWithdrawn, Tier: r.Work.Tier, Run: fireflypath.RunUnknown,
 		Detail: "the caller left while the request ran", ID: r.Work.ID, Generation: r.Config.Generation,
--- a/internal/route/relay/whole.go
+++ b/internal/route/relay/whole.go
@@ -52,23 +52,23 @@
 	Total      int `json:"total_tokens"`
 }
 
-// assembly collects the events of one answer.
-type assembly struct {
+// assembler collects the events of one answer.
+type assembler struct {
 	text   []byte
 	last   event
 	finish *string
 }
 
 var (
-	fieldData = []byte("data:")
-	dataDone  = []byte("[DONE]")
+	dataPrefix = []byte("data:")
+	doneMarker = []byte("[DONE]")
 )
 
-func (a *assembly) add(data []byte) error {
+func (a *assembler) addEvents(data []byte) error {
 	for line := range bytes.Lines(data) {
-		v, ok := bytes.CutPrefix(line, fieldData)
+		v, ok := bytes.CutPrefix(line, dataPrefix)
 		v = bytes.TrimSpace(v)
-		if !ok || bytes.Equal(v, dataDone) {
+		if !ok || bytes.Equal(v, doneMarker) {
 			continue
 		}
 		var e event
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	if len(a.text) > maxWhole {
+	if len(a.text) > maxAssembled {
 		return errTooLong
 	}
 	return nil
@@ -92,9 +92,9 @@
 
 // assemble makes one JSON answer of the events.
 func (l *Relay) assemble(f *follower, c fireflypath.Chunk, err error) error {
-	var a assembly
+	var a assembler
 	for err == nil {
-		if err = a.add(c.Data); err == nil {
+		if err = a.addEvents(c.Data); err == nil {
 			c, err = f.next()
 		}
 	}
@@ -105,14 +105,14 @@
 	if err != nil {
 		return l.fail(f, err)
 	}
-	f.r.Reply.Header = map[string]string{"Content-Type": "application/json"}
-	f.r.Reply.Body = body
-	l.whole(f)
+	f.request.Reply.Header = map[string]string{"Content-Type": "application/json"}
+	f.request.Reply.Body = body
+	l.complete(f)
 	return nil
 }
 
-func (a *assembly) completion(f *follower) completion {
-	r := f.r
+func (a *assembler) completion(f *follower) completion {
+	r := f.request
 	text := string(a.text)
 	ch := choice{Finish: a.finish}
 	object := "text_completion"
--- a/internal/route/request/request.go
+++ b/internal/route/request/request.go
@@ -19,10 +19,10 @@
 
 // Owner is what the steps behind the queue tell the request's pool.
 type Owner interface {
-	// Again lets a request wait once more of whose dispatch no byte left.
-	Again(ctx context.Context, r *Request) error
-	// Tell passes on an event of a dispatched request.
-	Tell(r *Request, kind fireflypath.EventKind, cached int)
+	// Requeue lets a request wait once more of whose dispatch no byte left.
+	Requeue(ctx context.Context, r *Request) error
+	// Notify passes on an event of a dispatched request.
+	Notify(r *Request, kind fireflypath.EventKind, cached int)
 }
 
 // Request is used by one goroutine at a time: the caller's, and while it waits
@@ -54,8 +54,8 @@
 	Sent   time.Time
 	// Answer is nil after a dispatch whose answer has not begun to arrive.
 	Answer fireflypath.Answer
-	// Broken is why Answer is nil.
-	Broken error
+	// AnswerErr is why Answer is nil.
+	AnswerErr error
 	// Claimed is true while the request's idempotency key is held for it.
 	Claimed bool
 	// Reply is what the caller gets.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -59,8 +59,8 @@
 	Log *zap.Logger
 	// Leaving spreads what a target says of itself.
 	Leaving func(target string)
-	// Dead spreads that a target took no connection.
-	Dead func(target string)
+	// Unreachable spreads that a target took no connection.
+	Unreachable func(target string)
 }
 
 // Route runs requests.
@@ -69,31 +69,31 @@
 	catalogs catalog.Cache
 	early    *early.Early
 	steps    []Step
-	// header are the steps that need the header only.
-	header []Step
+	// headerSteps are the steps that need the header only.
+	headerSteps []Step
 }
 
 // New returns a route.
 func New(deps Deps) *Route {
 	rt := &Route{deps: deps, early: early.New(deps.Clock)}
-	rt.header = []Step{parse.New(deps.Clock), identify.New()}
-	rt.steps = append(slices.Clone(rt.header),
+	rt.headerSteps = []Step{parse.New(deps.Clock), identify.New()}
+	rt.steps = append(slices.Clone(rt.headerSteps),
 		classify.New(),
 		record.New(deps.Recorder),
 		rt.early,
 		admit.New(deps.Clock, deps.Members, deps.Rules),
 		claim.New(deps.Claims, deps.Recorder),
 		queue.New(deps.Pools),
-		dispatch.New(deps.Backends, deps.Leaving, deps.Dead),
-		relay.New(deps.Clock, rt.ended),
+		dispatch.New(deps.Backends, deps.Leaving, deps.Unreachable),
+		relay.New(deps.Clock, rt.finish),
 	)
 	return rt
 }
 
 // Serve sets the request's reply. The context ends when the caller leaves.
 func (rt *Route) Serve(ctx context.Context, r *request.Request) {
-	defer rt.recover(r)
-	rt.begin(r)
+	defer rt.recoverPanic(r)
+	rt.prepare(r)
 	for _, s := range rt.steps {
 		if err := s.Run(ctx, r); err != nil {
 			rt.refuse(r, s.String(), err)
@@ -106,9 +106,9 @@
 // is read. For a request that its header refuses it sets the reply and reports
 // false; such a request must not be served, as its body is missing.
 func (rt *Route) Rank(r *request.Request) (rank int, ok bool) {
-	defer rt.recover(r)
-	rt.begin(r)
-	for _, s := range rt.header {
+	defer rt.recoverPanic(r)
+	rt.prepare(r)
+	for _, s := range rt.headerSteps {
 		if err := s.Run(context.Background(), r); err != nil {
 			rt.refuse(r, s.String(), err)
 			return 0, false
@@ -123,12 +123,12 @@
 	rt.refuse(r, "body", ref)
 }
 
-// recover answers a request whose step panicked.
+// recoverPanic answers a request whose step panicked.
 //
 // The server library lets a panic end the process: one request that meets a
 // mistake in the code would take all others of the daemon with it, and again
 // at each retry. Here it ends alone, counted and logged with its stack.
-func (rt *Route) recover(r *request.Request) {
+func (rt *Route) recoverPanic(r *request.Request) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -138,27 +138,27 @@
 	}
 	ref := &fireflypath.Refusal{Code: fireflypath.ReasonTarget, Detail: "a fault of the daemon", Run: fireflypath.RunNo}
 	if !r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
-		ref.Run = rt.ran(r)
+		ref.Run = rt.runState(r)
 	}
 	if r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed) {
-		r.Owner.Tell(r, fireflypath.EventFailed, -1)
+		r.Owner.Notify(r, fireflypath.EventFailed, -1)
 	}
 	rt.refuse(r, "", ref)
 }
 
-// begin gives the request its id and the configuration that it keeps.
-func (rt *Route) begin(r *request.Request) {
+// prepare gives the request its id and the configuration that it keeps.
+func (rt *Route) prepare(r *request.Request) {
 	if r.Config != nil {
 		return
 	}
-	r.Work.ID = rt.ID()
+	r.Work.ID = rt.NewID()
 	r.Turn = make(chan request.Turn, 1)
 	r.Config = rt.deps.Configs.Current()
-	r.Catalog = rt.catalogs.For(r.Config)
+	r.Catalog = rt.catalogs.Get(r.Config)
 }
 
-// ID is unique over all daemons.
-func (rt *Route) ID() string {
+// NewID is unique over all daemons.
+func (rt *Route) NewID() string {
 	u := ulid.MustNew(ulid.Timestamp(rt.deps.Clock.Now()), ulid.DefaultEntropy())
 	return rt.deps.Name + "." + u.String()
 }
@@ -167,17 +167,17 @@
 func (rt *Route) refuse(r *request.Request, step string, err error) {
 	var ref *fireflypath.Refusal
 	if !errors.As(err, &ref) {
-		ref = &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: step + ": " + err.Error(), Run: rt.ran(r)}
+		ref = &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: step + ": " + err.Error(), Run: rt.runState(r)}
 	}
 	r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateRefused)
 	ref.ID = r.Work.ID
 	ref.Tier = r.Work.Tier
 	ref.Generation = r.Config.Generation
 	r.Reply = refuse.Reply(ref)
-	rt.ended(r, ref)
+	rt.finish(r, ref)
 }
 
-func (rt *Route) ran(r *request.Request) fireflypath.Run {
+func (rt *Route) runState(r *request.Request) fireflypath.Run {
 	switch r.Work.Life.State() {
 	case fireflypath.StateDispatched, fireflypath.StateAnswered, fireflypath.StateFailed:
 		return fireflypath.RunUnknown
@@ -186,14 +186,14 @@
 	}
 }
 
-// ended counts the end of a request, once.
-func (rt *Route) ended(r *request.Request, ref *fireflypath.Refusal) {
+// finish counts the end of a request, once.
+func (rt *Route) finish(r *request.Request, ref *fireflypath.Refusal) {
 	if r.Ended {
 		return
 	}
 	r.Ended = true
 	if ref != nil {
-		rt.early.Refused(r, ref)
+		rt.early.RecordRefusal(r, ref)
 	}
 	if r.Claimed && ref != nil && ref.Run == fireflypath.RunNo {
 		rt.deps.Claims.Release(r.Work.Team, r.Inbound.Key, r.Work.ID)
@@ -202,6 +202,6 @@
 		r.Draft = draft.New(rt.deps.Recorder, &r.Work, r.Config.Generation)
 	}
 	now := rt.deps.Clock.Now()
-	rt.deps.Meter.Ended(now, r, ref)
+	rt.deps.Meter.RecordEnd(now, r, ref)
 	r.Draft.End(now, r.Work.Life.State(), r.Tokens, ref)
 }
