--- a/internal/route/pool/events.go
+++ b/internal/route/pool/events.go
@@ -7,7 +7,7 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// Observe passes an event to the scheduler and carries out what follows.
+// Observe passes an event to the scheduler and dispatches what it makes possible.
 func (p *Pool) Observe(e fireflypath.Event) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -19,15 +19,15 @@
 	p.dispatchReady()
 }
 
-// Notify passes on an event of a dispatched request.
+// Notify passes an event of a dispatched request to the scheduler.
 func (p *Pool) Notify(r *request.Request, kind fireflypath.EventKind, cached int) {
 	p.Observe(fireflypath.Event{
 		Kind: kind, Target: r.Target.Name, Work: &r.Work, Sent: r.Sent, Tokens: r.Tokens, Cached: cached,
 	})
 }
 
-// Update changes the scheduler, refuses what the change gives up, and carries out
-// what follows.
+// Update calls change, refuses the requests that it sheds and dispatches what it
+// makes possible. The pool's lock is held during the call.
 func (p *Pool) Update(change func(now time.Time, out []fireflypath.Shed) []fireflypath.Shed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +37,7 @@
 	p.dispatchReady()
 }
 
-// SetTargets replaces the targets.
+// SetTargets replaces the pool's targets.
 func (p *Pool) SetTargets(targets []fireflypath.Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -50,20 +50,20 @@
 	p.dispatchReady()
 }
 
-// SetPool puts changed bounds of the pool in force, and the rank of the lowest
-// configured tier, if the scheduler has a use for them.
-func (p *Pool) SetPool(pool fireflypath.Pool, lowest int) {
+// SetPool applies changed limits of the pool and the rank of the lowest configured
+// tier, if the scheduler supports changing them.
+func (p *Pool) SetPool(pool fireflypath.Pool, lowestRank int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.scheduler.(interface {
-		SetPool(pool fireflypath.Pool, lowest int)
+		SetPool(pool fireflypath.Pool, lowestRank int)
 	}); ok {
-		s.SetPool(pool, lowest)
+		s.SetPool(pool, lowestRank)
 	}
 	p.dispatchReady()
 }
 
-// SetShare puts a share of the targets' windows in force.
+// SetShare applies this daemon's share of the targets' windows.
 func (p *Pool) SetShare(s fireflypath.Share) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,16 +72,18 @@
 	p.dispatchReady()
 }
 
-// Version changes whenever what Report tells may have changed.
+// Version changes whenever the result of Report may have changed.
 func (p *Pool) Version() uint64 { return p.version.Load() }
 
-// peerScheduler is a scheduler that counts what all daemons have in flight.
+// peerScheduler is a scheduler that accounts for the work of all daemons at its
+// targets.
 type peerScheduler interface {
 	Report(m *fireflypath.Mate)
-	UpdatePeers(now time.Time, mates []fireflypath.Mate)
+	UpdatePeers(now time.Time, peers []fireflypath.Mate)
 }
 
-// Report adds what this daemon has in flight and waiting, if the scheduler tells.
+// Report adds this daemon's in-flight and waiting work to m, if the scheduler is
+// a peerScheduler.
 func (p *Pool) Report(m *fireflypath.Mate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,32 +92,34 @@
 	}
 }
 
-// UpdatePeers takes in what the other daemons have.
-func (p *Pool) UpdatePeers(mates []fireflypath.Mate) {
+// UpdatePeers applies the reported work of the other daemons, if the scheduler is
+// a peerScheduler.
+func (p *Pool) UpdatePeers(peers []fireflypath.Mate) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.scheduler.(peerScheduler); ok {
-		s.UpdatePeers(p.clock.Now(), mates)
+		s.UpdatePeers(p.clock.Now(), peers)
 		p.version.Add(1)
 		p.dispatchReady()
 	}
 }
 
-// Demand summarises the pool.
+// Demand returns a summary of the pool's load.
 func (p *Pool) Demand() fireflypath.Demand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.scheduler.Demand(p.clock.Now())
 }
 
-// Views appends what is known of the targets.
+// Views appends the scheduler's view of each target.
 func (p *Pool) Views(out []fireflypath.TargetView) []fireflypath.TargetView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.scheduler.Views(p.clock.Now(), out)
 }
 
-// Relieve refuses waiting work of lower tiers and returns the tokens freed.
+// Relieve refuses waiting requests with a rank above the given one, until they
+// free the given number of tokens, and returns the tokens freed.
 func (p *Pool) Relieve(rank, tokens int) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,10 +134,10 @@
 	return freed
 }
 
-// Close refuses all that waits and whatever comes later. Running requests go on.
-func (p *Pool) Close(why fireflypath.Refusal) {
+// Close refuses all waiting and all later requests. Running requests continue.
+func (p *Pool) Close(reason fireflypath.Refusal) {
 	p.mu.Lock()
-	p.closed = &why
+	p.closed = &reason
 	if p.timer != nil {
 		p.timer.Stop()
 	}
--- a/internal/route/pool/open.go
+++ b/internal/route/pool/open.go
@@ -5,15 +5,15 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// runningRequest is a dispatched request that has not ended.
+// runningRequest is a dispatched request that has not ended, and its target.
 type runningRequest struct {
 	request *request.Request
 	target  string
 }
 
-// OpenRequests appends what is known of the requests that wait or run and that the
-// filter lets through, for operators. Only what no longer changes is read: the
-// rest belongs to the request's goroutine.
+// OpenRequests appends a record of each waiting or running request that matches,
+// for operators. It reads only fields that no longer change; the others belong to
+// the request's goroutine.
 func (p *Pool) OpenRequests(match func(*fireflypath.Work) bool, out []fireflypath.Record) []fireflypath.Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// endsRequest is true for the events after which a request no longer runs.
+// endsRequest reports whether a request no longer runs after an event of the kind.
 func endsRequest(kind fireflypath.EventKind) bool {
 	switch kind {
 	case fireflypath.EventDone, fireflypath.EventFailed, fireflypath.EventRefused, fireflypath.EventUnsent:
--- a/internal/route/pool/open_test.go
+++ b/internal/route/pool/open_test.go
@@ -15,9 +15,9 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// An operator asks for a request that has not ended. It is listed as waiting
-// until it has a target, then as running there, and not at all after its end.
-func TestOpenFollowsARequest(t *testing.T) {
+// A request that has not ended is listed as waiting until it has a target, then
+// as dispatched to that target, and no longer after its end.
+func TestOpenRequestsShowsStateUntilEnd(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	p := pool.New("chat", clock, sched.New(sched.Config{Pool: fireflypath.Pool{Name: "chat"}}), nil)
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	for len(p.OpenRequests(all, nil)) == 0 && ctx.Err() == nil {
-		runtime.Gosched() // the offer is on its way
+		runtime.Gosched() // until the request is queued
 	}
 	is.Equal(p.OpenRequests(all, nil)[0].State, "waiting")
 	p.SetTargets([]fireflypath.Target{{Name: "e1", Pool: "chat", Addr: "127.0.0.1:1", Domain: "a"}})
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -1,4 +1,5 @@
-// Package pool owns the scheduler of one pool and carries its decisions out.
+// Package pool runs the scheduler of one pool and applies its decisions to the
+// waiting and running requests.
 package pool
 
 import (
@@ -17,26 +18,27 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// minWakeDelay keeps a scheduler that asks to be woken at once from spinning.
+// minWakeDelay prevents a busy loop when the scheduler asks to be woken at once.
 const minWakeDelay = time.Millisecond
 
-// maxViewAge bounds how often a flood of refusals reads all targets under the
-// pool's lock; what operators read of them is at most this much older.
+// maxViewAge is how long the target views in the records of refused requests
+// are reused. It bounds how often a burst of refusals reads all targets while
+// holding the pool's lock.
 const maxViewAge = 10 * time.Millisecond
 
-// maxRecordedTargets is how many of the least loaded targets a refusal's record shows:
-// if those were full, so were the others.
+// maxRecordedTargets is how many of the least loaded targets the record of a
+// refused request lists. If those were full, so were the others.
 const maxRecordedTargets = 16
 
-// Pool holds one lock around its scheduler. All moves of a waiting request's
-// Life are made under that lock.
+// Pool guards its scheduler with one lock. Every state change of a waiting
+// request's Life is made while that lock is held.
 type Pool struct {
 	name   string
 	clock  clockwork.Clock
 	relief fireflypath.Relief
-	// bytes counts the memory of waiting requests over all pools.
+	// bytes is the memory used by the waiting requests of all pools.
 	bytes *atomic.Int64
-	// version counts what may have changed the work that waits or is at targets.
+	// version counts the changes that may affect waiting or running requests.
 	version atomic.Uint64
 
 	mu        sync.Mutex
@@ -47,7 +49,8 @@
 	closed    *fireflypath.Refusal
 	placement fireflypath.Placement
 	sheds     []fireflypath.Shed
-	// views is what refusals' records show of the targets, as of viewed.
+	// views holds the target views for the records of refused requests, least
+	// loaded first, as read at viewsReadAt.
 	views       []fireflypath.TargetView
 	viewsReadAt time.Time
 	timer       clockwork.Timer
@@ -58,7 +61,7 @@
 	reliefRequests conc.WaitGroup
 }
 
-// New returns a pool without targets. A nil relief stands for a daemon alone.
+// New returns a pool without targets. A nil relief means that the daemon has no peers.
 func New(name string, clock clockwork.Clock, sched fireflypath.Scheduler, relief fireflypath.Relief) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
@@ -70,26 +73,28 @@
 	}
 }
 
-// CountBytes makes the pool subtract from n the bytes of requests whose wait ends;
-// whoever offers one has added them. It is called before the pool is used.
+// CountBytes sets the counter of the bytes of waiting requests. The caller of
+// Wait has added a request's bytes; the pool subtracts them when the wait ends.
+// It must be called before the pool is used.
 func (p *Pool) CountBytes(n *atomic.Int64) {
 	p.bytes = n
 }
 
-// Done is closed when the pool has ended.
+// Done returns a channel that is closed when the pool is closed.
 func (p *Pool) Done() <-chan struct{} {
 	return p.ctx.Done()
 }
 
-// Wait offers the request and returns when it has a target, with its Life in
-// StateDispatched, or the refusal that ended its wait. If the caller leaves
-// first, the error is a refusal as withdrawn.
+// Wait queues the request and blocks until it has a target. Its Life is then in
+// StateDispatched. Otherwise the error is the refusal that ended the wait, with
+// ReasonWithdrawn if the context ended first.
 func (p *Pool) Wait(ctx context.Context, r *request.Request) error {
 	p.offer(r)
 	return p.awaitTurn(ctx, r)
 }
 
-// Requeue lets a request wait once more of whose dispatch no byte left.
+// Requeue returns a request to the queue if its dispatch failed before any byte
+// was sent, and waits like Wait.
 func (p *Pool) Requeue(ctx context.Context, r *request.Request) error {
 	p.mu.Lock()
 	r.Draft.Unsent()
@@ -115,7 +120,7 @@
 func (p *Pool) offer(r *request.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// A placement brings the scheduler's own count; a refused request keeps this.
+	// A placement replaces this with the scheduler's count; a refused request keeps it.
 	r.Draft.Ahead(len(p.waiting))
 	p.waiting[&r.Work] = r
 	p.version.Add(1)
@@ -142,8 +147,9 @@
 	return p.applyTurn(r, <-r.Turn)
 }
 
-// withdraw takes the request out of the queue, or returns nil if it no longer
-// waits and its turn is on the way. The lock is held.
+// withdraw removes the request from the queue and returns its refusal. It
+// returns nil if the request no longer waits and its Turn is about to be sent.
+// The lock must be held.
 func (p *Pool) withdraw(r *request.Request) error {
 	if !r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
 		return nil
@@ -156,7 +162,7 @@
 	})
 }
 
-// removeWaiting ends a request's wait. The lock is held.
+// removeWaiting removes the request from the waiting ones. The lock must be held.
 func (p *Pool) removeWaiting(r *request.Request) {
 	p.version.Add(1)
 	delete(p.waiting, &r.Work)
@@ -171,10 +177,11 @@
 	return nil
 }
 
-// dispatchReady carries out what the scheduler decides now. The lock is held.
+// dispatchReady dispatches every request that the scheduler can place now and
+// schedules the next wake-up. The lock must be held.
 func (p *Pool) dispatchReady() {
 	if len(p.waiting) == 0 {
-		// Nothing to place, and nothing that a timer could change.
+		// Nothing to place and nothing that a timer could expire.
 		return
 	}
 	now := p.clock.Now()
@@ -200,7 +207,8 @@
 	r.Turn <- request.Turn{Target: p.targets[p.placement.Target]}
 }
 
-// scheduleWake sets the timer if the scheduler wants to be woken earlier than it is set.
+// scheduleWake resets the timer if the scheduler wants to be woken earlier than
+// the timer fires.
 func (p *Pool) scheduleWake(now time.Time) {
 	at := p.scheduler.Wake(now)
 	if at.IsZero() || p.closed != nil {
@@ -232,7 +240,8 @@
 	p.refuseShed()
 }
 
-// refuseShed refuses what the scheduler gave up. The lock is held.
+// refuseShed refuses the requests that the scheduler shed, after asking peers to
+// shed lower tiers where the scheduler wants relief. The lock must be held.
 func (p *Pool) refuseShed() {
 	for _, s := range p.sheds {
 		switch {
@@ -246,19 +255,20 @@
 	}
 }
 
-// refuseAfterLower refuses work of a higher tier, and before it what lower work waits here.
-// The lock is held.
+// refuseAfterLower refuses the request, after refusing waiting requests of lower
+// tiers in this pool. The lock must be held.
 func (p *Pool) refuseAfterLower(s fireflypath.Shed) {
 	if r := p.waiting[s.Work]; r == nil {
 		return
 	}
-	for _, own := range p.scheduler.Relieve(p.clock.Now(), s.Work.Rank, s.Tokens, nil) {
-		p.refuse(own)
+	for _, lower := range p.scheduler.Relieve(p.clock.Now(), s.Work.Rank, s.Tokens, nil) {
+		p.refuse(lower)
 	}
 	p.refuse(s)
 }
 
-// refuse refuses one piece of work that still waits.
+// refuse ends the wait of one request with a refusal; it does nothing if the
+// request no longer waits. The lock must be held.
 func (p *Pool) refuse(s fireflypath.Shed) {
 	state := fireflypath.StateShed
 	if s.Reason == fireflypath.ReasonDeadline {
@@ -277,7 +287,8 @@
 	r.Turn <- request.Turn{Refusal: p.newRefusal(r, s)}
 }
 
-// targetViews is what is known of the targets, read again after maxViewAge. The lock is held.
+// targetViews returns the views of the least loaded targets, at most maxViewAge
+// old. The lock must be held.
 func (p *Pool) targetViews(now time.Time) []fireflypath.TargetView {
 	if p.viewsReadAt.IsZero() || now.Sub(p.viewsReadAt) >= maxViewAge {
 		p.views, p.viewsReadAt = p.scheduler.Views(now, p.views[:0]), now
@@ -286,8 +297,8 @@
 	return p.views[:min(len(p.views), maxRecordedTargets)]
 }
 
-// usedFraction is the part of a target's window that is taken; a target that takes no
-// work comes behind all others.
+// usedFraction returns the fraction of a target's window that is in use. It is
+// infinite for a target that accepts no work, so that such targets sort last.
 func usedFraction(v *fireflypath.TargetView) float64 {
 	if v.State != "ready" || v.Window == 0 || v.Part == 0 {
 		return math.Inf(1)
@@ -302,7 +313,8 @@
 	}
 }
 
-// refuseIfClosed refuses the request if the pool takes no more. The lock is held.
+// refuseIfClosed refuses the request and returns true if the pool is closed. The
+// lock must be held.
 func (p *Pool) refuseIfClosed(r *request.Request) bool {
 	if p.closed == nil {
 		return false
--- a/internal/route/pool/refused_test.go
+++ b/internal/route/pool/refused_test.go
@@ -16,8 +16,8 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// BenchmarkRefused measures a refusal by a full pool of 96 targets, with a
-// record and without.
+// BenchmarkRefused measures refusing a request in a full pool with 96 targets,
+// with and without records.
 func BenchmarkRefused(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("records=%v", on), func(b *testing.B) {
@@ -53,7 +53,7 @@
 			for b.Loop() {
 				r, err := offer()
 				if err == nil {
-					b.Fatal("let in")
+					b.Fatal("request was not refused by the full pool")
 				}
 				r.Draft.End(clock.Now(), r.Work.Life.State(), 0, nil)
 			}
--- a/internal/route/pool/relief.go
+++ b/internal/route/pool/relief.go
@@ -4,22 +4,25 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// maxExtraRounds bounds how often peers are asked again for work that is past its time.
-// A daemon that was asked lets no lower work wait for a while, so the second
-// round finds none unless a peer came up or was slow.
+// maxExtraRounds bounds how often peers are asked again on behalf of a request
+// that is past its deadline. A daemon that was asked queues no requests of lower
+// tiers for a while, so a second round finds some only if a peer has just started
+// or was slow to answer.
 const maxExtraRounds = 3
 
-// requestRelief lets the work wait while peers are asked for room. Work that is past its
-// time has nothing to wait for: it is refused once nobody holds lower work.
+// requestRelief asks peers to shed requests of lower tiers while the request
+// keeps waiting. It is refused once no daemon holds waiting requests of lower
+// tiers. A request past its deadline gains nothing from freed room, so its peers
+// are asked again until they free none.
 func (p *Pool) requestRelief(s fireflypath.Shed) {
-	lowest := len(p.scheduler.Demand(p.clock.Now()).Requests) - 1
+	lowestRank := len(p.scheduler.Demand(p.clock.Now()).Requests) - 1
 	p.reliefRequests.Go(func() {
-		freed, err := p.reliefRound(s, lowest)
+		freed, err := p.reliefRound(s, lowestRank)
 		for range maxExtraRounds {
 			if err != nil || freed == 0 || s.Reason != fireflypath.ReasonDeadline {
 				break
 			}
-			freed, err = p.reliefRound(s, lowest)
+			freed, err = p.reliefRound(s, lowestRank)
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -37,21 +40,21 @@
 	})
 }
 
-// reliefRound asks all daemons, this one too, for their work of the lowest tier, then
-// of the next, up to the one below the work's. Asked for all lower work at once,
-// a daemon that holds none of the lowest tier would give up a higher one while
-// another still holds the lowest: the very thing the round is to prevent.
-func (p *Pool) reliefRound(s fireflypath.Shed, lowest int) (int, error) {
-	sum := 0
-	for rank := max(lowest-1, s.Work.Rank); rank >= s.Work.Rank; rank-- {
+// reliefRound asks all daemons, including this one, to shed requests of the
+// lowest tier, then of the next, up to the tier below the request's. If all lower
+// tiers were asked for at once, a daemon without requests of the lowest tier
+// would shed a higher one while another daemon still holds the lowest.
+func (p *Pool) reliefRound(s fireflypath.Shed, lowestRank int) (int, error) {
+	freedTokens := 0
+	for rank := max(lowestRank-1, s.Work.Rank); rank >= s.Work.Rank; rank-- {
 		freed, err := p.relief.Ask(p.ctx, p.name, rank, s.Tokens)
 		if err != nil {
 			return 0, err
 		}
-		sum += freed
+		freedTokens += freed
 		if rank > s.Work.Rank {
-			sum += p.Relieve(rank, s.Tokens)
+			freedTokens += p.Relieve(rank, s.Tokens)
 		}
 	}
-	return sum, nil
+	return freedTokens, nil
 }
--- a/internal/route/pool/yield_test.go
+++ b/internal/route/pool/tier_order_test.go
@@ -16,31 +16,32 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// lenders notes the ranks that were asked for and frees once what it is given.
-type lenders struct {
-	mu    sync.Mutex
-	ranks []int
-	holds int
+// recordingRelief records the ranks that were asked for and frees its tokens in
+// the first call.
+type recordingRelief struct {
+	mu     sync.Mutex
+	ranks  []int
+	tokens int
 }
 
-func (p *lenders) Ask(_ context.Context, _ string, rank, _ int) (int, error) {
+func (p *recordingRelief) Ask(_ context.Context, _ string, rank, _ int) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ranks = append(p.ranks, rank)
-	freed := p.holds
-	p.holds = 0
+	freed := p.tokens
+	p.tokens = 0
 	return freed, nil
 }
 
-// A request of the highest tier runs out of time while requests of both lower
-// tiers wait, here and at peers. Its caller must not read a refusal before the
-// lower ones have given way, the lowest first, and it must read it at once.
-func TestHigherWorkIsRefusedLast(t *testing.T) {
+// Guards against refusing a request of the highest tier, whose deadline passes,
+// before the waiting requests of both lower tiers in this pool and at peers.
+// The lowest tier is refused first, and the refusals are not delayed.
+func TestHighestTierIsRefusedLast(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		is := is.New(t)
 		clock := clockwork.NewFakeClock()
-		asked := &lenders{holds: 100}
-		var relief fireflypath.Relief = asked
+		recording := &recordingRelief{tokens: 100}
+		var relief fireflypath.Relief = recording
 		if alone {
 			relief = nil
 		}
@@ -64,13 +65,13 @@
 			})
 		}
 		for len(p.OpenRequests(func(*fireflypath.Work) bool { return true }, nil)) < 3 && t.Context().Err() == nil {
-			runtime.Gosched() // the offers are on their way
+			runtime.Gosched() // until all requests are queued
 		}
 		clock.Advance(2 * time.Second)
 		wg.Wait()
 		is.Equal(works[0].Life.State(), fireflypath.StateExpired)
 		if !alone {
-			is.Equal(asked.ranks, []int{1, 0, 1, 0})
+			is.Equal(recording.ranks, []int{1, 0, 1, 0})
 		}
 	}
 }
