--- a/internal/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -1,4 +1,4 @@
-// Package pools keeps one pool for each that the configuration names.
+// Package pools manages the pools that the configuration defines.
 package pools
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/fireflypath/fireflypath/internal/route/pool"
 )
 
-// maxRank is the lowest tier's rank at most (fireflypath.Tier).
+// maxRank is the highest rank that a tier may have (fireflypath.Tier).
 const maxRank = 15
 
 // Pools implements fireflypath.Cluster.
@@ -22,43 +22,46 @@
 	clock        clockwork.Clock
 	relief       fireflypath.Relief
 	newScheduler func(fireflypath.Pool) fireflypath.Scheduler
-	// onCreate is told of each new pool and its scheduler; nil if nobody wants to know.
+	// onCreate is called with each new pool and its scheduler; it may be nil.
 	onCreate func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)
-	// waitingBytes is the memory of waiting requests, limit its bound.
+	// waitingBytes is the memory used by waiting requests, at most maxWaitingBytes.
 	waitingBytes    atomic.Int64
 	maxWaitingBytes int64
 
 	// shares holds the last fireflypath.Share of each pool, by its name.
 	shares sync.Map
-	// shareMu is held while a share is put in force, so that a pool which is
-	// made meanwhile does not keep an older one.
+	// shareMu is held while a share is applied, so that a pool created at the same
+	// time does not keep an older one.
 	shareMu sync.Mutex
-	// initialShare gives the share of a new pool; nil for a daemon without peers.
+	// initialShare returns the share of a new pool; nil for a daemon without peers.
 	initialShare atomic.Pointer[func(string) fireflypath.Share]
 
 	mu         sync.Mutex
 	applied    *fireflypath.Config
 	stopReason *fireflypath.Refusal
 	byName     atomic.Pointer[map[string]*pool.Pool]
-	// byTarget maps a target to its pool.
+	// byTarget maps the name of a target to its pool.
 	byTarget atomic.Pointer[map[string]*pool.Pool]
 }
 
-// New returns Pools without any; sched makes the scheduler of a pool.
-func New(clock clockwork.Clock, relief fireflypath.Relief, sched func(fireflypath.Pool) fireflypath.Scheduler) *Pools {
-	p := &Pools{clock: clock, relief: relief, newScheduler: sched, maxWaitingBytes: math.MaxInt64}
+// New returns an empty Pools; newScheduler creates the scheduler of a pool.
+func New(
+	clock clockwork.Clock, relief fireflypath.Relief, newScheduler func(fireflypath.Pool) fireflypath.Scheduler,
+) *Pools {
+	p := &Pools{clock: clock, relief: relief, newScheduler: newScheduler, maxWaitingBytes: math.MaxInt64}
 	p.byName.Store(&map[string]*pool.Pool{})
 	p.byTarget.Store(&map[string]*pool.Pool{})
 	return p
 }
 
-// OnCreate has each new pool told of, with its scheduler. It is called before the first
-// configuration is applied.
-func (p *Pools) OnCreate(made func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)) {
-	p.onCreate = made
+// OnCreate sets a function that is called with each new pool and its scheduler.
+// It must be called before the first configuration is applied.
+func (p *Pools) OnCreate(f func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)) {
+	p.onCreate = f
 }
 
-// Follow applies each configuration until the context ends.
+// Follow applies the current configuration and each newer one until the context
+// is done.
 func (p *Pools) Follow(ctx context.Context, configs fireflypath.Configs) {
 	for {
 		cfg := configs.Current()
@@ -71,8 +74,8 @@
 	}
 }
 
-// Apply makes, changes and ends pools. A lower generation than the one applied
-// is ignored.
+// Apply creates, updates and closes pools as the configuration requires. It
+// ignores a generation lower than the applied one.
 func (p *Pools) Apply(cfg *fireflypath.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,14 +99,14 @@
 			p.setInitialShare(name, n)
 		}
 	}
-	for name, gone := range old {
+	for name, removed := range old {
 		if next[name] == nil {
-			gone.Close(fireflypath.Refusal{Code: fireflypath.ReasonNoPool, Detail: "the pool was removed"})
+			removed.Close(fireflypath.Refusal{Code: fireflypath.ReasonNoPool, Detail: "the pool was removed"})
 		}
 	}
 }
 
-// lowestRank is the rank of the lowest tier.
+// lowestRank returns the rank of the lowest tier.
 func lowestRank(cfg *fireflypath.Config) int {
 	n := 0
 	for _, t := range cfg.Tiers {
@@ -113,12 +116,12 @@
 }
 
 func (p *Pools) create(c fireflypath.Pool) *pool.Pool {
-	sched := p.newScheduler(c)
-	n := pool.New(c.Name, p.clock, sched, p.relief)
+	scheduler := p.newScheduler(c)
+	n := pool.New(c.Name, p.clock, scheduler, p.relief)
 	n.CountBytes(&p.waitingBytes)
 	p.setInitialShare(c.Name, n)
 	if p.onCreate != nil {
-		p.onCreate(c, n, sched)
+		p.onCreate(c, n, scheduler)
 	}
 	if p.stopReason != nil {
 		n.Close(*p.stopReason)
@@ -126,41 +129,42 @@
 	return n
 }
 
-// SetInitialShare sets where the share of a new pool comes from.
+// SetInitialShare sets the function that returns the share of a new pool.
 func (p *Pools) SetInitialShare(share func(pool string) fireflypath.Share) {
 	p.initialShare.Store(&share)
 }
 
-// setInitialShare gives a new pool its share. It is called before the pool gets requests,
-// and again once ApplyShare finds the pool: one that came between is not lost.
+// setInitialShare sets the share of a new pool. It is called before the pool
+// receives requests, and again once ApplyShare can find the pool, so that a share
+// applied in between is not lost.
 func (p *Pools) setInitialShare(name string, n *pool.Pool) {
-	begin := p.initialShare.Load()
-	if begin == nil {
+	initial := p.initialShare.Load()
+	if initial == nil {
 		return
 	}
 	p.shareMu.Lock()
 	defer p.shareMu.Unlock()
-	n.SetShare((*begin)(name))
+	n.SetShare((*initial)(name))
 }
 
 func (p *Pools) assignTargets(cfg *fireflypath.Config, pools map[string]*pool.Pool) {
 	targets := make(map[string][]fireflypath.Target, len(pools))
-	home := make(map[string]*pool.Pool, len(cfg.Targets))
+	byTarget := make(map[string]*pool.Pool, len(cfg.Targets))
 	for _, t := range cfg.Targets {
 		targets[t.Pool] = append(targets[t.Pool], t)
-		home[t.Name] = pools[t.Pool]
+		byTarget[t.Name] = pools[t.Pool]
 	}
 	for name, n := range pools {
 		n.SetTargets(targets[name])
 	}
-	p.byTarget.Store(&home)
+	p.byTarget.Store(&byTarget)
 }
 
-// Pool is the pool of the name under the configuration, or nil.
+// Pool returns the named pool of the configuration, or nil.
 //
-// A request can hold a configuration that Follow has not come to yet. Without
-// applying it here the request would be refused for want of a pool that the
-// operator was told is in force.
+// A request can carry a configuration that Follow has not applied yet. It is
+// applied here, because the request would otherwise be refused for a missing pool
+// although the operator was told that the pool is in effect.
 func (p *Pools) Pool(cfg *fireflypath.Config, name string) *pool.Pool {
 	if n := (*p.byName.Load())[name]; n != nil {
 		return n
@@ -169,18 +173,19 @@
 	return (*p.byName.Load())[name]
 }
 
-// SetMaxWaitingBytes limits the bytes of all waiting requests. It is called before the
-// first request.
+// SetMaxWaitingBytes limits the memory used by all waiting requests. It must be
+// called before the first request.
 func (p *Pools) SetMaxWaitingBytes(bytes int) {
 	p.maxWaitingBytes = int64(bytes)
 }
 
-// ReserveBytes counts a request that is about to wait. It reports false if there is
-// no memory for it, after lower work of any pool has given way.
+// ReserveBytes adds the bytes of a request that is about to wait. It returns false
+// if they exceed the limit even after waiting requests of lower tiers have been
+// refused in all pools.
 //
-// The bound is over all pools, so the newcomer can be of a higher tier than
-// what waits in another pool. Refusing it there would shed a higher tier while
-// a lower one holds work.
+// The limit covers all pools, so the new request can be of a higher tier than
+// requests waiting in another pool. Refusing it would shed a higher tier while a
+// lower one still waits.
 func (p *Pools) ReserveBytes(w *fireflypath.Work) bool {
 	n := int64(w.Bytes)
 	if p.waitingBytes.Add(n) <= p.maxWaitingBytes || p.displaceLowerTiers(w.Rank) {
@@ -190,8 +195,8 @@
 	return false
 }
 
-// displaceLowerTiers refuses waiting work of lower tiers, the lowest first, until the
-// bound is met.
+// displaceLowerTiers refuses waiting requests of tiers below the rank, the lowest
+// first, until the limit is met. It returns false if the limit is still exceeded.
 func (p *Pools) displaceLowerTiers(rank int) bool {
 	for below := maxRank - 1; below >= rank; below-- {
 		for _, n := range *p.byName.Load() {
@@ -202,25 +207,25 @@
 	return p.waitingBytes.Load() <= p.maxWaitingBytes
 }
 
-// Observe passes an event to the pool of its target.
+// Observe passes an event to the pool that its target belongs to.
 func (p *Pools) Observe(e fireflypath.Event) {
 	if n := (*p.byTarget.Load())[e.Target]; n != nil {
 		n.Observe(e)
 	}
 }
 
-// Stop refuses all that waits in any pool and whatever comes later.
-func (p *Pools) Stop(why fireflypath.Refusal) {
+// Stop refuses all waiting and all later requests in every pool.
+func (p *Pools) Stop(reason fireflypath.Refusal) {
 	p.mu.Lock()
-	p.stopReason = &why
+	p.stopReason = &reason
 	all := maps.Clone(*p.byName.Load())
 	p.mu.Unlock()
 	for _, n := range all {
-		n.Close(why)
+		n.Close(reason)
 	}
 }
 
-// Views is what this daemon knows of all targets.
+// Views returns the schedulers' views of all targets.
 func (p *Pools) Views() []fireflypath.TargetView {
 	var out []fireflypath.TargetView
 	for _, n := range *p.byName.Load() {
@@ -229,7 +234,7 @@
 	return out
 }
 
-// ActiveTargets names the targets at which this daemon has work.
+// ActiveTargets returns the names of the targets that run requests of this daemon.
 func (p *Pools) ActiveTargets() map[string]bool {
 	out := map[string]bool{}
 	for _, v := range p.Views() {
@@ -240,8 +245,7 @@
 	return out
 }
 
-// OpenRequests is what is known of the requests that wait or run now and that the filter
-// lets through.
+// OpenRequests returns a record of each waiting or running request that matches.
 func (p *Pools) OpenRequests(match func(*fireflypath.Work) bool) []fireflypath.Record {
 	var out []fireflypath.Record
 	for _, n := range *p.byName.Load() {
@@ -250,17 +254,17 @@
 	return out
 }
 
-// Version changes whenever what Report tells may have changed.
+// Version changes whenever the result of Report may have changed.
 func (p *Pools) Version() uint64 {
 	all := *p.byName.Load()
 	n := uint64(len(all))
-	for _, one := range all {
-		n += one.Version()
+	for _, each := range all {
+		n += each.Version()
 	}
 	return n
 }
 
-// Report is what this daemon has in flight and waiting.
+// Report returns this daemon's in-flight and waiting work in all pools.
 func (p *Pools) Report() fireflypath.Mate {
 	m := fireflypath.NewMate("")
 	for _, n := range *p.byName.Load() {
@@ -269,14 +273,14 @@
 	return m
 }
 
-// UpdatePeers takes in what the other daemons have in flight and waiting.
-func (p *Pools) UpdatePeers(mates []fireflypath.Mate) {
+// UpdatePeers applies the reported in-flight and waiting work of the other daemons.
+func (p *Pools) UpdatePeers(peers []fireflypath.Mate) {
 	for _, n := range *p.byName.Load() {
-		n.UpdatePeers(mates)
+		n.UpdatePeers(peers)
 	}
 }
 
-// Demands summarises all pools.
+// Demands returns a summary of the load of each pool.
 func (p *Pools) Demands() []fireflypath.Demand {
 	all := *p.byName.Load()
 	out := make([]fireflypath.Demand, 0, len(all))
@@ -286,7 +290,8 @@
 	return out
 }
 
-// Relieve gives up waiting work of lower tiers.
+// Relieve refuses waiting requests of lower tiers in the named pool and returns
+// the tokens freed.
 func (p *Pools) Relieve(name string, rank, tokens int) int {
 	if n := (*p.byName.Load())[name]; n != nil {
 		return n.Relieve(rank, tokens)
@@ -294,7 +299,7 @@
 	return 0
 }
 
-// ApplyShare puts a share in force.
+// ApplyShare applies this daemon's share of the windows of a pool's targets.
 func (p *Pools) ApplyShare(name string, s fireflypath.Share) {
 	p.shareMu.Lock()
 	defer p.shareMu.Unlock()
@@ -304,9 +309,10 @@
 	}
 }
 
-// Serves reports whether this daemon may send work to the target. At the size
-// of the letter a daemon serves a part of the targets; asking all 2,700 for
-// their load each second would take many times what control may cost.
+// Serves reports whether this daemon may send requests to the target. In a large
+// fleet a daemon serves only some of the targets: polling the load of all 2,700
+// targets each second would exceed the bandwidth allowed for control traffic many
+// times over.
 func (p *Pools) Serves(t fireflypath.Target) bool {
 	v, ok := p.shares.Load(t.Pool)
 	if !ok {
@@ -319,12 +325,12 @@
 	return s.Default > 0
 }
 
-// TargetLeaving ends new work to the target.
-func (p *Pools) TargetLeaving(target, why string) {
+// TargetLeaving stops the dispatch of new requests to the target.
+func (p *Pools) TargetLeaving(target, reason string) {
 	p.Observe(fireflypath.Event{Kind: fireflypath.EventLeaving, Target: target, Cached: -1})
 }
 
-// TargetBack allows new work to the target.
+// TargetBack allows the dispatch of new requests to the target again.
 func (p *Pools) TargetBack(target string) {
 	p.Observe(fireflypath.Event{Kind: fireflypath.EventBack, Target: target, Cached: -1})
 }
