--- a/internal/route/poll/poll.go
+++ b/internal/route/poll/poll.go
@@ -1,4 +1,5 @@
-// Package poll asks targets and the host list for their state at a bounded rate.
+// Package poll reads the state of targets and the platform's host list at a
+// bounded rate.
 package poll
 
 import (
@@ -15,44 +16,46 @@
 )
 
 const (
-	// Interval is the time between two rounds, and between two reports of a target
-	// that holds work. A target that leaves may get no new work after 3 s: one
-	// period, the report's own lag and the read fit in.
+	// Interval is the time between two rounds, and between two reads of a target
+	// that has requests. A leaving target must get no new requests after 3 s; one
+	// interval, the delay of the target's report and the read fit within that.
 	Interval = time.Second
-	// maxConcurrentReads bounds the reads under way at once.
+	// maxConcurrentReads bounds the concurrent reads of targets.
 	maxConcurrentReads = 16
-	// readTimeout bounds one read, so that a stuck target delays only itself.
+	// readTimeout bounds one read, so that an unresponsive target delays no other.
 	readTimeout = 2 * time.Second
 )
 
-// Deps is what the poller reads from and writes to.
+// Deps holds the dependencies of a Poller.
 type Deps struct {
 	Clock    clockwork.Clock
 	Configs  fireflypath.Configs
 	Watchers map[fireflypath.Kind]fireflypath.Watcher
-	// Hosts may be nil.
+	// Hosts lists the platform's hosts; it may be nil.
 	Hosts fireflypath.Hosts
-	// Serves reports whether this daemon sends work to a target; others are not polled.
+	// Serves reports whether this daemon sends requests to a target; other targets
+	// are not polled.
 	Serves func(fireflypath.Target) bool
-	// ActiveTargets names the targets at which this daemon has work; may be nil.
+	// ActiveTargets returns the targets that run requests of this daemon; it may be
+	// nil.
 	ActiveTargets func() map[string]bool
-	// Readers is how many daemons read the same targets and tell each other of
-	// those that leave, with this one; nil for a daemon alone.
+	// Readers returns the number of daemons, including this one, that poll the same
+	// targets and inform each other of those that leave; nil for a single daemon.
 	Readers func() int
-	// Observe takes load reports and cache events.
+	// Observe receives load reports and cache events.
 	Observe func(fireflypath.Event)
-	// Evidence takes what each source says of a target's leaving.
+	// Evidence receives what each source reports about a target's leaving.
 	Evidence *evidence.Evidence
-	// Suspects are targets that some daemon found dead; they are read like those
-	// that hold work. It may be nil.
+	// Suspects returns the targets that some daemon could not reach. They are read
+	// as often as active ones. It may be nil.
 	Suspects func() map[string]bool
-	// Unreachable takes that a target took no connection, Answers that it did. Both
-	// may be nil.
+	// Unreachable is called with a target that accepted no connection, Reachable
+	// with one that answered. Both may be nil.
 	Unreachable func(target string)
 	Reachable   func(target string)
 }
 
-// Poller runs until its context ends.
+// Poller polls targets and the host list until its context is done.
 type Poller struct {
 	deps Deps
 
@@ -67,7 +70,7 @@
 	return &Poller{deps: deps, reading: map[string]bool{}, schedule: newSchedule()}
 }
 
-// Run polls at once and then round by round.
+// Run polls once at the start and then every Interval.
 func (p *Poller) Run(ctx context.Context) {
 	t := p.deps.Clock.NewTicker(Interval)
 	defer t.Stop()
@@ -105,11 +108,11 @@
 	}
 }
 
-// candidates are the targets that this daemon serves.
+// candidates returns the targets that this daemon serves and can poll.
 func (p *Poller) candidates(cfg *fireflypath.Config, kinds map[string]fireflypath.Kind) []candidate {
-	var held, suspects map[string]bool
+	var active, suspects map[string]bool
 	if p.deps.ActiveTargets != nil {
-		held = p.deps.ActiveTargets()
+		active = p.deps.ActiveTargets()
 	}
 	if p.deps.Suspects != nil {
 		suspects = p.deps.Suspects()
@@ -117,7 +120,7 @@
 	out := make([]candidate, 0, len(cfg.Targets))
 	for _, t := range cfg.Targets {
 		if w := p.deps.Watchers[kinds[t.Pool]]; w != nil && p.deps.Serves(t) {
-			out = append(out, candidate{Target: t, watcher: w, active: held[t.Name] || suspects[t.Name]})
+			out = append(out, candidate{Target: t, watcher: w, active: active[t.Name] || suspects[t.Name]})
 		}
 	}
 	return out
@@ -130,7 +133,8 @@
 	return p.deps.Readers()
 }
 
-// beginRead reports whether nothing is being read under the name.
+// beginRead marks the name as being read. It returns false if a read of it is
+// still in progress.
 func (p *Poller) beginRead(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,7 +155,7 @@
 	defer p.endRead(t.Name)
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	// A target that cannot be read brings no event; its reports age.
+	// A target that cannot be read produces no events; its last report grows stale.
 	events, err := w.Poll(ctx, t)
 	p.reportReachability(t.Name, err)
 	for _, e := range events {
@@ -166,9 +170,9 @@
 	}
 }
 
-// reportReachability tells whether the target took a connection. A late answer tells
-// neither: an overloaded target would be taken from all daemons, and its load
-// would fall on the next one.
+// reportReachability reports whether the target accepted a connection. A timed-out
+// answer counts as neither: otherwise all daemons would stop using an overloaded
+// target, and its load would fall on the next one.
 func (p *Poller) reportReachability(target string, err error) {
 	switch {
 	case errors.Is(err, fireflypath.ErrUnreached):
@@ -180,8 +184,9 @@
 	}
 }
 
-// pollHosts compares the platform's list with the targets. A host that is not on
-// the list says nothing: the list lags, and new hosts are missing at first.
+// pollHosts reports the state of the targets' hosts in the platform's list. A host
+// missing from the list is ignored, because the list lags and new hosts are
+// missing at first.
 func (p *Poller) pollHosts(ctx context.Context, cfg *fireflypath.Config) {
 	defer p.endRead("hosts list")
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
--- a/internal/route/poll/poll_test.go
+++ b/internal/route/poll/poll_test.go
@@ -14,15 +14,15 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-type fixed struct{ *fireflypath.Config }
+type staticConfig struct{ *fireflypath.Config }
 
-func (f fixed) Current() *fireflypath.Config   { return f.Config }
-func (f fixed) Changed(uint64) <-chan struct{} { return nil }
+func (s staticConfig) Current() *fireflypath.Config   { return s.Config }
+func (s staticConfig) Changed(uint64) <-chan struct{} { return nil }
 
-// watcher reports the targets that it was asked for; the target "e1" is stuck.
-type watcher chan string
+// pollRecorder sends the name of each polled target; the target "e1" never answers.
+type pollRecorder chan string
 
-func (w watcher) Poll(ctx context.Context, t fireflypath.Target) ([]fireflypath.Event, error) {
+func (w pollRecorder) Poll(ctx context.Context, t fireflypath.Target) ([]fireflypath.Event, error) {
 	select {
 	case w <- t.Name:
 	case <-ctx.Done():
@@ -34,10 +34,10 @@
 	return nil, nil
 }
 
-// hosts gives one list after the other.
-type hosts chan []fireflypath.Host
+// scriptedHosts returns the lists in the channel one after the other.
+type scriptedHosts chan []fireflypath.Host
 
-func (h hosts) Hosts(ctx context.Context) ([]fireflypath.Host, error) {
+func (h scriptedHosts) Hosts(ctx context.Context) ([]fireflypath.Host, error) {
 	select {
 	case l := <-h:
 		return l, nil
@@ -46,18 +46,20 @@
 	}
 }
 
-// The platform's list says that a host is leaving. Its target gets no new work
-// from the next look on, which is a second away at most, although another
-// target is stuck and does not answer.
-func TestHostListAndStuckTarget(t *testing.T) {
+// Guards against an unresponsive target that delays the polling of others: a host
+// that the platform's list shows as leaving is reported at the next poll, which is
+// at most a second away, while another target does not answer.
+func TestUnresponsiveTargetDelaysNoOtherReads(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	asked, lists := make(watcher), make(hosts)
-	told := make(chan string, 4)
-	e := evidence.New(func(target, _ string) { told <- "leaving " + target }, func(target string) { told <- "back " + target })
+	polled, lists := make(pollRecorder), make(scriptedHosts)
+	reports := make(chan string, 4)
+	e := evidence.New(
+		func(target, _ string) { reports <- "leaving " + target }, func(target string) { reports <- "back " + target },
+	)
 	p := poll.New(poll.Deps{
-		Clock: clock, Configs: fixed{testkit.Config([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, nil)},
-		Watchers: map[fireflypath.Kind]fireflypath.Watcher{fireflypath.KindEngine: asked},
+		Clock: clock, Configs: staticConfig{testkit.Config([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, nil)},
+		Watchers: map[fireflypath.Kind]fireflypath.Watcher{fireflypath.KindEngine: polled},
 		Hosts:    lists, Evidence: e, Observe: func(fireflypath.Event) {},
 		Serves: func(t fireflypath.Target) bool { return t.Name != "e2" },
 	})
@@ -67,24 +69,24 @@
 		defer close(ended)
 		p.Run(ctx)
 	}()
-	first := map[string]bool{<-asked: true, <-asked: true}
+	first := map[string]bool{<-polled: true, <-polled: true}
 	is.Equal(first, map[string]bool{"e0": true, "e1": true})
 	lists <- []fireflypath.Host{{Addr: "10.0.0.1:1", State: fireflypath.HostLeaving}}
-	is.Equal(<-told, "leaving e0")
-	again, live := asked, lists
+	is.Equal(<-reports, "leaving e0")
+	again, live := polled, lists
 	for again != nil || live != nil {
 		clock.Advance(poll.Interval)
 		select {
 		case name := <-again:
-			is.Equal(name, "e0") // e1's read is still under way
+			is.Equal(name, "e0") // the read of e1 is still in progress
 			again = nil
 		case live <- []fireflypath.Host{{Addr: "10.0.0.1:1", State: fireflypath.HostLive}}:
 			live = nil
 		default:
-			runtime.Gosched() // reads of the last round are not over yet
+			runtime.Gosched() // until the reads of the last round have ended
 		}
 	}
-	is.Equal(<-told, "back e0")
+	is.Equal(<-reports, "back e0")
 	cancel()
 	<-ended
 }
