--- a/internal/configuration/chunk.go
+++ b/internal/configuration/chunk.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// chunkItems is the mean number of items in a chunk. One changed team then
-	// moves about 8 KB (32 teams of 250 bytes), while 29,000 teams need 900
-	// digests of 46 bytes in the manifest, far below a megabyte.
-	chunkItems = 32
-	// chunkBytes ends a chunk of unusually large items well below MaxValue.
-	chunkBytes = fireflypath.MaxValue / 4
+	// meanChunkItems is the mean number of items in a chunk. With 32, a change of one team
+	// transfers about 8 KB (32 teams of 250 bytes), and 29,000 teams take 900 digests of
+	// 46 bytes in the manifest, far below a megabyte.
+	meanChunkItems = 32
+	// chunkSoftLimit is the size in bytes at which a chunk ends regardless of its number
+	// of items. It keeps chunks of unusually large items well below MaxValue.
+	chunkSoftLimit = fireflypath.MaxValue / 4
 )
 
-// digest names a chunk by the SHA-256 of its bytes, in unpadded base64.
+// digest identifies a chunk by the SHA-256 of its bytes, in unpadded base64.
 type digest string
 
-func digestOf(b []byte) digest {
+func computeDigest(b []byte) digest {
 	sum := sha256.Sum256(b)
 	return digest(base64.RawURLEncoding.EncodeToString(sum[:]))
 }
 
-// chunk is an immutable value of the store.
+// chunk is an encoded part of a list. It is stored under its digest and is immutable.
 type chunk struct {
 	digest digest
 	raw    []byte
 }
 
-// split cuts a list into chunks. Where it cuts depends on the items' names
-// alone, so that an item added in the middle changes one chunk and not all
-// that follow.
-func split[T any](items []T, name func(*T) string) ([]chunk, error) {
+// splitIntoChunks encodes a list as chunks. The boundaries depend on the hash of the items'
+// names, not on their positions, so that an item inserted in the middle changes one chunk
+// and not all that follow.
+func splitIntoChunks[T any](items []T, name func(*T) string) ([]chunk, error) {
 	var out []chunk
 	start, size := 0, 0
 	for i := range items {
@@ -47,10 +48,10 @@
 		}
 		size += len(b)
 		last := i == len(items)-1
-		if !last && size < chunkBytes && xxhash.Sum64String(name(&items[i]))%chunkItems != 0 {
+		if !last && size < chunkSoftLimit && xxhash.Sum64String(name(&items[i]))%meanChunkItems != 0 {
 			continue
 		}
-		c, err := seal(items[start : i+1])
+		c, err := encodeChunk(items[start : i+1])
 		if err != nil {
 			return nil, err
 		}
@@ -60,8 +61,8 @@
 	return out, nil
 }
 
-// seal encodes one chunk.
-func seal[T any](items []T) (chunk, error) {
+// encodeChunk encodes items as one chunk.
+func encodeChunk[T any](items []T) (chunk, error) {
 	b, err := json.Marshal(items)
 	if err != nil {
 		return chunk{}, errors.Wrap(err, "encode a chunk")
@@ -69,5 +70,5 @@
 	if len(b) > fireflypath.MaxValue {
 		return chunk{}, errors.Newf("chunk of %d bytes is above the service's %d", len(b), fireflypath.MaxValue)
 	}
-	return chunk{digest: digestOf(b), raw: b}, nil
+	return chunk{digest: computeDigest(b), raw: b}, nil
 }
--- a/internal/configuration/collect.go
+++ b/internal/configuration/collect.go
@@ -10,71 +10,75 @@
 )
 
 const (
-	// collectGrace is how long a chunk must stay unnamed and unwritten before
-	// it is removed; a change is given up long before (uploadGrace).
-	collectGrace = 10 * time.Minute
-	// shards is the alphabet of a digest's first character; one listing covers
-	// one of them, so that it stays small at 29,000 teams.
-	shards = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
+	// orphanGracePeriod is how long a chunk must stay unreferenced and unwritten before
+	// it is removed. A change whose chunks are older than maxUploadAge is not committed,
+	// so that no committed manifest references a chunk that is being removed.
+	orphanGracePeriod = 10 * time.Minute
+	// shardAlphabet holds the possible first characters of a digest. One call of
+	// CollectGarbage lists the chunks of one character, so that the response stays small
+	// at 29,000 teams.
+	shardAlphabet = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
 )
 
-// suspect is an unnamed chunk as it was first seen.
-type suspect struct {
+// orphan records when an unreferenced chunk was first seen, and its revision.
+type orphan struct {
 	since    time.Time
 	revision uint64
 }
 
-// CollectGarbage looks through one part of the chunks. It removes those that no
-// manifest has named for collectGrace and puts back those that are named but
-// gone. A crash between chunks and manifest leaves such orphans behind.
+// CollectGarbage checks the next shard of the chunks, or the pages of the audit trail. It
+// removes chunks that no manifest has referenced for orphanGracePeriod, and writes those
+// that are referenced but missing. Orphans remain if a daemon crashes after it uploaded
+// chunks and before it committed the manifest.
 func (r *Registry) CollectGarbage(ctx context.Context) error {
 	r.mu.Lock()
-	shard := r.shard
-	r.shard = (shard + 1) % (len(shards) + 1)
+	shard := r.nextShard
+	r.nextShard = (shard + 1) % (len(shardAlphabet) + 1)
 	r.mu.Unlock()
-	if shard == len(shards) {
-		return r.collectTrail(ctx)
+	if shard == len(shardAlphabet) {
+		return r.collectTrailPages(ctx)
 	}
-	prefix := chunkPrefix + shards[shard:shard+1]
-	held, err := r.store.List(ctx, prefix)
+	prefix := chunkPrefix + shardAlphabet[shard:shard+1]
+	listed, err := r.store.List(ctx, prefix)
 	if err != nil {
 		return errors.Wrap(err, "list chunks")
 	}
-	// The manifest is read after the list: a chunk named since is spared.
-	m, _, err := r.read(ctx)
+	// The manifest is read after the listing, so that a chunk referenced meanwhile is kept.
+	m, _, err := r.readManifest(ctx)
 	if err != nil || m == nil {
 		return err
 	}
-	named := map[string]bool{}
-	m.Lists.each(func(d digest) {
-		if d[0] == shards[shard] {
-			named[chunkPrefix+string(d)] = true
+	referenced := map[string]bool{}
+	m.Lists.forEach(func(d digest) {
+		if d[0] == shardAlphabet[shard] {
+			referenced[chunkPrefix+string(d)] = true
 		}
 	})
-	for _, e := range held {
-		if named[e.Key] {
-			delete(named, e.Key)
+	for _, e := range listed {
+		if referenced[e.Key] {
+			delete(referenced, e.Key)
 			continue
 		}
-		if err := r.suspect(ctx, e); err != nil {
+		if err := r.removeIfOrphaned(ctx, e); err != nil {
 			return err
 		}
 	}
-	return r.putBack(ctx, named)
+	return r.restoreChunks(ctx, referenced)
 }
 
-// suspect removes a chunk that was seen unnamed with the same revision before.
-func (r *Registry) suspect(ctx context.Context, e fireflypath.Entry) error {
+// removeIfOrphaned removes an unreferenced entry that has had the same revision for at
+// least orphanGracePeriod. Otherwise it records when the entry was first seen.
+func (r *Registry) removeIfOrphaned(ctx context.Context, e fireflypath.Entry) error {
 	now := r.clock.Now()
 	r.mu.Lock()
-	s, ok := r.suspects[e.Key]
-	if !ok || s.revision != e.Revision {
-		r.suspects[e.Key] = suspect{since: now, revision: e.Revision}
+	o, ok := r.orphans[e.Key]
+	if !ok || o.revision != e.Revision {
+		r.orphans[e.Key] = orphan{since: now, revision: e.Revision}
 		r.mu.Unlock()
 		return nil
 	}
 	r.mu.Unlock()
-	if now.Sub(s.since) < collectGrace {
+	if now.Sub(o.since) < orphanGracePeriod {
 		return nil
 	}
 	err := r.store.Delete(ctx, e.Key, e.Revision)
@@ -82,56 +86,56 @@
 		return errors.Wrapf(err, "remove orphan %s", e.Key)
 	}
 	r.mu.Lock()
-	delete(r.suspects, e.Key)
+	delete(r.orphans, e.Key)
 	r.mu.Unlock()
-	r.count.collected.Inc(1)
+	r.metrics.collected.Inc(1)
 	return nil
 }
 
-// putBack writes chunks that are named but gone.
-func (r *Registry) putBack(ctx context.Context, gone map[string]bool) error {
-	raw := r.current.Load().raw
-	for key := range gone {
-		b, ok := raw[digest(key[len(chunkPrefix):])]
+// restoreChunks writes missing chunks that this daemon holds.
+func (r *Registry) restoreChunks(ctx context.Context, missing map[string]bool) error {
+	chunks := r.current.Load().chunks
+	for key := range missing {
+		b, ok := chunks[digest(key[len(chunkPrefix):])]
 		if !ok {
 			continue
 		}
 		if _, err := r.store.Put(ctx, key, b, 0, 0); err != nil && !errors.Is(err, fireflypath.ErrConflict) {
 			return errors.Wrapf(err, "put back %s", key)
 		}
-		r.count.restored.Inc(1)
+		r.metrics.restored.Inc(1)
 	}
 	return nil
 }
 
-// collectTrail removes pages that the trail no longer reaches.
-func (r *Registry) collectTrail(ctx context.Context) error {
-	held, err := r.store.List(ctx, trailPrefix)
+// collectTrailPages removes the pages that are no longer within the retained trail.
+func (r *Registry) collectTrailPages(ctx context.Context) error {
+	listed, err := r.store.List(ctx, trailPrefix)
 	if err != nil {
 		return errors.Wrap(err, "list the audit trail")
 	}
-	m, _, err := r.read(ctx)
+	m, _, err := r.readManifest(ctx)
 	if err != nil || m == nil {
 		return err
 	}
-	named := map[string]bool{}
+	referenced := map[string]bool{}
 	next := m.Trail
-	for depth := 0; next != "" && depth < r.pages; depth++ {
-		p, err := r.page(ctx, next)
+	for depth := 0; next != "" && depth < r.retainedPages; depth++ {
+		p, err := r.readPage(ctx, next)
 		if errors.Is(err, fireflypath.ErrNotFound) {
 			break
 		}
 		if err != nil {
 			return err
 		}
-		named[trailPrefix+string(next)] = true
+		referenced[trailPrefix+string(next)] = true
 		next = p.Previous
 	}
-	for _, e := range held {
-		if named[e.Key] {
+	for _, e := range listed {
+		if referenced[e.Key] {
 			continue
 		}
-		if err := r.suspect(ctx, e); err != nil {
+		if err := r.removeIfOrphaned(ctx, e); err != nil {
 			return err
 		}
 	}
--- a/internal/configuration/commit.go
+++ b/internal/configuration/commit.go
@@ -10,133 +10,140 @@
 )
 
 const (
-	// settleWait is the first pause between attempts to learn a write's fate;
-	// it doubles up to settleMax, so that an outage is not met by a storm.
-	settleWait = 50 * time.Millisecond
-	settleMax  = time.Second
-	// settleTries bounds the attempts: with the pauses about half a minute, by
-	// when an operator rather hears that the outcome is not known.
-	settleTries = 35
-	// rebaseTries bounds the attempts of a change that others overtake; with
-	// 4,200 changes a day a second one is rare, ten in a row are a fault.
-	rebaseTries = 10
-	// uploadGrace is how old uploaded chunks may be at the swap. A collector
-	// removes unnamed chunks only after collectGrace, so they are still there.
-	uploadGrace = collectGrace / 4
+	// minSettleBackoff is the first pause between attempts to commit a change. It doubles
+	// up to maxSettleBackoff, so that daemons do not flood a service that is failing.
+	minSettleBackoff = 50 * time.Millisecond
+	maxSettleBackoff = time.Second
+	// maxSettleAttempts bounds the attempts to determine whether a change was committed.
+	// With the pauses they take about half a minute. After that it is more useful to the
+	// operator to be told that the outcome is unknown than to wait.
+	maxSettleAttempts = 35
+	// maxRebaseAttempts bounds the attempts to commit a change when other changes are
+	// committed concurrently. At 4,200 changes a day a second conflict is rare; ten in a
+	// row indicate a fault.
+	maxRebaseAttempts = 10
+	// maxUploadAge is the maximum age of uploaded chunks when the manifest is swapped. The
+	// collector removes unreferenced chunks only after orphanGracePeriod, so that younger
+	// ones still exist.
+	maxUploadAge = orphanGracePeriod / 4
 )
 
 var (
-	// ErrNoStore means that this daemon has no service to commit to.
+	// ErrNoStore means that the daemon has no store to commit to.
 	ErrNoStore = errors.New("daemon runs without the platform's service")
-	// ErrSuperseded means that another change was committed first.
+	// ErrSuperseded means that another change was committed since the change's base generation.
 	ErrSuperseded = errors.Wrap(fireflypath.ErrConflict, "another change was committed first")
-	// ErrRefused means that the change itself is wrong; its cause says why.
+	// ErrRefused means that the change is invalid. The cause says why.
 	ErrRefused = errors.New("change is refused")
 )
 
-// Commit makes a change. After an error that is ErrUnknown the change may be
-// in force; the same id may be committed again or settled without harm. Any
-// other error means that nothing was changed.
+// Commit applies and commits a change. After fireflypath.ErrUnknown the change may be in
+// force; committing or settling the same ID again is safe. Any other error means that
+// nothing was changed.
 func (r *Registry) Commit(ctx context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
 	if r.store == nil {
 		return fireflypath.Commit{ID: c.ID}, ErrNoStore
 	}
-	if c.ID == "" || len(c.Words) > maxWords {
-		return fireflypath.Commit{ID: c.ID}, errors.Wrapf(ErrRefused, "no id, or above %d bytes", maxWords)
+	if c.ID == "" || len(c.Words) > maxCommandBytes {
+		return fireflypath.Commit{ID: c.ID}, errors.Wrapf(ErrRefused, "no id, or above %d bytes", maxCommandBytes)
 	}
-	r.count.commits.Inc(1)
-	maybe := false
-	for try := 0; ; try++ {
-		done, err := r.attempt(ctx, c)
+	r.metrics.commits.Inc(1)
+	uncertain := false
+	for attempt := 0; ; attempt++ {
+		result, err := r.commitOnce(ctx, c)
 		if err == nil || errors.Is(err, ErrSuperseded) || errors.Is(err, ErrRefused) {
-			return done, err
+			return result, err
 		}
-		overtaken := errors.Is(err, fireflypath.ErrConflict)
-		maybe = maybe || errors.Is(err, fireflypath.ErrUnknown)
-		if !maybe && (!overtaken || try >= rebaseTries) {
-			return done, err
+		conflict := errors.Is(err, fireflypath.ErrConflict)
+		uncertain = uncertain || errors.Is(err, fireflypath.ErrUnknown)
+		if !uncertain && (!conflict || attempt >= maxRebaseAttempts) {
+			return result, err
 		}
-		// An unknown write is settled by trying again: the attempt begins with
-		// a look for the id, and its own swap on the same revision makes the
-		// earlier one, should it still be under way, fail.
-		serr := r.sleep(ctx, min(settleMax, settleWait<<min(try, 5)))
-		if serr == nil && try < settleTries {
+		// Another attempt resolves a write with an unknown outcome: it first looks up the
+		// ID in the trail, and its swap on the same revision makes an earlier write that
+		// is still in flight fail.
+		sleepErr := r.sleep(ctx, min(maxSettleBackoff, minSettleBackoff<<min(attempt, 5)))
+		if sleepErr == nil && attempt < maxSettleAttempts {
 			continue
 		}
-		if maybe {
-			r.count.unknown.Inc(1)
+		if uncertain {
+			r.metrics.unknown.Inc(1)
 			err = errors.Mark(errors.Wrapf(err, "outcome of change %s", c.ID), fireflypath.ErrUnknown)
 		}
-		return done, err
+		return result, err
 	}
 }
 
-// attempt looks for the id, applies the change to what the store holds and swaps.
-func (r *Registry) attempt(ctx context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
-	done := fireflypath.Commit{ID: c.ID}
-	m, revision, err := r.fresh(ctx)
+// commitOnce looks up the ID in the trail and, unless it is there, applies the change to
+// the store's generation and swaps the manifest.
+func (r *Registry) commitOnce(ctx context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
+	result := fireflypath.Commit{ID: c.ID}
+	m, revision, err := r.syncWithStore(ctx)
 	if err != nil {
-		return done, err
+		return result, err
 	}
 	if l, err := r.lookup(ctx, m, c.ID); err != nil || l != nil {
-		return repeated(done, l), err
+		return recordedCommit(result, l), err
 	}
 	if c.Base != 0 && c.Base != m.Generation {
-		r.count.conflicts.Inc(1)
-		done.Lost = m.winner(c.Base)
-		return done, errors.Wrapf(ErrSuperseded, "change %s is in force as generation %d", done.Lost, m.Generation)
+		r.metrics.conflicts.Inc(1)
+		result.Lost = m.changeAfter(c.Base)
+		return result, errors.Wrapf(ErrSuperseded, "change %s is in force as generation %d", result.Lost, m.Generation)
 	}
-	s, err := r.apply(c, m)
+	s, err := r.applyChange(c, m)
 	if err != nil {
-		return done, err
+		return result, err
 	}
-	if err := r.write(ctx, c, m, s, revision); err != nil {
-		return done, err
+	if err := r.commitState(ctx, c, m, s, revision); err != nil {
+		return result, err
 	}
-	r.install(s)
-	done.Generation = s.outline.Generation
-	return done, nil
+	r.activate(s)
+	result.Generation = s.index.Generation
+	return result, nil
 }
 
-func repeated(done fireflypath.Commit, l *fireflypath.AuditLine) fireflypath.Commit {
+// recordedCommit fills in the result of a change that the trail already contains.
+func recordedCommit(result fireflypath.Commit, l *fireflypath.AuditLine) fireflypath.Commit {
 	if l != nil {
-		done.Repeated, done.Generation = true, l.To
+		result.Repeated, result.Generation = true, l.To
 	}
-	return done
+	return result
 }
 
-// fresh reads the manifest and puts it in force here; a store that is behind
-// this daemon is restored first.
-func (r *Registry) fresh(ctx context.Context) (*manifest, uint64, error) {
-	m, revision, err := r.read(ctx)
+// syncWithStore reads the manifest and activates it if it is newer. A store that is empty or
+// has an older generation than this daemon is initialized or restored first.
+func (r *Registry) syncWithStore(ctx context.Context) (*manifest, uint64, error) {
+	m, revision, err := r.readManifest(ctx)
 	if err != nil {
 		return nil, 0, err
 	}
 	if m == nil || m.Generation < r.Generation() {
-		if err := r.fill(ctx, m, revision); err != nil {
+		if err := r.initializeOrRestoreStore(ctx, m, revision); err != nil {
 			return nil, 0, err
 		}
-		if m, revision, err = r.read(ctx); err != nil {
+		if m, revision, err = r.readManifest(ctx); err != nil {
 			return nil, 0, err
 		}
 		if m == nil {
 			return nil, 0, errors.Wrap(fireflypath.ErrConflict, "manifest vanished")
 		}
 	}
-	return m, revision, r.adopt(ctx, m)
+	return m, revision, r.activateManifest(ctx, m)
 }
 
-// fill writes the first manifest, or the one in force if there is one.
-func (r *Registry) fill(ctx context.Context, found *manifest, revision uint64) error {
+// initializeOrRestoreStore writes the generation in force to the store, or the initial
+// configuration if no generation is in force.
+func (r *Registry) initializeOrRestoreStore(ctx context.Context, stored *manifest, revision uint64) error {
 	if r.Generation() > 0 {
-		return r.restore(ctx, found, revision)
+		return r.restoreStore(ctx, stored, revision)
 	}
-	return r.seed(ctx)
+	return r.initializeStore(ctx)
 }
 
-// seed commits the settings' initial configuration to an empty store. The swap
-// expects no manifest, so that of several daemons one wins and all agree.
-func (r *Registry) seed(ctx context.Context) error {
+// initializeStore commits the initial configuration of the settings to an empty store. The
+// swap expects that there is no manifest, so that only one of several daemons succeeds and
+// all use its configuration.
+func (r *Registry) initializeStore(ctx context.Context) error {
 	first := fireflypath.Config{}
 	if r.initial != nil {
 		first = *r.initial
@@ -145,23 +152,23 @@
 	if err != nil {
 		return err
 	}
-	if err := r.upload(ctx, nil, chunks); err != nil {
+	if err := r.uploadChunks(ctx, nil, chunks); err != nil {
 		return err
 	}
-	m := &manifest{outline: outline{Generation: 1, Change: "initial", Lists: l}}
+	m := &manifest{generationIndex: generationIndex{Generation: 1, Change: "initial", Lists: l}}
 	line := fireflypath.AuditLine{
 		ID: "initial", At: r.clock.Now().UTC(), Who: r.name, Words: "initial", To: 1, Result: "done",
 	}
 	if err := r.appendLine(ctx, m, line); err != nil {
 		return err
 	}
-	return r.swap(ctx, m, 0)
+	return r.swapManifest(ctx, m, 0)
 }
 
-// apply makes the next state in memory.
-func (r *Registry) apply(c fireflypath.Change, m *manifest) (*state, error) {
+// applyChange returns the state that results from a change to the generation in force.
+func (r *Registry) applyChange(c fireflypath.Change, m *manifest) (*state, error) {
 	old := r.current.Load()
-	if old.outline.Generation != m.Generation {
+	if old.index.Generation != m.Generation {
 		return nil, errors.Wrap(fireflypath.ErrConflict, "a newer generation came meanwhile")
 	}
 	next, err := c.Apply(old.config)
@@ -175,90 +182,91 @@
 		return nil, errors.Mark(err, ErrRefused)
 	}
 	s := &state{
-		config:  &cfg,
-		outline: outline{Generation: cfg.Generation, Change: c.ID, Lists: l},
-		raw:     make(map[digest][]byte, len(chunks)),
+		config: &cfg,
+		index:  generationIndex{Generation: cfg.Generation, Change: c.ID, Lists: l},
+		chunks: make(map[digest][]byte, len(chunks)),
 	}
 	for _, c := range chunks {
-		s.raw[c.digest] = c.raw
-		if b, ok := old.raw[c.digest]; ok {
-			s.raw[c.digest] = b
+		s.chunks[c.digest] = c.raw
+		if b, ok := old.chunks[c.digest]; ok {
+			s.chunks[c.digest] = b
 		}
 	}
 	return s, nil
 }
 
-// write stores the chunks, then the manifest that names them, in this order:
-// a crash between the two leaves only chunks that nobody reads.
-func (r *Registry) write(ctx context.Context, c fireflypath.Change, m *manifest, s *state, revision uint64) error {
-	began := r.clock.Now()
-	chunks := make([]chunk, 0, len(s.raw))
-	s.outline.Lists.each(func(d digest) { chunks = append(chunks, chunk{d, s.raw[d]}) })
-	if err := r.upload(ctx, &m.Lists, chunks); err != nil {
-		return unwritten(err)
-	}
-	next := &manifest{outline: s.outline, Tail: m.Tail, Trail: m.Trail}
+// commitState uploads the chunks and then swaps the manifest that references them. A crash
+// in between leaves only chunks that no daemon reads.
+func (r *Registry) commitState(ctx context.Context, c fireflypath.Change, m *manifest, s *state, revision uint64) error {
+	started := r.clock.Now()
+	chunks := make([]chunk, 0, len(s.chunks))
+	s.index.Lists.forEach(func(d digest) { chunks = append(chunks, chunk{d, s.chunks[d]}) })
+	if err := r.uploadChunks(ctx, &m.Lists, chunks); err != nil {
+		return asNotCommitted(err)
+	}
+	next := &manifest{generationIndex: s.index, Tail: m.Tail, Trail: m.Trail}
 	line := fireflypath.AuditLine{
-		ID: c.ID, At: began.UTC(), Who: c.Who, Words: c.Words,
-		From: m.Generation, To: s.outline.Generation, Result: "done",
+		ID: c.ID, At: started.UTC(), Who: c.Who, Words: c.Words,
+		From: m.Generation, To: s.index.Generation, Result: "done",
 	}
 	if err := r.appendLine(ctx, next, line); err != nil {
-		return unwritten(err)
+		return asNotCommitted(err)
 	}
-	if r.clock.Since(began) > uploadGrace {
+	if r.clock.Since(started) > maxUploadAge {
 		return errors.Wrap(fireflypath.ErrConflict, "chunks are too old to be named")
 	}
-	return r.swap(ctx, next, revision)
+	return r.swapManifest(ctx, next, revision)
 }
 
-// unwritten makes the fate of a chunk's write known: whatever became of it, the
-// manifest was not swapped.
-func unwritten(err error) error {
+// asNotCommitted converts an unknown outcome of a write before the swap to
+// fireflypath.ErrUnavailable: whether or not that write took effect, the manifest was not
+// swapped.
+func asNotCommitted(err error) error {
 	if errors.Is(err, fireflypath.ErrUnknown) {
 		return errors.Wrapf(fireflypath.ErrUnavailable, "chunk or trail not confirmed: %v", err)
 	}
 	return err
 }
 
-// Settle looks an id up in the trail, or returns ErrNotFound.
+// Settle looks up a change by its ID in the trail, or returns fireflypath.ErrNotFound.
 func (r *Registry) Settle(ctx context.Context, id string) (fireflypath.Commit, error) {
-	done := fireflypath.Commit{ID: id}
+	result := fireflypath.Commit{ID: id}
 	if r.store == nil {
-		return done, ErrNoStore
+		return result, ErrNoStore
 	}
-	m, _, err := r.read(ctx)
+	m, _, err := r.readManifest(ctx)
 	if err != nil {
-		return done, err
+		return result, err
 	}
 	l, err := r.lookup(ctx, m, id)
 	if err != nil {
-		return done, err
+		return result, err
 	}
 	if l == nil {
-		return done, errors.Wrapf(fireflypath.ErrNotFound, "change %s", id)
+		return result, errors.Wrapf(fireflypath.ErrNotFound, "change %s", id)
 	}
-	return repeated(done, l), nil
+	return recordedCommit(result, l), nil
 }
 
-// Note appends a line without a change.
+// Note appends a line to the trail without changing the configuration.
 func (r *Registry) Note(ctx context.Context, l fireflypath.AuditLine) error {
 	if r.store == nil {
 		return ErrNoStore
 	}
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		err := r.noteOnce(ctx, l)
-		again := errors.Is(err, fireflypath.ErrConflict) || errors.Is(err, fireflypath.ErrUnknown)
-		if !again || try >= rebaseTries {
+		retryable := errors.Is(err, fireflypath.ErrConflict) || errors.Is(err, fireflypath.ErrUnknown)
+		if !retryable || attempt >= maxRebaseAttempts {
 			return err
 		}
-		if serr := r.sleep(ctx, settleWait); serr != nil {
-			return errors.CombineErrors(err, serr)
+		if sleepErr := r.sleep(ctx, minSettleBackoff); sleepErr != nil {
+			return errors.CombineErrors(err, sleepErr)
 		}
 	}
 }
 
 func (r *Registry) noteOnce(ctx context.Context, l fireflypath.AuditLine) error {
-	m, revision, err := r.fresh(ctx)
+	m, revision, err := r.syncWithStore(ctx)
 	if err != nil {
 		return err
 	}
@@ -268,12 +276,12 @@
 	next := *m
 	l.From, l.To = m.Generation, m.Generation
 	if err := r.appendLine(ctx, &next, l); err != nil {
-		return unwritten(err)
+		return asNotCommitted(err)
 	}
-	return r.swap(ctx, &next, revision)
+	return r.swapManifest(ctx, &next, revision)
 }
 
-// sleep waits on the registry's clock.
+// sleep waits for d on the registry's clock, or until the context ends.
 func (r *Registry) sleep(ctx context.Context, d time.Duration) error {
 	t := r.clock.NewTimer(d)
 	defer t.Stop()
--- a/internal/configuration/commit_test.go
+++ b/internal/configuration/commit_test.go
@@ -27,7 +27,7 @@
 	return testkit.NewMapStore(clockwork.NewRealClock())
 }
 
-// addTeam is a change that adds one team.
+// addTeam returns a change that adds a team named like the change's ID.
 func addTeam(id string, base uint64) fireflypath.Change {
 	return fireflypath.Change{
 		ID: id, Who: "ana", Words: "add team " + id, Base: base,
@@ -39,6 +39,7 @@
 	}
 }
 
+// teams returns the names of the configuration's teams, each followed by a space.
 func teams(c *fireflypath.Config) string {
 	out := ""
 	for _, t := range c.Teams {
@@ -48,8 +49,8 @@
 }
 
 func TestCommit(t *testing.T) {
-	lost := testkit.Fault{After: errors.Wrap(fireflypath.ErrUnknown, "answer lost")}
-	refused := testkit.Fault{Before: fireflypath.ErrUnavailable}
+	responseLost := testkit.Fault{After: errors.Wrap(fireflypath.ErrUnknown, "response lost")}
+	unavailable := testkit.Fault{Before: fireflypath.ErrUnavailable}
 	tests := []struct {
 		name  string
 		fault func(n int, op, key string) testkit.Fault
@@ -57,38 +58,38 @@
 		teams string
 	}{
 		{"no fault", nil, nil, "a "},
-		// The service takes the swap and the answer is lost on the way back. The
-		// operator must hear "done", and the team must be there once.
-		{"answer of the swap lost", func(n int, op, key string) testkit.Fault {
+		// The store performs the swap, but its response is lost. The commit must
+		// succeed and add the team once.
+		{"response to swap lost", func(n int, op, key string) testkit.Fault {
 			if op == "put" && key == manifestKey && n == 1 {
-				return lost
+				return responseLost
 			}
 			return testkit.Fault{}
 		}, nil, "a "},
-		// The swap's answer is lost and the service is down for the next reads.
-		// The id settles the outcome when the service is back.
-		{"answer lost, then down", func(n int, op, key string) testkit.Fault {
+		// The response to the swap is lost and the store is down for the next reads.
+		// Once it is available again, the ID in the trail shows that the change is done.
+		{"response to swap lost, then store down", func(n int, op, key string) testkit.Fault {
 			if op == "put" && key == manifestKey && n == 1 {
-				return lost
+				return responseLost
 			}
 			if op == "get" && n > 1 && n < 6 {
-				return refused
+				return unavailable
 			}
 			return testkit.Fault{}
 		}, nil, "a "},
-		// The service refuses a chunk. Nothing is in force, and the operator
-		// hears a certain "no" rather than "unknown".
+		// The store refuses a chunk. The error must say that nothing was changed, not
+		// that the outcome is unknown.
 		{"chunk refused", func(_ int, op, key string) testkit.Fault {
 			if op == "put" && key != manifestKey {
-				return refused
+				return unavailable
 			}
 			return testkit.Fault{}
 		}, fireflypath.ErrUnavailable, ""},
-		// A chunk's answer is lost: the manifest was not touched, so the fate of
-		// the change is certain all the same.
-		{"chunk's answer lost", func(_ int, op, key string) testkit.Fault {
+		// The response to the write of a chunk is lost. The manifest was not written, so
+		// the outcome is known: nothing was changed.
+		{"response to chunk write lost", func(_ int, op, key string) testkit.Fault {
 			if op == "put" && key != manifestKey {
-				return lost
+				return responseLost
 			}
 			return testkit.Fault{}
 		}, fireflypath.ErrUnavailable, ""},
@@ -117,10 +118,10 @@
 				if tt.err == nil {
 					is.Equal(done.Generation, uint64(2))
 					store.SetFault(nil)
-					again, err := r.Commit(t.Context(), addTeam("a", 0))
+					repeated, err := r.Commit(t.Context(), addTeam("a", 0))
 					is.NoErr(err)
-					is.True(again.Repeated)
-					is.Equal(again.Generation, uint64(2))
+					is.True(repeated.Repeated)
+					is.Equal(repeated.Generation, uint64(2))
 					is.Equal(teams(r.Current()), "a ")
 				}
 			})
@@ -128,9 +129,9 @@
 	}
 }
 
-// The answer of a swap is lost and the service stays down. The operator is told
-// that the outcome is not known; asking by the id later gives the truth.
-func TestUnknownOutcomeIsSettledLater(t *testing.T) {
+// The response to a swap is lost and the store stays down. Commit must report an unknown
+// outcome, and Settle must find the change by its ID later.
+func TestUnknownOutcomeIsResolvedByID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -151,7 +152,7 @@
 		defer cancel()
 		_, err := r.Commit(ctx, addTeam("a", 0))
 		is.True(errors.Is(err, fireflypath.ErrUnknown))
-		is.Equal(teams(r.Current()), "") // not known, so not in force here yet
+		is.Equal(teams(r.Current()), "") // the outcome is unknown, so the change is not activated
 		store.SetFault(nil)
 		done, err := r.Settle(t.Context(), "a")
 		is.NoErr(err)
@@ -161,9 +162,9 @@
 	})
 }
 
-// Two operators write changes against the same generation through two daemons.
-// One is accepted; the other must hear which change it lost to.
-func TestConflictNamesTheWinner(t *testing.T) {
+// Two changes with the same base generation are committed through two daemons. The first
+// succeeds; the second must fail and name the first.
+func TestConflictNamesCommittedChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -176,13 +177,13 @@
 		done, err := r2.Commit(t.Context(), addTeam("b", 1))
 		is.True(errors.Is(err, fireflypath.ErrConflict))
 		is.Equal(done.Lost, "a")
-		is.Equal(teams(r2.Current()), "a ") // the loser sees what it lost to
+		is.Equal(teams(r2.Current()), "a ") // the committed change is in force there too
 	})
 }
 
-// Many daemons commit at once without a base. Each change must be in force
-// once, on every daemon, and each must have its line in the trail.
-func TestConcurrentChangesAreAllKept(t *testing.T) {
+// Several daemons commit changes without a base concurrently. Each change must be in force
+// exactly once and have its line in the audit trail.
+func TestConcurrentChangesAreAllCommitted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -208,7 +209,7 @@
 	})
 }
 
-// A refused change must leave nothing behind, and its reason reaches the operator.
+// A change that cannot be applied must fail with ErrRefused and leave the generation as it is.
 func TestRefusedChange(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry("d1", newStore())
--- a/internal/configuration/registry.go
+++ b/internal/configuration/registry.go
@@ -1,5 +1,10 @@
-// Package configuration keeps the configuration in force and commits changes
-// to the platform's key-value service.
+// Package configuration holds the configuration in force at a daemon and commits changes to
+// the platform's key-value service.
+//
+// A configuration is stored as content-addressed chunks and a manifest that lists their
+// digests. A change uploads its chunks and then replaces the manifest by compare-and-swap.
+// Each accepted change makes a new generation; daemons fetch it from the store or a peer
+// and never go back to an older one.
 package configuration
 
 import (
@@ -15,19 +20,18 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// ErrIncomplete means that a chunk named by a manifest could not be had.
+// ErrIncomplete means that a chunk of a generation could not be fetched.
 var ErrIncomplete = errors.New("configuration misses a chunk")
 
-// state is one generation in force with the bytes it was made of. It is never
-// changed after it was published.
+// state is a generation with its encoded chunks. It is immutable once published.
 type state struct {
-	config  *fireflypath.Config
-	outline outline
-	// raw holds the chunks of the outline, to serve peers and to restore the store.
-	raw map[digest][]byte
+	config *fireflypath.Config
+	index  generationIndex
+	// chunks holds the chunks of the index, to serve peers and to restore the store.
+	chunks map[digest][]byte
 }
 
-// Registry is the configuration at one daemon. It implements
+// Registry holds the configuration of one daemon and keeps it up to date. It implements
 // fireflypath.Configs and fireflypath.Committer.
 type Registry struct {
 	store   fireflypath.Store
@@ -35,32 +39,37 @@
 	name    string
 	clock   clockwork.Clock
 	log     *zap.Logger
-	count   counters
-	// duty says what this daemon does for the others; nil means all of it.
-	duty atomic.Pointer[func() Duty]
+	metrics metrics
+	// dutyFunc returns this daemon's current duty; nil means that it has all duties.
+	dutyFunc atomic.Pointer[func() Duty]
 
-	// pages is how many chunks of the trail are kept and read.
-	pages int
+	// retainedPages is the number of pages of the audit trail that are kept and read.
+	retainedPages int
 
 	current atomic.Pointer[state]
 
-	// mu guards what follows; it is not on a request's path.
-	mu      sync.Mutex
+	// mu guards the fields below. No request takes it.
+	mu sync.Mutex
+	// changed is closed and replaced when a newer generation is activated.
 	changed chan struct{}
-	// recent holds the outlines of the last generations, to tell peers the difference.
-	recent []outline
-	// seen is the newest manifest read from the store, with its revision.
-	seen     *manifest
-	revision uint64
-	// trail caches chunks of the audit trail, which never change.
-	trail map[digest]*page
-	// suspects are chunks that no manifest named when last looked.
-	suspects map[string]suspect
-	// shard is the part of the chunks that is looked through next.
-	shard int
+	// recentIndexes holds the indexes of the last generations, so that peers can be sent
+	// differences.
+	recentIndexes []generationIndex
+	// lastManifest is the newest manifest read from the store.
+	lastManifest *manifest
+	// watchRevision is the revision of lastManifest, from which a watch continues; 0 means
+	// that the manifest must be read first.
+	watchRevision uint64
+	// pageCache caches pages of the audit trail, which are immutable.
+	pageCache map[digest]*page
+	// orphans holds the entries that were unreferenced at the last check, by key.
+	orphans map[string]orphan
+	// nextShard is the index in shardAlphabet of the next chunks to check; one past the end
+	// stands for the pages of the audit trail.
+	nextShard int
 }
 
-type counters struct {
+type metrics struct {
 	applied, older, commits, unknown, conflicts, restored, collected, incomplete tally.Counter
 	generation                                                                   tally.Gauge
 }
@@ -70,19 +79,20 @@
 	_ fireflypath.Committer = (*Registry)(nil)
 )
 
-// New makes a registry for the daemon of that name. A nil store means that
-// initial alone is in force; initial may be nil.
+// New returns a registry for the named daemon. Without a store, the initial configuration is
+// in force from the start. Otherwise it is written to the store if that is empty. It may be
+// nil.
 func New(store fireflypath.Store, initial *fireflypath.Config, name string,
 	clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
 ) *Registry {
 	scope = scope.SubScope("configuration")
 	r := &Registry{
 		store: store, initial: initial, name: name, clock: clock, log: log,
-		pages:    keptPages,
-		changed:  make(chan struct{}),
-		trail:    map[digest]*page{},
-		suspects: map[string]suspect{},
-		count: counters{
+		retainedPages: defaultRetainedPages,
+		changed:       make(chan struct{}),
+		pageCache:     map[digest]*page{},
+		orphans:       map[string]orphan{},
+		metrics: metrics{
 			applied: scope.Counter("applied"), older: scope.Counter("older"),
 			commits: scope.Counter("commits"), unknown: scope.Counter("unknown"),
 			conflicts: scope.Counter("conflicts"), restored: scope.Counter("restored"),
@@ -92,24 +102,25 @@
 	}
 	r.current.Store(&state{config: &fireflypath.Config{}})
 	if store == nil && initial != nil {
-		alone := *initial
-		alone.Generation = max(1, initial.Generation)
-		r.current.Store(&state{config: &alone, outline: outline{Generation: alone.Generation}})
+		standalone := *initial
+		standalone.Generation = max(1, initial.Generation)
+		r.current.Store(&state{config: &standalone, index: generationIndex{Generation: standalone.Generation}})
 	}
 	return r
 }
 
-// Current is the configuration in force; generation 0 is the empty one.
+// Current returns the configuration in force. That of generation 0 is empty.
 func (r *Registry) Current() *fireflypath.Config {
 	return r.current.Load().config
 }
 
-// Generation is the generation in force.
+// Generation returns the generation in force.
 func (r *Registry) Generation() uint64 {
-	return r.current.Load().outline.Generation
+	return r.current.Load().index.Generation
 }
 
-// Changed is closed when a newer generation than the given one is in force.
+// Changed returns a channel that is closed once a newer generation than the given one is in
+// force.
 func (r *Registry) Changed(generation uint64) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,67 +132,68 @@
 	return r.changed
 }
 
-// keptOutlines bounds the outlines kept for peers that are a little behind.
-const keptOutlines = 8
+// maxRecentIndexes is the number of indexes kept for differences to peers that are a few
+// generations behind.
+const maxRecentIndexes = 8
 
-// install puts a state in force unless it is not newer. A daemon that was
-// paused, or that reads a store with older data, would otherwise take back an
-// accepted change; the counter of older manifests shows that it was tried.
-func (r *Registry) install(s *state) {
+// activate puts a state in force if it is newer. Otherwise a daemon that was paused, or that
+// reads a store with older data, would revert an accepted change. The metric
+// configuration_older counts the older generations that were rejected.
+func (r *Registry) activate(s *state) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	have := r.Generation()
-	if s.outline.Generation <= have {
-		if s.outline.Generation < have {
-			r.count.older.Inc(1)
+	current := r.Generation()
+	if s.index.Generation <= current {
+		if s.index.Generation < current {
+			r.metrics.older.Inc(1)
 		}
 		return
 	}
 	r.current.Store(s)
-	r.recent = append(r.recent, s.outline)
-	if len(r.recent) > keptOutlines {
-		r.recent = r.recent[1:]
+	r.recentIndexes = append(r.recentIndexes, s.index)
+	if len(r.recentIndexes) > maxRecentIndexes {
+		r.recentIndexes = r.recentIndexes[1:]
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
-	r.count.applied.Inc(1)
-	r.count.generation.Update(float64(s.outline.Generation))
-	r.log.Info("configuration in force",
-		zap.Uint64("generation", s.outline.Generation), zap.String("change", s.outline.Change))
+	r.metrics.applied.Inc(1)
+	r.metrics.generation.Update(float64(s.index.Generation))
+	r.log.Info("activated configuration",
+		zap.Uint64("generation", s.index.Generation), zap.String("change", s.index.Change))
 }
 
-// fetch gets chunks by digest. It may return fewer than asked for.
-type fetch func(ctx context.Context, ds []digest) (map[digest][]byte, error)
+// fetchFunc fetches chunks by digest. It may return fewer than requested.
+type fetchFunc func(ctx context.Context, ds []digest) (map[digest][]byte, error)
 
-// assemble makes a state from an outline. Chunks already held are reused, the
-// others are fetched and checked against their names, so that a torn or forged
-// chunk is never applied.
-func (r *Registry) assemble(ctx context.Context, o outline, get fetch) (*state, error) {
-	have := r.current.Load()
-	s := &state{outline: o, raw: make(map[digest][]byte, len(have.raw))}
+// assemble builds the state of an index. It reuses the chunks of the generation in force,
+// fetches the others and verifies their digests, so that an incomplete or forged chunk is
+// never applied.
+func (r *Registry) assemble(ctx context.Context, index generationIndex, fetch fetchFunc) (*state, error) {
+	current := r.current.Load()
+	s := &state{index: index, chunks: make(map[digest][]byte, len(current.chunks))}
 	var missing []digest
-	o.Lists.each(func(d digest) {
-		if b, ok := have.raw[d]; ok {
-			s.raw[d] = b
-		} else if _, ok := s.raw[d]; !ok {
-			s.raw[d] = nil
+	index.Lists.forEach(func(d digest) {
+		if b, ok := current.chunks[d]; ok {
+			s.chunks[d] = b
+		} else if _, ok := s.chunks[d]; !ok {
+			s.chunks[d] = nil
 			missing = append(missing, d)
 		}
 	})
 	if len(missing) > 0 {
-		got, err := get(ctx, missing)
+		fetched, err := fetch(ctx, missing)
 		if err != nil {
 			return nil, err
 		}
 		for _, d := range missing {
-			if digestOf(got[d]) != d {
-				r.count.incomplete.Inc(1)
-				return nil, errors.Wrapf(ErrIncomplete, "chunk %s of generation %d", d, o.Generation)
+			if computeDigest(fetched[d]) != d {
+				r.metrics.incomplete.Inc(1)
+				return nil, errors.Wrapf(ErrIncomplete, "chunk %s of generation %d", d, index.Generation)
 			}
-			s.raw[d] = got[d]
+			s.chunks[d] = fetched[d]
 		}
 	}
-	c, err := decode(&o, func(d digest) []byte { return s.raw[d] })
+	c, err := decode(&index, func(d digest) []byte { return s.chunks[d] })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/configuration/registry_test.go
+++ b/internal/configuration/registry_test.go
@@ -20,22 +20,22 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// peerSource is another registry asked without a network.
-type peerSource struct {
-	r     *Registry
-	asked int
+// registrySource is a Source that calls another registry directly.
+type registrySource struct {
+	registry        *Registry
+	requestedChunks int
 }
 
-func (p *peerSource) Update(_ context.Context, have uint64) (Update, error) {
-	return p.r.Update(have), nil
+func (p *registrySource) Update(_ context.Context, have uint64) (Update, error) {
+	return p.registry.Update(have), nil
 }
 
-func (p *peerSource) Chunks(_ context.Context, ds []string) ([]json.RawMessage, error) {
-	p.asked += len(ds)
-	return p.r.Chunks(ds), nil
+func (p *registrySource) Chunks(_ context.Context, ds []string) ([]json.RawMessage, error) {
+	p.requestedChunks += len(ds)
+	return p.registry.Chunks(ds), nil
 }
 
-func bigConfig(n int) *fireflypath.Config {
+func largeConfig(n int) *fireflypath.Config {
 	c := &fireflypath.Config{Tiers: []fireflypath.Tier{{Name: "trader"}}}
 	for i := range n {
 		c.Teams = append(c.Teams, fireflypath.Team{
@@ -46,23 +46,23 @@
 	return c
 }
 
-// The letter's 29,000 teams do not fit in one value. A daemon that joins must
-// get all of them, and a change of one team must move one chunk, not all.
+// A configuration of 29,000 teams does not fit in one value of the store. A new daemon must
+// be able to pull all of it, and a change of one team must transfer one chunk.
 func TestLargeConfiguration(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
 	clock := clockwork.NewRealClock()
-	r1 := New(store, bigConfig(29_000), "d1", clock, tally.NoopScope, zap.NewNop())
+	r1 := New(store, largeConfig(29_000), "d1", clock, tally.NoopScope, zap.NewNop())
 	is.NoErr(r1.Poll(t.Context()))
 	for _, e := range store.Snapshot() {
 		is.True(len(e.Value) < fireflypath.MaxValue/4)
 	}
 	r2 := New(store, nil, "d2", clock, tally.NoopScope, zap.NewNop())
-	src := &peerSource{r: r1}
-	is.NoErr(r2.Pull(t.Context(), src))
+	source := &registrySource{registry: r1}
+	is.NoErr(r2.Pull(t.Context(), source))
 	is.Equal(r2.Current(), r1.Current())
-	// A list that grew chunk by chunk held a fifth more than its teams, for as
-	// long as the daemon ran; an operator saw its memory above what he planned.
+	// Guards against memory above an operator's estimate: a list that was appended to
+	// chunk by chunk kept a fifth more capacity than its teams need.
 	is.True(cap(r2.Current().Teams) < 29_000*101/100)
 
 	_, err := r1.Commit(t.Context(), fireflypath.Change{
@@ -74,28 +74,28 @@
 		},
 	})
 	is.NoErr(err)
-	src.asked = 0
-	is.NoErr(r2.Pull(t.Context(), src))
-	is.Equal(src.asked, 1)
+	source.requestedChunks = 0
+	is.NoErr(r2.Pull(t.Context(), source))
+	is.Equal(source.requestedChunks, 1)
 	is.Equal(r2.Current().Teams[14_000].Weight, 77)
-	diff, err := json.Marshal(r1.Update(1))
+	update, err := json.Marshal(r1.Update(1))
 	is.NoErr(err)
-	is.True(len(diff) < 500)
+	is.True(len(update) < 500)
 }
 
-// The service comes back from an old copy. The accepted change must stay in
-// force everywhere, and the service must get it back, so that the next change
-// does not start from the old state.
-func TestServiceBackWithOlderData(t *testing.T) {
-	for _, wiped := range []bool{false, true} {
-		t.Run(fmt.Sprint("wiped ", wiped), func(t *testing.T) {
+// The store is restored from an old backup or emptied. An accepted change must stay in
+// force, and must be written back to the store, so that the next change is not based on the
+// old generation.
+func TestStoreRestoredFromOldBackup(t *testing.T) {
+	for _, empty := range []bool{false, true} {
+		t.Run(fmt.Sprint("empty ", empty), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				store := newStore()
 				r := newRegistry("d1", store)
 				is.NoErr(r.Poll(t.Context()))
 				old := store.Snapshot()
-				if wiped {
+				if empty {
 					old = nil
 				}
 				_, err := r.Commit(t.Context(), addTeam("a", 0))
@@ -103,24 +103,24 @@
 				store.Restore(old)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				defer cancel()
-				_ = r.Run(ctx) // one watch that finds nothing, then the read that finds the old data
+				_ = r.Run(ctx) // a watch without changes, then a read that finds the old data
 				is.Equal(teams(r.Current()), "a ")
 
-				late := newRegistry("d2", store)
-				is.NoErr(late.Poll(t.Context()))
-				is.Equal(teams(late.Current()), "a ")
-				_, err = late.Commit(t.Context(), addTeam("b", 0))
+				other := newRegistry("d2", store)
+				is.NoErr(other.Poll(t.Context()))
+				is.Equal(teams(other.Current()), "a ")
+				_, err = other.Commit(t.Context(), addTeam("b", 0))
 				is.NoErr(err)
-				is.Equal(late.Generation(), uint64(3))
+				is.Equal(other.Generation(), uint64(3))
 			})
 		})
 	}
 }
 
-// A daemon dies after it wrote its chunks and before it swapped the manifest.
-// Nobody may see the change, and the chunks are removed after a while, but not
-// those of a change that is being committed at that moment.
-func TestHalfWrittenChange(t *testing.T) {
+// A daemon fails after it uploaded chunks and before it swapped the manifest. The change
+// must not come into force, the chunks must be removed after the grace period, and a later
+// commit must be able to upload them again.
+func TestUncommittedChunksAreCollected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -133,31 +133,31 @@
 			}
 			return testkit.Fault{}
 		})
-		_, err := r.Commit(t.Context(), addTeam("half", 0))
+		_, err := r.Commit(t.Context(), addTeam("uncommitted", 0))
 		is.True(errors.Is(err, fireflypath.ErrUnavailable))
 		store.SetFault(nil)
-		late := newRegistry("d2", store)
-		is.NoErr(late.Poll(t.Context()))
-		is.Equal(teams(late.Current()), "")
+		other := newRegistry("d2", store)
+		is.NoErr(other.Poll(t.Context()))
+		is.Equal(teams(other.Current()), "")
 		is.Equal(len(store.Snapshot()), before+1)
 		collect := func() {
-			for range len(shards) + 1 {
-				is.NoErr(late.CollectGarbage(t.Context()))
+			for range len(shardAlphabet) + 1 {
+				is.NoErr(other.CollectGarbage(t.Context()))
 			}
 		}
 		collect()
-		is.Equal(len(store.Snapshot()), before+1) // seen for the first time
-		time.Sleep(collectGrace)
+		is.Equal(len(store.Snapshot()), before+1) // the first pass only records the orphan
+		time.Sleep(orphanGracePeriod)
 		collect()
 		is.Equal(len(store.Snapshot()), before)
-		_, err = late.Commit(t.Context(), addTeam("half", 0))
+		_, err = other.Commit(t.Context(), addTeam("uncommitted", 0))
 		is.NoErr(err)
 	})
 }
 
-// The service is down when the daemon starts, and peers hold a generation. The
-// daemon must take theirs and not its settings', which may be out of date.
-func TestStartWhileServiceIsDown(t *testing.T) {
+// The store is down when the daemon starts, and a peer has a generation. The daemon must use
+// that one and not the initial configuration of its settings, which may be outdated.
+func TestStartWhileStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := newStore()
@@ -170,36 +170,36 @@
 		r2 := newRegistry("d2", store)
 		is.True(r2.Poll(t.Context()) != nil)
 		is.Equal(r2.Generation(), uint64(0))
-		is.NoErr(r2.Pull(t.Context(), &peerSource{r: r1}))
+		is.NoErr(r2.Pull(t.Context(), &registrySource{registry: r1}))
 		is.Equal(teams(r2.Current()), "a ")
 	})
 }
 
-// A chunk arrives torn or forged from a peer. It must not come into force.
-func TestForgedChunkIsNotApplied(t *testing.T) {
+// A chunk from a peer is damaged or forged. The generation must not be activated.
+func TestCorruptedChunkIsNotApplied(t *testing.T) {
 	is := is.New(t)
 	r1 := newRegistry("d1", newStore())
 	_, err := r1.Commit(t.Context(), addTeam("a", 0))
 	is.NoErr(err)
 	r2 := newRegistry("d2", newStore())
-	err = r2.Pull(t.Context(), forger{&peerSource{r: r1}})
+	err = r2.Pull(t.Context(), corruptingSource{&registrySource{registry: r1}})
 	is.True(errors.Is(err, ErrIncomplete))
 	is.Equal(r2.Generation(), uint64(0))
 }
 
-type forger struct{ *peerSource }
+type corruptingSource struct{ *registrySource }
 
-func (f forger) Chunks(ctx context.Context, ds []string) ([]json.RawMessage, error) {
-	out, err := f.peerSource.Chunks(ctx, ds)
+func (s corruptingSource) Chunks(ctx context.Context, ds []string) ([]json.RawMessage, error) {
+	out, err := s.registrySource.Chunks(ctx, ds)
 	for i := range out {
 		out[i] = bytes.ReplaceAll(out[i], []byte("a"), []byte("b"))
 	}
 	return out, err
 }
 
-// The trail is longer than a manifest may be. Every line must still be found,
-// in order, and an id far back must still be recognised.
-func TestLongTrail(t *testing.T) {
+// The audit trail does not fit in the manifest. Every line must be returned in order, and an
+// ID in an older page must be found.
+func TestTrailSpansPages(t *testing.T) {
 	is := is.New(t)
 	store := newStore()
 	r := newRegistry("d1", store)
@@ -216,32 +216,33 @@
 	is.NoErr(err)
 	e, err := store.Get(t.Context(), manifestKey)
 	is.NoErr(err)
-	is.True(len(e.Value) < 2*tailBytes)
+	is.True(len(e.Value) < 2*maxTailBytes)
 }
 
 func TestMain(m *testing.M) { testkit.Seeded(m) }
 
-// Drawn by rapid: three daemons commit, follow, pull from each other, are
-// paused (keep an old view) and meet a store that loses answers or shows an
-// older copy. Over the trace of all daemons no generation may fall, one
-// generation has one content, and an accepted change is never missing later.
-func TestGenerationsNeverFall(t *testing.T) {
+// A property test: three daemons commit, read the store and pull from each other at random.
+// One that is not drawn keeps an old generation, as if it was paused. The store loses
+// responses or loses its data. No daemon's generation may decrease, each generation must
+// have the same content everywhere, and no accepted change may be missing from a later
+// generation.
+func TestGenerationsNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
 		clock := clockwork.NewFakeClock()
 		store := testkit.NewMapStore(clock)
-		var rs []*Registry
+		var registries []*Registry
 		for i := range 3 {
-			rs = append(rs, New(store, nil, fmt.Sprint("d", i), clock, tally.NoopScope, zap.NewNop()))
+			registries = append(registries, New(store, nil, fmt.Sprint("d", i), clock, tally.NoopScope, zap.NewNop()))
 		}
-		last := make([]uint64, len(rs))
+		last := make([]uint64, len(registries))
 		content := map[uint64]string{}
 		accepted := map[string]uint64{}
-		pick := func() *Registry { return rs[rapid.IntRange(0, len(rs)-1).Draw(rt, "daemon")] }
-		loseNext, n := false, 0
+		drawRegistry := func() *Registry { return registries[rapid.IntRange(0, len(registries)-1).Draw(rt, "daemon")] }
+		loseResponse, n := false, 0
 		store.SetFault(func(op, key string) testkit.Fault {
-			if op == "put" && key == manifestKey && loseNext {
-				loseNext = false
+			if op == "put" && key == manifestKey && loseResponse {
+				loseResponse = false
 				return testkit.Fault{After: fireflypath.ErrUnknown}
 			}
 			return testkit.Fault{}
@@ -250,7 +251,7 @@
 			n++
 			id := fmt.Sprint("t", n)
 			done := make(chan struct{})
-			go advance(clock, done)
+			go advanceClock(clock, done)
 			got, err := r.Commit(ctx, addTeam(id, 0))
 			close(done)
 			if err == nil {
@@ -258,39 +259,39 @@
 			}
 		}
 		rt.Repeat(map[string]func(*rapid.T){
-			"commit": func(*rapid.T) { commit(pick()) },
-			"commit, answer lost": func(*rapid.T) {
-				loseNext = true
-				commit(pick())
-				loseNext = false
+			"commit": func(*rapid.T) { commit(drawRegistry()) },
+			"commit, response lost": func(*rapid.T) {
+				loseResponse = true
+				commit(drawRegistry())
+				loseResponse = false
 			},
-			"follow": func(*rapid.T) { _, _, _ = pick().fresh(ctx) },
-			"pull":   func(*rapid.T) { _ = pick().Pull(ctx, &peerSource{r: pick()}) },
+			"fetch from store": func(*rapid.T) { _, _, _ = drawRegistry().syncWithStore(ctx) },
+			"pull":             func(*rapid.T) { _ = drawRegistry().Pull(ctx, &registrySource{registry: drawRegistry()}) },
 			"older data": func(*rapid.T) {
-				newest := rs[0]
-				for _, r := range rs {
+				newest := registries[0]
+				for _, r := range registries {
 					if r.Generation() > newest.Generation() {
 						newest = r
 					}
 				}
 				store.Restore(nil)
-				_, _, _ = newest.fresh(ctx) // a watcher that is up to date is first to look
+				_, _, _ = newest.syncWithStore(ctx) // an up-to-date watcher is the first to read the store
 			},
 			"": func(rt *rapid.T) {
-				for i, r := range rs {
+				for i, r := range registries {
 					g, c := r.Generation(), r.Current()
 					if g < last[i] || c.Generation != g && g > 0 {
-						rt.Fatalf("daemon %d fell from %d to %d", i, last[i], g)
+						rt.Fatalf("daemon %d went back from generation %d to %d", i, last[i], g)
 					}
 					last[i] = g
 					text := teams(c)
 					if old, ok := content[g]; ok && old != text && g > 0 {
-						rt.Fatalf("generation %d is both %q and %q", g, old, text)
+						rt.Fatalf("generation %d has both the teams %q and %q", g, old, text)
 					}
 					content[g] = text
 					for id, at := range accepted {
 						if g >= at && !bytes.Contains([]byte(" "+text), []byte(" "+id+" ")) {
-							rt.Fatalf("daemon %d at %d lost accepted %s of %d", i, g, id, at)
+							rt.Fatalf("daemon %d at generation %d lacks change %s accepted in generation %d", i, g, id, at)
 						}
 					}
 				}
@@ -299,8 +300,9 @@
 	})
 }
 
-// advance moves a fake clock on whenever something waits on it.
-func advance(clock *clockwork.FakeClock, done <-chan struct{}) {
+// advanceClock advances a fake clock by a second whenever something waits on it, until done
+// is closed.
+func advanceClock(clock *clockwork.FakeClock, done <-chan struct{}) {
 	for {
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
--- a/internal/configuration/retain_test.go
+++ b/internal/configuration/retention_test.go
@@ -9,9 +9,9 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// An operator sets how long the trail is kept. At least that many lines are
-// read, the oldest ones go, and ids are still found as far back as ever.
-func TestRetain(t *testing.T) {
+// Guards the retention of the audit trail: at least the set number of lines is kept, older
+// ones are removed, and a smaller setting does not shorten how far back IDs are found.
+func TestSetRetention(t *testing.T) {
 	is := is.New(t)
 	r := newRegistry("d1", newStore())
 	r.SetRetention(500)
@@ -22,10 +22,10 @@
 	lines, err := r.Trail(t.Context(), 2*n)
 	is.NoErr(err)
 	is.True(len(lines) >= 500)
-	is.True(len(lines) <= 500+tailLines+pageLines)
+	is.True(len(lines) <= 500+maxTailLines+linesPerPage)
 	is.Equal(lines[0].ID, "n799")
 	_, err = r.Settle(t.Context(), "n500")
 	is.NoErr(err)
 	r.SetRetention(1)
-	is.Equal(r.pages, idPages) // an id must stay known for as long as it may be repeated
+	is.Equal(r.retainedPages, maxLookupPages) // an id must stay known for as long as it may be repeated
 }
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -10,8 +10,9 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// read gets the manifest from the store; nil with revision 0 means there is none.
-func (r *Registry) read(ctx context.Context) (*manifest, uint64, error) {
+// readManifest reads the manifest and its revision from the store. It returns nil and
+// revision 0 if the store has none.
+func (r *Registry) readManifest(ctx context.Context) (*manifest, uint64, error) {
 	e, err := r.store.Get(ctx, manifestKey)
 	if errors.Is(err, fireflypath.ErrNotFound) {
 		return nil, 0, nil
@@ -23,48 +24,49 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	r.remember(m, e.Revision)
+	r.recordManifest(m, e.Revision)
 	return m, e.Revision, nil
 }
 
-// remember keeps the newest manifest for the audit trail and for a restore.
-func (r *Registry) remember(m *manifest, revision uint64) {
+// recordManifest records the manifest unless a newer one is known. It is the fallback for
+// reads of the audit trail and the source of its lines for a restore.
+func (r *Registry) recordManifest(m *manifest, revision uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.seen == nil || m.Generation >= r.seen.Generation {
-		r.seen, r.revision = m, revision
+	if r.lastManifest == nil || m.Generation >= r.lastManifest.Generation {
+		r.lastManifest, r.watchRevision = m, revision
 	}
 }
 
-// adopt puts a manifest of the store in force if it is newer.
-func (r *Registry) adopt(ctx context.Context, m *manifest) error {
+// activateManifest activates the generation of a manifest of the store if it is newer.
+func (r *Registry) activateManifest(ctx context.Context, m *manifest) error {
 	if m.Generation <= r.Generation() {
 		return nil
 	}
-	s, err := r.assemble(ctx, m.outline, r.fromStore)
+	s, err := r.assemble(ctx, m.generationIndex, r.fetchFromStore)
 	if err != nil {
 		return err
 	}
-	r.install(s)
+	r.activate(s)
 	return nil
 }
 
-// listAbove is the number of missing chunks from which one listing of all is
-// cheaper for the service than a call for each.
-const listAbove = 16
+// maxSingleReads is the number of missing chunks up to which each is read by itself. For more,
+// listing all chunks is cheaper for the service than a call for each.
+const maxSingleReads = 16
 
-// fromStore gets chunks from the platform's service.
-func (r *Registry) fromStore(ctx context.Context, ds []digest) (map[digest][]byte, error) {
-	got := make(map[digest][]byte, len(ds))
-	if len(ds) > listAbove {
+// fetchFromStore reads chunks from the store.
+func (r *Registry) fetchFromStore(ctx context.Context, ds []digest) (map[digest][]byte, error) {
+	fetched := make(map[digest][]byte, len(ds))
+	if len(ds) > maxSingleReads {
 		all, err := r.store.List(ctx, chunkPrefix)
 		if err != nil {
 			return nil, errors.Wrap(err, "list the chunks")
 		}
 		for _, e := range all {
-			got[digest(e.Key[len(chunkPrefix):])] = e.Value
+			fetched[digest(e.Key[len(chunkPrefix):])] = e.Value
 		}
-		return got, nil
+		return fetched, nil
 	}
 	for _, d := range ds {
 		e, err := r.store.Get(ctx, chunkPrefix+string(d))
@@ -74,23 +76,24 @@
 		if err != nil {
 			return nil, errors.Wrapf(err, "read chunk %s", d)
 		}
-		got[d] = e.Value
+		fetched[d] = e.Value
 	}
-	return got, nil
+	return fetched, nil
 }
 
-// upload writes the chunks that base does not name. Each write gives the chunk
-// a new revision, which keeps it from a collector that has seen it unnamed.
-func (r *Registry) upload(ctx context.Context, base *lists, chunks []chunk) error {
-	named := map[digest]bool{}
+// uploadChunks writes the chunks that base does not reference. It also writes chunks that
+// exist: the write gives them a new revision, which keeps a collector that has seen them
+// unreferenced from removing them.
+func (r *Registry) uploadChunks(ctx context.Context, base *chunkLists, chunks []chunk) error {
+	referenced := map[digest]bool{}
 	if base != nil {
-		base.each(func(d digest) { named[d] = true })
+		base.forEach(func(d digest) { referenced[d] = true })
 	}
 	for _, c := range chunks {
-		if named[c.digest] {
+		if referenced[c.digest] {
 			continue
 		}
-		named[c.digest] = true
+		referenced[c.digest] = true
 		_, err := r.store.Put(ctx, chunkPrefix+string(c.digest), c.raw, fireflypath.AnyRevision, 0)
 		if err != nil {
 			return errors.Wrapf(err, "write chunk %s", c.digest)
@@ -99,8 +102,9 @@
 	return nil
 }
 
-// swap is the commit.
-func (r *Registry) swap(ctx context.Context, m *manifest, revision uint64) error {
+// swapManifest replaces the manifest if it still has the given revision. This commits a
+// change.
+func (r *Registry) swapManifest(ctx context.Context, m *manifest, revision uint64) error {
 	b, err := json.Marshal(m)
 	if err != nil {
 		return errors.Wrap(err, "encode the manifest")
@@ -110,55 +114,55 @@
 	}
 	next, err := r.store.Put(ctx, manifestKey, b, revision, 0)
 	if err != nil {
-		return errors.Wrapf(fate(err), "swap the manifest to generation %d", m.Generation)
+		return errors.Wrapf(markUnknownOutcome(err), "swap the manifest to generation %d", m.Generation)
 	}
-	r.remember(m, next)
+	r.recordManifest(m, next)
 	return nil
 }
 
-// restore writes the generation in force back to a store that shows an older
-// one or none, as after it came back from an old copy. Without it the next
-// commit would count up from the old generation and never come into force. A
-// reply that was merely stale does no harm: the swap then fails on the revision.
-func (r *Registry) restore(ctx context.Context, found *manifest, revision uint64) error {
+// restoreStore writes the generation in force to a store that has an older one or none, for
+// example because it was restored from a backup. Otherwise the next commit would continue
+// from the old generation and never come into force. If the older generation was only a
+// stale read, the swap fails because the revision is outdated.
+func (r *Registry) restoreStore(ctx context.Context, stored *manifest, revision uint64) error {
 	s := r.current.Load()
-	r.count.older.Inc(1)
-	m := &manifest{outline: s.outline}
+	r.metrics.older.Inc(1)
+	m := &manifest{generationIndex: s.index}
 	var from uint64
-	if found != nil {
-		m.Trail, m.Tail, from = found.Trail, found.Tail, found.Generation
+	if stored != nil {
+		m.Trail, m.Tail, from = stored.Trail, stored.Tail, stored.Generation
 	}
 	r.mu.Lock()
-	if r.seen != nil && r.seen.Generation == s.outline.Generation {
-		m.Tail, m.Trail = r.seen.Tail, r.seen.Trail
+	if r.lastManifest != nil && r.lastManifest.Generation == s.index.Generation {
+		m.Tail, m.Trail = r.lastManifest.Tail, r.lastManifest.Trail
 	}
 	r.mu.Unlock()
 	line := fireflypath.AuditLine{
-		ID: s.outline.Change + "/restored", At: r.clock.Now().UTC(), Who: r.name, Words: "restore",
-		From: from, To: s.outline.Generation, Result: "done",
+		ID: s.index.Change + "/restored", At: r.clock.Now().UTC(), Who: r.name, Words: "restore",
+		From: from, To: s.index.Generation, Result: "done",
 	}
-	if m.find(line.ID) == nil {
+	if m.findInTail(line.ID) == nil {
 		m.Tail = append(m.Tail[:len(m.Tail):len(m.Tail)], line)
 	}
-	chunks := make([]chunk, 0, len(s.raw))
-	for d, b := range s.raw {
+	chunks := make([]chunk, 0, len(s.chunks))
+	for d, b := range s.chunks {
 		chunks = append(chunks, chunk{digest: d, raw: b})
 	}
-	if err := r.upload(ctx, nil, chunks); err != nil {
+	if err := r.uploadChunks(ctx, nil, chunks); err != nil {
 		return err
 	}
-	if err := r.swap(ctx, m, revision); err != nil {
+	if err := r.swapManifest(ctx, m, revision); err != nil {
 		return err
 	}
-	r.count.restored.Inc(1)
+	r.metrics.restored.Inc(1)
 	r.log.Warn("service showed an older configuration, restored",
-		zap.Uint64("found", from), zap.Uint64("generation", s.outline.Generation))
+		zap.Uint64("found", from), zap.Uint64("generation", s.index.Generation))
 	return nil
 }
 
-// fate marks every error of a write that does not say that nothing was written
-// as unknown, a context's end among them.
-func fate(err error) error {
+// markUnknownOutcome marks an error of a write as fireflypath.ErrUnknown, for example the end
+// of the context, unless it guarantees that nothing was written.
+func markUnknownOutcome(err error) error {
 	if errors.IsAny(err, fireflypath.ErrConflict, fireflypath.ErrUnavailable,
 		fireflypath.ErrLimited, fireflypath.ErrUnknown) {
 		return err
--- a/internal/configuration/trail.go
+++ b/internal/configuration/trail.go
@@ -10,83 +10,88 @@
 )
 
 const (
-	// tailLines and tailBytes bound the audit lines in the manifest, which a
-	// few watchers per failure domain read with each change.
-	tailLines = 64
-	tailBytes = 32 << 10
-	// pageLines is the number of lines moved out at once.
-	pageLines = 48
-	// idPages bounds how far back an id is looked for: with the tail at least
-	// 400 changes, two hours at the letter's 4,200 a day, far above any retry.
-	idPages = 8
-	// keptPages bounds the trail where no setting does: about 10,000 lines, two
-	// days at that rate.
-	keptPages = 208
-	// maxWords bounds one line; a longer command is refused, not cut.
-	maxWords = 16 << 10
+	// maxTailLines and maxTailBytes bound the audit lines in the manifest, which a few
+	// watchers in each failure domain read at every change.
+	maxTailLines = 64
+	maxTailBytes = 32 << 10
+	// linesPerPage is the number of lines moved from the manifest to a page at a time.
+	linesPerPage = 48
+	// maxLookupPages is the number of pages in which an ID is looked up. Together with the
+	// tail they hold at least 400 changes, which is two hours at 4,200 changes a day and far
+	// longer than any client retries.
+	maxLookupPages = 8
+	// defaultRetainedPages bounds the trail if no setting does. It is about 10,000 lines, or
+	// two days at that rate.
+	defaultRetainedPages = 208
+	// maxCommandBytes bounds the command in an audit line. A longer one is refused rather
+	// than truncated.
+	maxCommandBytes = 16 << 10
 )
 
-// page is a chunk of older audit lines, linked to the one before it.
+// page is an immutable chunk of audit lines, oldest first, linked to the page before it.
 type page struct {
 	Previous digest                  `json:"previous,omitempty"`
 	Lines    []fireflypath.AuditLine `json:"lines"`
 }
 
-// SetRetention sets how many lines of the trail are kept at least; it must be called
-// before Run. Daemons with different settings keep what the one that collects
-// is told. Ids are looked up in the newest pages whatever is kept.
+// SetRetention sets the minimum number of lines of the trail to keep. It must be called
+// before Run. If daemons have different settings, that of the collecting daemon applies.
+// At least maxLookupPages are kept, because an ID must be known for as long as its command
+// may be repeated.
 func (r *Registry) SetRetention(lines int) {
-	r.pages = max(idPages, (lines+pageLines-1)/pageLines)
+	r.retainedPages = max(maxLookupPages, (lines+linesPerPage-1)/linesPerPage)
 }
 
-// Trail reads the audit trail, newest first. While the service is down it
-// returns what this daemon has together with the error.
+// Trail returns up to n lines of the audit trail, newest first. If the store is unavailable,
+// it returns the lines that this daemon has cached together with the error.
 func (r *Registry) Trail(ctx context.Context, n int) ([]fireflypath.AuditLine, error) {
-	m, err := r.latest(ctx)
+	m, err := r.latestManifest(ctx)
 	if m == nil {
 		return nil, err
 	}
-	out := appendNewest(nil, m.Tail, n)
+	out := appendReversed(nil, m.Tail, n)
 	next := m.Trail
-	for depth := 0; next != "" && len(out) < n && depth < r.pages; depth++ {
-		p, perr := r.page(ctx, next)
-		if errors.Is(perr, fireflypath.ErrNotFound) {
+	for depth := 0; next != "" && len(out) < n && depth < r.retainedPages; depth++ {
+		p, pageErr := r.readPage(ctx, next)
+		if errors.Is(pageErr, fireflypath.ErrNotFound) {
 			break
 		}
-		if perr != nil {
-			return out, perr
+		if pageErr != nil {
+			return out, pageErr
 		}
-		out = appendNewest(out, p.Lines, n)
+		out = appendReversed(out, p.Lines, n)
 		next = p.Previous
 	}
 	return out, err
 }
 
-func appendNewest(out, lines []fireflypath.AuditLine, n int) []fireflypath.AuditLine {
+// appendReversed appends lines to out, last one first, until out has n.
+func appendReversed(out, lines []fireflypath.AuditLine, n int) []fireflypath.AuditLine {
 	for i := len(lines) - 1; i >= 0 && len(out) < n; i-- {
 		out = append(out, lines[i])
 	}
 	return out
 }
 
-// latest is the store's manifest, or with an error the newest one read before.
-func (r *Registry) latest(ctx context.Context) (*manifest, error) {
+// latestManifest returns the manifest of the store, or the newest one read before together
+// with the error if the store cannot be read.
+func (r *Registry) latestManifest(ctx context.Context) (*manifest, error) {
 	if r.store == nil {
 		return nil, nil
 	}
-	m, _, err := r.read(ctx)
+	m, _, err := r.readManifest(ctx)
 	if err == nil {
 		return m, nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.seen, err
+	return r.lastManifest, err
 }
 
-// page reads a chunk of the trail, from memory if it is there.
-func (r *Registry) page(ctx context.Context, d digest) (*page, error) {
+// readPage returns a page of the trail from the cache or the store.
+func (r *Registry) readPage(ctx context.Context, d digest) (*page, error) {
 	r.mu.Lock()
-	p := r.trail[d]
+	p := r.pageCache[d]
 	r.mu.Unlock()
 	if p != nil {
 		return p, nil
@@ -101,24 +106,25 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.trail) > idPages {
-		clear(r.trail)
+	if len(r.pageCache) > maxLookupPages {
+		clear(r.pageCache)
 	}
-	r.trail[d] = p
+	r.pageCache[d] = p
 	return p, nil
 }
 
-// lookup finds an id in the tail or in the newest pages, or returns nil.
+// lookup returns the line with the ID from the tail or the newest pages, or nil if there is
+// none.
 func (r *Registry) lookup(ctx context.Context, m *manifest, id string) (*fireflypath.AuditLine, error) {
 	if m == nil {
 		return nil, nil
 	}
-	if l := m.find(id); l != nil {
+	if l := m.findInTail(id); l != nil {
 		return l, nil
 	}
 	next := m.Trail
-	for depth := 0; next != "" && depth < idPages; depth++ {
-		p, err := r.page(ctx, next)
+	for depth := 0; next != "" && depth < maxLookupPages; depth++ {
+		p, err := r.readPage(ctx, next)
 		if errors.Is(err, fireflypath.ErrNotFound) {
 			return nil, nil
 		}
@@ -133,17 +139,18 @@
 	return nil, nil
 }
 
-// appendLine adds a line to the manifest and moves older ones to a page, which
-// is written before the swap that names it.
+// appendLine appends a line to the manifest's tail. If the tail is too long, it moves the
+// oldest lines to a new page, which it writes before the swap of the manifest that
+// references it.
 func (r *Registry) appendLine(ctx context.Context, m *manifest, l fireflypath.AuditLine) error {
 	m.Tail = append(m.Tail[:len(m.Tail):len(m.Tail)], l)
 	b, err := json.Marshal(m.Tail)
 	if err != nil {
 		return errors.Wrap(err, "encode the audit trail")
 	}
-	n := pageLines
-	if len(m.Tail) <= tailLines {
-		if len(b) <= tailBytes {
+	n := linesPerPage
+	if len(m.Tail) <= maxTailLines {
+		if len(b) <= maxTailBytes {
 			return nil
 		}
 		n = max(1, len(m.Tail)/2)
@@ -153,7 +160,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode the audit trail")
 	}
-	d := digestOf(raw)
+	d := computeDigest(raw)
 	if _, err := r.store.Put(ctx, trailPrefix+string(d), raw, fireflypath.AnyRevision, 0); err != nil {
 		return errors.Wrap(err, "write the audit trail")
 	}
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -11,63 +11,65 @@
 )
 
 const (
-	// watchWait is how long the service holds one watch: three calls a minute
-	// for each watcher.
-	watchWait = 20 * time.Second
-	// retryFirst and retryMax are the pauses after a failed call; the larger
-	// one bounds how late a daemon notices that the service is back.
-	retryFirst = 100 * time.Millisecond
-	retryMax   = 2 * time.Second
-	// dutyWait is how often a daemon that does not watch asks whether it must.
-	dutyWait = time.Second
-	// collectEvery is the time between two parts of the collection.
-	collectEvery = time.Minute
+	// watchTimeout is how long the service holds a watch without a change. With 20 s each
+	// watcher makes three calls a minute.
+	watchTimeout = 20 * time.Second
+	// minRetryDelay and maxRetryDelay bound the backoff after failed calls. The maximum is
+	// also the time until a daemon notices that the service is available again.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
+	// dutyPollInterval is the interval at which a daemon that does not watch checks its duty.
+	dutyPollInterval = time.Second
+	// collectInterval is the time between two calls of CollectGarbage.
+	collectInterval = time.Minute
 )
 
-// Duty is what one daemon does with the store on behalf of others.
+// Duty holds the tasks that a daemon performs on the store on behalf of others.
 type Duty struct {
-	// Watch is true for the few watchers of a failure domain.
+	// Watch is true for the few daemons of each failure domain that watch the manifest.
 	Watch bool
-	// Collect is true for the one daemon that removes orphans.
+	// Collect is true for the one daemon that removes orphaned chunks.
 	Collect bool
 }
 
-// SetDuty sets how the daemon learns its duty; it must be called before Run.
+// SetDuty sets the function that returns the daemon's current duty. It must be called before
+// Run.
 func (r *Registry) SetDuty(duty func() Duty) {
-	r.duty.Store(&duty)
+	r.dutyFunc.Store(&duty)
 }
 
-func (r *Registry) duties() Duty {
-	if d := r.duty.Load(); d != nil {
+func (r *Registry) currentDuty() Duty {
+	if d := r.dutyFunc.Load(); d != nil {
 		return (*d)()
 	}
 	return Duty{Watch: true, Collect: true}
 }
 
-// Run follows the store until the context ends.
+// Run keeps the configuration up to date with the store and performs the daemon's duty until
+// the context ends.
 func (r *Registry) Run(ctx context.Context) error {
 	if r.store == nil {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	pause := retryFirst
+	pause := minRetryDelay
 	collected := r.clock.Now()
 	for ctx.Err() == nil {
-		d := r.duties()
-		wait := dutyWait
+		d := r.currentDuty()
+		wait := dutyPollInterval
 		switch {
 		case !d.Watch:
-			r.forget()
+			r.resetWatch()
 		case r.Poll(ctx) == nil:
-			wait, pause = 0, retryFirst
+			wait, pause = 0, minRetryDelay
 		default:
 			wait = pause
-			pause = min(2*pause, retryMax)
+			pause = min(2*pause, maxRetryDelay)
 		}
-		if d.Collect && r.clock.Since(collected) >= collectEvery {
+		if d.Collect && r.clock.Since(collected) >= collectInterval {
 			collected = r.clock.Now()
 			if err := r.CollectGarbage(ctx); err != nil {
-				r.log.Debug("could not collect orphans", zap.Error(err))
+				r.log.Debug("failed to collect orphaned chunks", zap.Error(err))
 			}
 		}
 		if wait > 0 && r.sleep(ctx, wait) != nil {
@@ -77,45 +79,47 @@
 	return ctx.Err()
 }
 
-// forget drops the revision, so that a daemon that becomes a watcher again
-// begins with a read.
-func (r *Registry) forget() {
+// resetWatch makes the next Poll read the manifest, so that a daemon that becomes a watcher
+// again or whose watch failed starts from the current one.
+func (r *Registry) resetWatch() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.revision = 0
+	r.watchRevision = 0
 }
 
-// Poll makes one step: a first read, or one watch for the next manifest.
+// Poll reads the manifest or, if it was read before, watches once for its next change.
 func (r *Registry) Poll(ctx context.Context) error {
 	r.mu.Lock()
-	revision, seen := r.revision, r.seen
+	revision, seen := r.watchRevision, r.lastManifest
 	r.mu.Unlock()
 	if revision == 0 || seen == nil {
-		_, _, err := r.fresh(ctx)
+		_, _, err := r.syncWithStore(ctx)
 		return err
 	}
-	es, err := r.store.Watch(ctx, manifestKey, revision, watchWait)
+	es, err := r.store.Watch(ctx, manifestKey, revision, watchTimeout)
 	if err != nil {
-		// The next step reads: a store that came back with older data may have
-		// a revision below ours and would never answer this watch.
-		r.forget()
+		// The next call reads the manifest: the revision of a store that was restored from
+		// older data may be lower than watchRevision, so that this watch would never
+		// return a change.
+		r.resetWatch()
 		return errors.Wrap(err, "watch the manifest")
 	}
 	if len(es) == 0 {
-		r.forget()
+		r.resetWatch()
 		return nil
 	}
 	for _, e := range es {
-		if err := r.notice(ctx, e); err != nil {
-			r.forget()
+		if err := r.handleWatchEntry(ctx, e); err != nil {
+			r.resetWatch()
 			return err
 		}
 	}
 	return nil
 }
 
-// notice takes in one entry of a watch.
-func (r *Registry) notice(ctx context.Context, e fireflypath.Entry) error {
+// handleWatchEntry activates a changed manifest, or restores a store that went back to an
+// older one.
+func (r *Registry) handleWatchEntry(ctx context.Context, e fireflypath.Entry) error {
 	if e.Key != manifestKey {
 		return nil
 	}
@@ -127,10 +131,10 @@
 		return err
 	}
 	if m.Generation < r.Generation() {
-		return r.restore(ctx, m, e.Revision)
+		return r.restoreStore(ctx, m, e.Revision)
 	}
 	r.mu.Lock()
-	r.seen, r.revision = m, e.Revision
+	r.lastManifest, r.watchRevision = m, e.Revision
 	r.mu.Unlock()
-	return r.adopt(ctx, m)
+	return r.activateManifest(ctx, m)
 }
