--- a/internal/follow/download.go
+++ b/internal/follow/download.go
@@ -11,96 +11,97 @@
 )
 
 const (
-	// partTime is what a part may take: 0.3 s if the watcher's link of 10 Mbit/s
-	// serves 16 daemons at once, and two lost packets.
-	partTime = time.Second
-	// fetchTime is how long one call of Follow fetches parts. What changed of targets
-	// is told between the calls: one that leaves must not get work because a large
-	// configuration is on its way.
-	fetchTime = 400 * time.Millisecond
-	// downloadTime is what a large value may take before the store is asked for it,
-	// once: the watcher's link may be the slow one. It leaves half of the two seconds,
-	// in which a change has to be in force, for that.
-	downloadTime = time.Second
-	// largestPatch is that of a value without any repetition, in bytes.
-	largestPatch = fireflypath.MaxValue + 64<<10
+	// partTimeout is the timeout of a call for one part: 0.3 s if the watcher's link of
+	// 10 Mbit/s serves 16 daemons at once, plus the time to recover two lost packets.
+	partTimeout = time.Second
+	// maxFetchTime limits how long one call of Follow downloads parts. Changes of targets
+	// are delivered between the calls, so that a target that leaves gets no work while a
+	// large configuration is being downloaded.
+	maxFetchTime = 400 * time.Millisecond
+	// maxDownloadTime is how long the download of a large value may take before the store
+	// is asked for the value, once, as the watcher's link may be the slow one. It leaves
+	// half of the default propagation limit of two seconds for that.
+	maxDownloadTime = time.Second
+	// maxPatchSize is the size in bytes of the patch of an incompressible value.
+	maxPatchSize = fireflypath.MaxValue + 64<<10
 )
 
 var (
-	// errUnfinished means that a value is still on its way.
-	errUnfinished = errors.New("value is still on its way")
-	// errSlow means that a value takes too long.
-	errSlow = errors.New("value takes too long on its way")
+	// errIncomplete means that the download of a value has not finished yet.
+	errIncomplete = errors.New("value is incomplete")
+	// errDownloadTimeout means that the download of a value takes too long.
+	errDownloadTimeout = errors.New("value takes too long on its way")
 )
 
-// download is a large value on its way here, in parts. A part that fails is asked
-// for again, also from another watcher; the parts before it are kept. Were the
-// value one answer, the time for an answer would bound its size, and over a slow
-// link each attempt would begin anew and end before its time.
+// download is a large value that is received in parts. A part that fails is requested
+// again, if need be from another watcher, and the parts received before are kept. If the
+// value were sent in one response, the timeout of a response would limit its size, and over
+// a slow link each attempt would start over and time out.
 type download struct {
-	large
-	// base is what this daemon has under the key; its revision is 0 if it has none.
+	largeValue
+	// base is the version of the value that this daemon has. Its revision is 0 if there is
+	// none.
 	base fireflypath.Entry
-	// used is the revision that the patch builds on: that of base, or 0.
-	used  uint64
-	size  int
-	sum   uint64
-	data  []byte
-	begun time.Time
-	// late is true once the store was asked for the value in its place.
-	late bool
+	// patchBase is the revision that the patch is based on: that of base, or 0.
+	patchBase uint64
+	patchSize int
+	patchHash uint64
+	data      []byte
+	startedAt time.Time
+	// timedOut is true once the store was asked for the value instead.
+	timedOut bool
 }
 
-// fetch brings a large value, or what of it comes in time.
-func (f *Feed) fetch(ctx context.Context, w fireflypath.Member, l large, end time.Time) (fireflypath.Entry, error) {
-	d := f.begin(l)
-	for !d.complete() {
+// fetchLargeValue downloads a large value until the given time.
+func (f *Feed) fetchLargeValue(ctx context.Context, w fireflypath.Member, l largeValue, end time.Time) (fireflypath.Entry, error) {
+	d := f.resumeOrStart(l)
+	for !d.isComplete() {
 		now := f.clock.Now()
-		if !d.late && now.Sub(d.begun) >= downloadTime {
-			d.late = true
-			return fireflypath.Entry{}, errors.Wrapf(errSlow, "%d of %d bytes", len(d.data), d.size)
+		if !d.timedOut && now.Sub(d.startedAt) >= maxDownloadTime {
+			d.timedOut = true
+			return fireflypath.Entry{}, errors.Wrapf(errDownloadTimeout, "%d of %d bytes", len(d.data), d.patchSize)
 		}
 		if !now.Before(end) {
-			return fireflypath.Entry{}, errUnfinished
+			return fireflypath.Entry{}, errIncomplete
 		}
-		p, err := f.part(ctx, w, d)
+		p, err := f.requestPart(ctx, w, d)
 		if err != nil {
 			return fireflypath.Entry{}, err
 		}
-		d.take(p)
+		d.addPart(p)
 	}
-	return f.finish(d)
+	return f.applyDownload(d)
 }
 
-// begin goes on with the download of a value, or starts it.
-func (f *Feed) begin(l large) *download {
-	if f.download == nil || f.download.large != l {
-		f.download = &download{large: l, base: f.values.newest(l.Key), begun: f.clock.Now()}
+// resumeOrStart returns the download of a value and starts it if there is none.
+func (f *Feed) resumeOrStart(l largeValue) *download {
+	if f.download == nil || f.download.largeValue != l {
+		f.download = &download{largeValue: l, base: f.versions.latest(l.Key), startedAt: f.clock.Now()}
 	}
 	return f.download
 }
 
-// part asks for the next one.
-func (f *Feed) part(ctx context.Context, w fireflypath.Member, d *download) (part, error) {
-	ctx, cancel := context.WithTimeout(ctx, partTime)
+// requestPart requests the next part of the patch from a watcher.
+func (f *Feed) requestPart(ctx context.Context, w fireflypath.Member, d *download) (partResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, partTimeout)
 	defer cancel()
-	var p part
-	a := askPart{large: d.large, Base: d.base.Revision, Offset: len(d.data)}
+	var p partResponse
+	a := partRequest{largeValue: d.largeValue, Base: d.base.Revision, Offset: len(d.data)}
 	if err := f.peers.Call(ctx, w, methodPart, a, &p); err != nil {
-		return part{}, errors.Wrapf(err, "a part of %s from %s", d.Key, w.Name)
+		return partResponse{}, errors.Wrapf(err, "request part of %s from %s", d.Key, w.Name)
 	}
-	if len(p.Data) == 0 || p.Size <= 0 || p.Size > largestPatch {
-		return part{}, errors.Newf("%s sent %d bytes of a patch of %d", w.Name, len(p.Data), p.Size)
+	if len(p.Data) == 0 || p.PatchSize <= 0 || p.PatchSize > maxPatchSize {
+		return partResponse{}, errors.Newf("%s sent %d bytes of a patch of %d", w.Name, len(p.Data), p.PatchSize)
 	}
 	return p, nil
 }
 
-// take adds a part. If it is of another patch, as from a watcher that does not have
-// the base, the download begins anew.
-func (d *download) take(p part) {
-	if p.Sum != d.sum || p.Size != d.size {
+// addPart appends a part. If the part is of a different patch, as from a watcher that does
+// not have the base, the download starts over.
+func (d *download) addPart(p partResponse) {
+	if p.PatchHash != d.patchHash || p.PatchSize != d.patchSize {
 		first := len(d.data) == 0
-		d.used, d.size, d.sum, d.data = p.Base, p.Size, p.Sum, nil
+		d.patchBase, d.patchSize, d.patchHash, d.data = p.Base, p.PatchSize, p.PatchHash, nil
 		if !first {
 			return
 		}
@@ -108,21 +109,21 @@
 	d.data = append(d.data, p.Data...)
 }
 
-func (d *download) complete() bool {
-	return d.size > 0 && len(d.data) >= d.size
+func (d *download) isComplete() bool {
+	return d.patchSize > 0 && len(d.data) >= d.patchSize
 }
 
-// finish makes the value of the parts.
-func (f *Feed) finish(d *download) (fireflypath.Entry, error) {
+// applyDownload makes the value from the downloaded patch.
+func (f *Feed) applyDownload(d *download) (fireflypath.Entry, error) {
 	f.download = nil
 	var base []byte
-	if d.used != 0 {
+	if d.patchBase != 0 {
 		base = d.base.Value
 	}
 	value, err := patch.Apply(base, d.data, fireflypath.MaxValue)
 	if err != nil {
 		return fireflypath.Entry{}, errors.Wrapf(err, "%s of revision %d", d.Key, d.Revision)
 	}
-	f.fetched.Inc(int64(d.size))
+	f.fetchedBytes.Inc(int64(d.patchSize))
 	return fireflypath.Entry{Key: d.Key, Value: value, Revision: d.Revision}, nil
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,4 +1,9 @@
-// Package follow lets most daemons follow the platform's store through a few that watch it.
+// Package follow replicates the contents of the platform's store from a few watching daemons
+// to all others.
+//
+// In each failure domain one daemon, the watcher, watches the store. The other daemons, its
+// followers, long-poll the watcher for changes and read from the store themselves only if
+// the watcher cannot help.
 package follow
 
 import (
@@ -18,128 +23,130 @@
 )
 
 const (
-	// callTime is what a call to a watcher may take beyond its wait. Answers have a page
-	// at most, whatever changed.
-	callTime = 300 * time.Millisecond
-	// latePart is the part of the time for a change to be in force up to which a follower
-	// asks its watcher once more for a large answer on its way. Of three seconds it leaves
-	// half a second for that call and 0.85 s for the store's own answer; of two seconds,
-	// which fleets without slow links have, it leaves no wait at all.
-	latePart = 0.55
-	// youngPart is the part of the time for a change to be in force up to which a view is
-	// young enough to look for another watcher first. All daemons that start at once
-	// take the wrong ones for watchers until they know each other.
-	youngPart = 0.25
-	// youngPause is the pause before that.
-	youngPause = 100 * time.Millisecond
-	// unlimited is above any age of a view.
-	unlimited = 1 << 62 * time.Nanosecond
-	// avoidTime is how long a watcher is not asked that did not answer well.
-	avoidTime = 2 * time.Second
-	// storePause is how long a daemon that could not reach the store either waits
-	// before it asks it again. In an outage the watchers ask often enough for all.
-	storePause = time.Second
+	// callTimeout is the time that a call to a watcher may take in addition to its wait.
+	// Responses hold one page at most, however much has changed.
+	callTimeout = 300 * time.Millisecond
+	// slowWatcherFraction is the fraction of the propagation limit up to which a follower
+	// polls again a watcher that is still receiving a large response. Of a limit of three
+	// seconds it leaves half a second for that call and 0.85 s for the store's own
+	// response. Of two seconds, which fleets without slow links use, it leaves no time to
+	// wait.
+	slowWatcherFraction = 0.55
+	// recentViewFraction is the fraction of the propagation limit up to which the view is
+	// recent enough to look for another watcher before reading from the store. Daemons
+	// that all start at once take the wrong ones for watchers until they know each other.
+	recentViewFraction = 0.25
+	// recentViewPause is the pause before another watcher is tried.
+	recentViewPause = 100 * time.Millisecond
+	// unlimitedAge is above the age of any view.
+	unlimitedAge = 1 << 62 * time.Nanosecond
+	// watcherBackoff is how long a watcher is not called after a failed call.
+	watcherBackoff = 2 * time.Second
+	// storeBackoff is how long a daemon that could not reach the store either waits before
+	// it calls the store again. In an outage, the watchers poll often enough for all.
+	storeBackoff = time.Second
 )
 
-// errOld means that no watcher has a view that is young enough.
-var errOld = errors.New("watchers' views are old")
+// errStaleView means that the views of the available watchers are too old.
+var errStaleView = errors.New("view of the watcher is too old")
 
-// Peers is what Feed needs of the endpoint.
+// Peers is the part of the peer endpoint that Feed uses.
 type Peers interface {
 	Handle(method string, m peer.Method)
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
-// Feed follows the store, or a daemon that does. It implements fireflypath.Feed.
+// Feed follows the store directly or through a watcher. It implements fireflypath.Feed.
 //
-// If each daemon watched the store, its calls would grow with the fleet and
-// again with each change: 64 daemons made 230 calls a second. One daemon of each
-// failure domain watches, and tells the others what changed and how old its
-// view is. The age counts from when the question was sent, so that neither the
-// clocks of the hosts nor the time on the way can make a view look younger.
+// If each daemon watched the store, the number of calls would grow with the fleet and with
+// each change: 64 daemons made 230 calls a second. Instead, one daemon of each failure
+// domain watches the store and sends the others the changes and the age of its view. The
+// age counts from when the request was sent, so that neither differences between the
+// clocks of hosts nor network latency can make a view appear newer than it is.
 type Feed struct {
 	store   fireflypath.Feed
 	peers   Peers
 	members fireflypath.Members
 	self    string
 	domain  string
-	// force is the time for a change to be in force everywhere.
-	force time.Duration
-	pace  pace
-	clock clockwork.Clock
-	view  *directory.Directory
-	// avoid holds until when a watcher is not asked; failed is when the store
-	// last did not answer. Both belong to the caller of Follow.
-	avoid   map[string]time.Time
-	failed  time.Time
-	relayed tally.Counter
-	direct  tally.Counter
-	// left counts the watchers that were not asked again for a while.
-	left tally.Counter
-	// fetched counts the bytes of large values that came from watchers.
-	fetched tally.Counter
-	log     *zap.Logger
+	// propagationLimit is the time within which a change must be in force everywhere.
+	propagationLimit time.Duration
+	timing           timing
+	clock            clockwork.Clock
+	view             *directory.Directory
+	// backoffUntil is the time until which a watcher is not called, by name. storeFailedAt
+	// is when the last call to the store failed. Only the goroutine that calls Follow uses
+	// them.
+	backoffUntil  map[string]time.Time
+	storeFailedAt time.Time
+	relayed       tally.Counter
+	direct        tally.Counter
+	// backoffs counts the watchers that were not called again for a while.
+	backoffs tally.Counter
+	// fetchedBytes counts the bytes of large values received from watchers.
+	fetchedBytes tally.Counter
+	log          *zap.Logger
 
-	values *values
-	// chosen is who watched when that was last worked out.
-	chosen atomic.Pointer[chosen]
-	// download is the large value on its way here, or nil. It belongs to the caller
-	// of Follow.
+	versions *versionCache
+	// watcherSet is the last selection of watchers.
+	watcherSet atomic.Pointer[watcherSet]
+	// download is the large value being received, or nil. Only the goroutine that calls
+	// Follow uses it.
 	download *download
 }
 
 var _ fireflypath.Feed = (*Feed)(nil)
 
-// New returns the feed of the daemon of that name and failure domain. A change has
-// to be in force everywhere in the time given as force.
-func New(self, domain string, force time.Duration, store fireflypath.Feed, peers Peers, members fireflypath.Members,
+// New returns the feed of the daemon with the name self in a failure domain. A change must
+// be in force everywhere within propagationLimit.
+func New(self, domain string, propagationLimit time.Duration, store fireflypath.Feed, peers Peers, members fireflypath.Members,
 	clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
 ) *Feed {
 	scope = scope.SubScope("follow")
 	return &Feed{
-		store: store, peers: peers, members: members, self: self, domain: domain, force: force, pace: paceOf(force), clock: clock,
-		avoid:   map[string]time.Time{},
-		relayed: scope.Counter("relayed"), direct: scope.Counter("direct"), left: scope.Counter("left"),
-		fetched: scope.Counter("fetched_bytes"), log: log,
-		values: &values{versions: map[string][]fireflypath.Entry{}},
+		store: store, peers: peers, members: members, self: self, domain: domain, propagationLimit: propagationLimit, timing: newTiming(propagationLimit), clock: clock,
+		backoffUntil: map[string]time.Time{},
+		relayed:      scope.Counter("relayed"), direct: scope.Counter("direct"), backoffs: scope.Counter("left"),
+		fetchedBytes: scope.Counter("fetched_bytes"), log: log,
+		versions: &versionCache{versions: map[string][]fireflypath.Entry{}},
 	}
 }
 
-// Snapshot implements fireflypath.Feed. The first read of a daemon's life goes
-// to the store: it knows no peers yet.
+// Snapshot implements fireflypath.Feed. The first read after a daemon's start goes to the
+// store because the daemon knows no peers yet.
 func (f *Feed) Snapshot(ctx context.Context, prefix string) (fireflypath.Listing, error) {
-	if !f.Watches() {
-		l, err := f.relay(ctx, 0, 0, downloadTime)
+	if !f.IsWatcher() {
+		l, err := f.followWatcher(ctx, 0, 0, maxDownloadTime)
 		if err == nil && !l.Partial {
 			return l, nil
 		}
 	}
 	f.direct.Inc(1)
-	return f.kept(f.store.Snapshot(ctx, prefix))
+	return f.cacheLargeValues(f.store.Snapshot(ctx, prefix))
 }
 
-// Follow implements fireflypath.Feed. If the nearest watcher fails, the store is
-// asked next: another watcher may be cut off together with the first.
+// Follow implements fireflypath.Feed. If the nearest watcher fails, the store is called
+// next, because the other watchers may be unreachable for the same reason.
 func (f *Feed) Follow(ctx context.Context, prefix string, after uint64, wait time.Duration) (fireflypath.Listing, error) {
-	if f.Watches() {
+	if f.IsWatcher() {
 		f.direct.Inc(1)
-		return f.kept(f.store.Follow(ctx, prefix, after, wait))
+		return f.cacheLargeValues(f.store.Follow(ctx, prefix, after, wait))
 	}
-	relayed, err := f.relay(ctx, after, min(wait, f.pace.relay), fetchTime)
-	if usable(err) || ctx.Err() != nil {
+	relayed, err := f.followWatcher(ctx, after, min(wait, f.timing.relayTimeout), maxFetchTime)
+	if isConclusive(err) || ctx.Err() != nil {
 		return relayed, err
 	}
-	if f.young() {
-		return fireflypath.Listing{Partial: true, Entries: relayed.Entries, Pause: youngPause}, nil
+	if f.hasRecentView() {
+		return fireflypath.Listing{Partial: true, Entries: relayed.Entries, Pause: recentViewPause}, nil
 	}
-	if f.clock.Since(f.failed) >= storePause {
+	if f.clock.Since(f.storeFailedAt) >= storeBackoff {
 		f.direct.Inc(1)
 		var l fireflypath.Listing
-		l, err = f.kept(f.store.Follow(ctx, prefix, after, min(wait, f.pace.relay)))
-		if usable(err) {
+		l, err = f.cacheLargeValues(f.store.Follow(ctx, prefix, after, min(wait, f.timing.relayTimeout)))
+		if isConclusive(err) {
 			return l, err
 		}
-		f.failed = f.clock.Now()
+		f.storeFailedAt = f.clock.Now()
 	}
 	if relayed.Partial {
 		return relayed, nil
@@ -147,54 +154,54 @@
 	return fireflypath.Listing{}, err
 }
 
-// young is true while the view is young enough to do without the store.
-func (f *Feed) young() bool {
-	return f.view.Age() <= time.Duration(youngPart*float64(f.force))
+// hasRecentView reports whether the view is recent enough to do without the store.
+func (f *Feed) hasRecentView() bool {
+	return f.view.Age() <= time.Duration(recentViewFraction*float64(f.propagationLimit))
 }
 
-// kept keeps the large values of a listing, as bases for those to come.
-func (f *Feed) kept(l fireflypath.Listing, err error) (fireflypath.Listing, error) {
-	f.values.keep(l.Entries)
+// cacheLargeValues keeps the large values of a listing as bases of later patches.
+func (f *Feed) cacheLargeValues(l fireflypath.Listing, err error) (fireflypath.Listing, error) {
+	f.versions.addLarge(l.Entries)
 	return l, err
 }
 
-// usable is true for an answer that says what to do next.
-func usable(err error) bool {
+// isConclusive reports whether the result of a call determines the next step.
+func isConclusive(err error) bool {
 	return err == nil || errors.Is(err, fireflypath.ErrCompacted)
 }
 
-// relay asks the nearest watcher that did not fail lately. It fetches large values
-// for the given time; if that is not enough, the listing is partial. So it is beside
-// an error if large values do not come or take too long, but the rest came.
-func (f *Feed) relay(ctx context.Context, after uint64, wait, fetch time.Duration) (fireflypath.Listing, error) {
-	now := f.clock.Now()
-	for i, w := range f.watchers() {
-		if i >= maxAsked {
+// followWatcher calls the nearest watcher that is not backed off. It downloads large values
+// for up to fetchTime. If that does not suffice, the listing is partial. The listing is also
+// partial if it comes with an error because large values failed to arrive.
+func (f *Feed) followWatcher(ctx context.Context, after uint64, wait, fetchTime time.Duration) (fireflypath.Listing, error) {
+	startedAt := f.clock.Now()
+	for i, w := range f.currentWatchers() {
+		if i >= maxWatchersTried {
 			break
 		}
-		if now.Before(f.avoid[w.Name]) {
+		if startedAt.Before(f.backoffUntil[w.Name]) {
 			continue
 		}
-		l, larges, err := f.list(ctx, w, after, wait)
+		l, largeValues, err := f.listChanges(ctx, w, after, wait)
 		if err == nil {
-			err = f.complete(ctx, w, &l, larges, fetch)
+			err = f.addLargeValues(ctx, w, &l, largeValues, fetchTime)
 		}
-		if !usable(err) && !errors.Is(err, errSlow) {
-			f.leave(ctx, w, after, f.clock.Since(now), err)
+		if !isConclusive(err) && !errors.Is(err, errDownloadTimeout) {
+			f.backOff(ctx, w, after, f.clock.Since(startedAt), err)
 		}
-		return f.kept(l, err)
+		return f.cacheLargeValues(l, err)
 	}
-	return fireflypath.Listing{}, errOld
+	return fireflypath.Listing{}, errStaleView
 }
 
-// complete adds large values to a listing, or makes it partial.
-func (f *Feed) complete(ctx context.Context, w fireflypath.Member, l *fireflypath.Listing, larges []large, fetch time.Duration) error {
-	end := f.clock.Now().Add(fetch)
-	for _, g := range larges {
-		e, err := f.fetch(ctx, w, g, end)
+// addLargeValues downloads the large values of a listing or marks the listing as partial.
+func (f *Feed) addLargeValues(ctx context.Context, w fireflypath.Member, l *fireflypath.Listing, largeValues []largeValue, fetchTime time.Duration) error {
+	end := f.clock.Now().Add(fetchTime)
+	for _, g := range largeValues {
+		e, err := f.fetchLargeValue(ctx, w, g, end)
 		if err != nil {
 			l.Partial = true
-			if errors.Is(err, errUnfinished) {
+			if errors.Is(err, errIncomplete) {
 				return nil
 			}
 			return err
@@ -204,70 +211,72 @@
 	return nil
 }
 
-// list asks a watcher for what changed, page by page, and for the names of large values.
-func (f *Feed) list(ctx context.Context, w fireflypath.Member, after uint64, wait time.Duration) (fireflypath.Listing, []large, error) {
-	r, err := f.ask(ctx, w, ask{After: after, Wait: wait.Milliseconds(), Parts: true})
+// listChanges asks a watcher for changes page by page and returns the names of the large
+// values among them.
+func (f *Feed) listChanges(ctx context.Context, w fireflypath.Member, after uint64, wait time.Duration) (fireflypath.Listing, []largeValue, error) {
+	response, err := f.callWatcher(ctx, w, followRequest{After: after, WaitMillis: wait.Milliseconds(), FetchesLarge: true})
 	if err != nil {
 		return fireflypath.Listing{}, nil, err
 	}
-	age := time.Duration(r.Age) * time.Millisecond
-	if r.Late && f.waits() {
+	age := time.Duration(response.AgeMillis) * time.Millisecond
+	if response.Receiving && f.canAwaitWatcher() {
 		return fireflypath.Listing{Partial: true}, nil, nil
 	}
-	// An old view that has something new is of use, but not in place of all that this
-	// daemon knows: targets that have left would be back.
-	useless := after == 0 || r.Revision == after
-	if r.Revision < after || age > f.pace.old && useless {
-		return fireflypath.Listing{}, nil, errors.Wrapf(errOld, "%s: %v", w.Name, age)
+	// A stale view with new entries is useful, but it must not replace everything that
+	// this daemon knows: targets that have left would return.
+	nothingNew := after == 0 || response.Revision == after
+	if response.Revision < after || age > f.timing.maxViewAge && nothingNew {
+		return fireflypath.Listing{}, nil, errors.Wrapf(errStaleView, "%s: %v", w.Name, age)
 	}
 	f.relayed.Inc(1)
-	// The first page's revision and age hold for all: what changes later is followed
-	// from there.
-	l := fireflypath.Listing{Entries: r.Entries, Revision: r.Revision, Relayed: true, Age: age, Hold: time.Duration(r.Hold) * time.Millisecond}
-	larges := r.Large
-	for r.More {
-		r, err = f.ask(ctx, w, ask{After: after, Parts: true, Above: r.last()})
+	// The revision and age of the first page hold for all pages. Later changes are
+	// followed from there.
+	l := fireflypath.Listing{Entries: response.Entries, Revision: response.Revision, Relayed: true, Age: age, Hold: time.Duration(response.HoldMillis) * time.Millisecond}
+	largeValues := response.LargeValues
+	for response.HasMore {
+		response, err = f.callWatcher(ctx, w, followRequest{After: after, FetchesLarge: true, PageAfter: response.lastRevision()})
 		if err != nil {
 			return fireflypath.Listing{}, nil, err
 		}
-		l.Entries = append(l.Entries, r.Entries...)
-		larges = append(larges, r.Large...)
+		l.Entries = append(l.Entries, response.Entries...)
+		largeValues = append(largeValues, response.LargeValues...)
 	}
-	return l, larges, nil
+	return l, largeValues, nil
 }
 
-// waits is true while this daemon's view is young enough to ask the watcher once more,
-// and the store after that.
-func (f *Feed) waits() bool {
-	return f.view.Age() <= time.Duration(latePart*float64(f.force))
+// canAwaitWatcher reports whether this daemon's view is recent enough to poll the watcher
+// once more and still read from the store after that.
+func (f *Feed) canAwaitWatcher() bool {
+	return f.view.Age() <= time.Duration(slowWatcherFraction*float64(f.propagationLimit))
 }
 
-// ask makes one call to a watcher.
-func (f *Feed) ask(ctx context.Context, w fireflypath.Member, a ask) (reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(a.Wait)*time.Millisecond+callTime)
+// callWatcher makes one call to a watcher.
+func (f *Feed) callWatcher(ctx context.Context, w fireflypath.Member, a followRequest) (followResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(a.WaitMillis)*time.Millisecond+callTimeout)
 	defer cancel()
-	var r reply
+	var r followResponse
 	if err := f.peers.Call(ctx, w, methodFollow, a, &r); err != nil {
-		return reply{}, errors.Wrapf(err, "follow %s", w.Name)
+		return followResponse{}, errors.Wrapf(err, "follow %s", w.Name)
 	}
 	if r.Compacted {
-		return reply{}, fireflypath.ErrCompacted
+		return followResponse{}, fireflypath.ErrCompacted
 	}
 	return r, nil
 }
 
-// leave has a watcher not asked for a while. The line is what tells a watcher that
-// is cut off from one whose answer did not arrive in time; there is at most one
-// for each watcher and avoidTime.
-func (f *Feed) leave(ctx context.Context, w fireflypath.Member, after uint64, took time.Duration, err error) {
-	f.avoid[w.Name] = f.clock.Now().Add(avoidTime)
+// backOff stops calls to a watcher for watcherBackoff. The log line distinguishes a watcher
+// that is unreachable from one whose response was late. There is at most one line per
+// watcher and watcherBackoff.
+func (f *Feed) backOff(ctx context.Context, w fireflypath.Member, after uint64, took time.Duration, err error) {
+	f.backoffUntil[w.Name] = f.clock.Now().Add(watcherBackoff)
 	if ctx.Err() != nil {
 		return
 	}
-	f.left.Inc(1)
-	f.log.Info("watcher did not bring what changed", zap.String("watcher", w.Name), zap.Uint64("after", after),
+	f.backoffs.Inc(1)
+	f.log.Info("watcher failed to deliver changes", zap.String("watcher", w.Name), zap.Uint64("after", after),
 		zap.Duration("took", took), logs.Cause(err))
 }
 
-// maxAsked bounds the watchers that a daemon tries, one a call.
-const maxAsked = 3
+// maxWatchersTried limits the watchers that one call considers. It calls the first of them
+// that is not backed off.
+const maxWatchersTried = 3
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -20,114 +20,115 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// store holds entries; a watch returns at once.
-type store struct {
-	clock   *clockwork.FakeClock
-	entries []fireflypath.Entry
-	at      uint64
-	err     error
-	calls   int
-	// held is for how long the last watch was to be held.
-	held time.Duration
-	// took is how long an answer to a watch takes; arriving is true while one comes in.
-	took     time.Duration
-	arriving bool
+// fakeStore holds entries. A watch returns at once.
+type fakeStore struct {
+	clock    *clockwork.FakeClock
+	entries  []fireflypath.Entry
+	revision uint64
+	err      error
+	calls    int
+	// lastWait is the wait of the last watch.
+	lastWait time.Duration
+	// responseTime is how long a watch takes. arriving is true while a response is being
+	// received.
+	responseTime time.Duration
+	arriving     bool
 }
 
-func (s *store) Arriving(time.Duration) bool { return s.arriving }
+func (s *fakeStore) Arriving(time.Duration) bool { return s.arriving }
 
-func (s *store) Snapshot(context.Context, string) (fireflypath.Listing, error) {
+func (s *fakeStore) Snapshot(context.Context, string) (fireflypath.Listing, error) {
 	s.calls++
-	return fireflypath.Listing{Entries: s.entries, Revision: s.at}, s.err
+	return fireflypath.Listing{Entries: s.entries, Revision: s.revision}, s.err
 }
 
-func (s *store) Follow(_ context.Context, _ string, after uint64, wait time.Duration) (fireflypath.Listing, error) {
+func (s *fakeStore) Follow(_ context.Context, _ string, after uint64, wait time.Duration) (fireflypath.Listing, error) {
 	s.calls++
-	s.held = wait
-	s.clock.Advance(s.took)
+	s.lastWait = wait
+	s.clock.Advance(s.responseTime)
 	var l fireflypath.Listing
 	for _, e := range s.entries {
 		if e.Revision > after {
 			l.Entries = append(l.Entries, e)
 		}
 	}
-	l.Revision = s.at
+	l.Revision = s.revision
 	return l, s.err
 }
 
-func (s *store) put(name string) {
-	s.at++
-	s.entries = append(s.entries, fireflypath.Entry{Key: "targets/" + name, Value: []byte(`{"pool":"p"}`), Revision: s.at})
+func (s *fakeStore) putTarget(name string) {
+	s.revision++
+	s.entries = append(s.entries, fireflypath.Entry{Key: "targets/" + name, Value: []byte(`{"pool":"p"}`), Revision: s.revision})
 }
 
-// network joins the feeds of several daemons; cut ones are not reached.
-type network struct {
+// fakeNetwork connects the feeds of several daemons, except for the disconnected ones.
+type fakeNetwork struct {
 	clock *clockwork.FakeClock
-	// methods are those of each daemon by name.
-	methods map[string]map[string]peer.Method
-	cut     map[string]bool
-	// rate is what each daemon's link carries, in bytes a second; 0 is no bound.
-	rate float64
-	// largest is the largest message that daemons take, in bytes.
-	largest int
-	// carried counts the bytes to each daemon.
-	carried map[string]int
-	// busy is until when a daemon's link carries what was sent to it before.
-	busy map[string]time.Time
+	// methods holds the handlers of each daemon, by daemon and method.
+	methods      map[string]map[string]peer.Method
+	disconnected map[string]bool
+	// bandwidth is that of each daemon's link in bytes a second. 0 means unlimited.
+	bandwidth float64
+	// maxMessageSize is the size of the largest message that daemons accept, in bytes.
+	maxMessageSize int
+	// bytesTo counts the bytes sent to each daemon.
+	bytesTo map[string]int
+	// busyUntil is when the link of a daemon has carried what was sent to it before.
+	busyUntil map[string]time.Time
 }
 
-// deliver takes the time that the bytes need on the link of a daemon. Bytes that
-// nobody waits for any more use the link like all others. The call was made with the
-// given patience; what the other end took to answer is none of the link's time, and
-// a busy machine would else decide the test.
-func (n *network) deliver(patience time.Duration, to string, bytes int) error {
-	if bytes > n.largest {
+// deliver advances the clock by the time that the bytes need on the link of a daemon. Bytes
+// that nobody waits for any longer use the link too. timeout is the time left when the call
+// was made: the time that the handler took is not counted, as a busy machine would otherwise
+// decide the result of the test.
+func (n *fakeNetwork) deliver(timeout time.Duration, to string, bytes int) error {
+	if bytes > n.maxMessageSize {
 		return peer.ErrUnreachable
 	}
-	n.carried[to] += bytes
-	if n.rate == 0 {
+	n.bytesTo[to] += bytes
+	if n.bandwidth == 0 {
 		return nil
 	}
 	now := n.clock.Now()
-	end := n.busy[to]
+	end := n.busyUntil[to]
 	if end.Before(now) {
 		end = now
 	}
-	end = end.Add(time.Duration(float64(bytes) / n.rate * float64(time.Second)))
-	n.busy[to] = end
-	if patience < end.Sub(now) {
-		n.clock.Advance(patience)
+	end = end.Add(time.Duration(float64(bytes) / n.bandwidth * float64(time.Second)))
+	n.busyUntil[to] = end
+	if timeout < end.Sub(now) {
+		n.clock.Advance(timeout)
 		return context.DeadlineExceeded
 	}
 	n.clock.Advance(end.Sub(now))
 	return nil
 }
 
-type port struct {
-	n    *network
-	name string
+type fakeEndpoint struct {
+	network *fakeNetwork
+	name    string
 }
 
-func (p port) Handle(method string, m peer.Method) {
-	if p.n.methods[p.name] == nil {
-		p.n.methods[p.name] = map[string]peer.Method{}
+func (p fakeEndpoint) Handle(method string, m peer.Method) {
+	if p.network.methods[p.name] == nil {
+		p.network.methods[p.name] = map[string]peer.Method{}
 	}
-	p.n.methods[p.name][method] = m
+	p.network.methods[p.name][method] = m
 }
 
-func (p port) Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error {
-	patience := time.Hour
+func (p fakeEndpoint) Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error {
+	timeout := time.Hour
 	if deadline, ok := ctx.Deadline(); ok {
-		patience = time.Until(deadline)
+		timeout = time.Until(deadline)
 	}
-	if p.n.cut[to.Name] {
+	if p.network.disconnected[to.Name] {
 		return peer.ErrUnreachable
 	}
 	b, err := json.Marshal(params)
 	if err != nil {
 		return err
 	}
-	out, err := p.n.methods[to.Name][method](ctx, p.name, b)
+	out, err := p.network.methods[to.Name][method](ctx, p.name, b)
 	if err != nil {
 		return err
 	}
@@ -135,24 +136,24 @@
 	if err != nil {
 		return err
 	}
-	if err := p.n.deliver(patience, p.name, len(b)); err != nil {
+	if err := p.network.deliver(timeout, p.name, len(b)); err != nil {
 		return err
 	}
 	return json.Unmarshal(b, result)
 }
 
-type members []fireflypath.Member
+type staticMembers []fireflypath.Member
 
-func (m members) Live() []fireflypath.Member { return m }
+func (m staticMembers) Live() []fireflypath.Member { return m }
 
 type daemon struct {
 	name  string
-	store *store
+	store *fakeStore
 	feed  *follow.Feed
 	view  *directory.Directory
 }
 
-func (d *daemon) targets() string {
+func (d *daemon) targetNames() string {
 	var out []string
 	for _, t := range d.view.Current().Targets {
 		out = append(out, t.Name)
@@ -160,33 +161,33 @@
 	return strings.Join(out, " ")
 }
 
-// fleet makes three daemons of one domain.
-func fleet(t *testing.T) ([]*daemon, *network, *clockwork.FakeClock) {
+// newDaemons returns three daemons of one failure domain.
+func newDaemons(t *testing.T) ([]*daemon, *fakeNetwork, *clockwork.FakeClock) {
 	t.Helper()
-	return group(t, members{{Name: "a", Domain: "x"}, {Name: "b", Domain: "x"}, {Name: "c", Domain: "x"}})
+	return newDaemonsOf(t, staticMembers{{Name: "a", Domain: "x"}, {Name: "b", Domain: "x"}, {Name: "c", Domain: "x"}})
 }
 
-// group makes daemons that know each other; each has its own way to the store.
-func group(t *testing.T, ms members) ([]*daemon, *network, *clockwork.FakeClock) {
+// newDaemonsOf returns daemons that know each other. Each has its own access to the store.
+func newDaemonsOf(t *testing.T, ms staticMembers) ([]*daemon, *fakeNetwork, *clockwork.FakeClock) {
 	t.Helper()
-	return groupIn(t, ms, slowForce)
+	return newDaemonsWithLimit(t, ms, slowLinkLimit)
 }
 
-// groupIn makes them where a change has the given time to be in force.
-func groupIn(t *testing.T, ms members, force time.Duration) ([]*daemon, *network, *clockwork.FakeClock) {
+// newDaemonsWithLimit returns daemons with the given propagation limit.
+func newDaemonsWithLimit(t *testing.T, ms staticMembers, propagationLimit time.Duration) ([]*daemon, *fakeNetwork, *clockwork.FakeClock) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	n := &network{
-		clock: clock, methods: map[string]map[string]peer.Method{}, cut: map[string]bool{},
-		largest: 1 << 20, carried: map[string]int{}, busy: map[string]time.Time{},
+	n := &fakeNetwork{
+		clock: clock, methods: map[string]map[string]peer.Method{}, disconnected: map[string]bool{},
+		maxMessageSize: 1 << 20, bytesTo: map[string]int{}, busyUntil: map[string]time.Time{},
 	}
-	shared := &store{clock: clock, at: 5}
-	shared.put("t1")
+	shared := &fakeStore{clock: clock, revision: 5}
+	shared.putTarget("t1")
 	var ds []*daemon
 	for _, m := range ms {
 		own := *shared
 		d := &daemon{name: m.Name, store: &own}
-		d.feed = follow.New(m.Name, m.Domain, force, d.store, port{n, m.Name}, ms, clock, tally.NoopScope, zap.NewNop())
+		d.feed = follow.New(m.Name, m.Domain, propagationLimit, d.store, fakeEndpoint{n, m.Name}, ms, clock, tally.NoopScope, zap.NewNop())
 		d.view = directory.New(d.feed, testkit.Codec{}, clock, &testkit.Boot{Clock: clock}, tally.NoopScope, zap.NewNop())
 		d.feed.Serve(d.view)
 		ds = append(ds, d)
@@ -194,137 +195,137 @@
 	return ds, n, clock
 }
 
-// Two of three daemons never ask the store while the third watches it, and they
-// learn what changed and how old it is.
-func TestFollowersAskTheWatcher(t *testing.T) {
+// While one of three daemons watches the store, the two others never call the store and
+// still learn the changes and the age of the view.
+func TestFollowersReadFromWatcher(t *testing.T) {
 	is := is.New(t)
-	ds, n, clock := fleet(t)
-	watcher, rest := split(t, ds)
+	ds, n, clock := newDaemons(t)
+	watcher, followers := findWatcher(t, ds)
 	is.NoErr(watcher.view.Step(t.Context()))
-	for _, d := range rest {
-		d.store.err = errors.New("not to be asked")
-		n.cut[d.name] = true
+	for _, d := range followers {
+		d.store.err = errors.New("must not be called")
+		n.disconnected[d.name] = true
 	}
-	for _, d := range rest {
+	for _, d := range followers {
 		is.NoErr(d.view.Step(t.Context()))
-		is.Equal(d.targets(), "t1")
+		is.Equal(d.targetNames(), "t1")
 	}
-	watcher.store.put("t2")
+	watcher.store.putTarget("t2")
 	is.NoErr(watcher.view.Step(t.Context()))
-	for _, d := range rest {
+	for _, d := range followers {
 		is.NoErr(d.view.Step(t.Context()))
-		is.Equal(d.targets(), "t1 t2")
+		is.Equal(d.targetNames(), "t1 t2")
 	}
 	clock.Advance(200 * time.Millisecond)
-	before := rest[0].view.Age()
-	watcher.store.put("t3")
+	before := followers[0].view.Age()
+	watcher.store.putTarget("t3")
 	is.NoErr(watcher.view.Step(t.Context()))
-	is.NoErr(rest[0].view.Step(t.Context()))
-	is.True(rest[0].view.Age() < before)
-	is.True(rest[0].view.Age() >= watcher.view.Age())
+	is.NoErr(followers[0].view.Step(t.Context()))
+	is.True(followers[0].view.Age() < before)
+	is.True(followers[0].view.Age() >= watcher.view.Age())
 }
 
-// The watcher is cut off from the store and does not know it yet. Its followers
-// must not take its view for young: a key that was taken away would live on.
-func TestOldViewOfAWatcherIsLeft(t *testing.T) {
+// The watcher is cut off from the store without having noticed it. Its followers must not
+// take its view for recent, or a revoked key would stay valid.
+func TestStaleWatcherViewIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	ds, _, clock := fleet(t)
-	watcher, rest := split(t, ds)
+	ds, _, clock := newDaemons(t)
+	watcher, followers := findWatcher(t, ds)
 	is.NoErr(watcher.view.Step(t.Context()))
-	d := rest[0]
+	d := followers[0]
 	is.NoErr(d.view.Step(t.Context()))
 	clock.Advance(3 * time.Second)
 	calls := d.store.calls
-	d.store.put("t2")
+	d.store.putTarget("t2")
 	is.NoErr(d.view.Step(t.Context()))
-	is.True(d.store.calls > calls) // asked the store itself
-	is.Equal(d.targets(), "t1 t2")
+	is.True(d.store.calls > calls) // read from the store
+	is.Equal(d.targetNames(), "t1 t2")
 }
 
-// split finds the watcher.
-func split(t *testing.T, ds []*daemon) (*daemon, []*daemon) {
+// findWatcher returns the watcher and the two other daemons.
+func findWatcher(t *testing.T, ds []*daemon) (*daemon, []*daemon) {
 	t.Helper()
 	var watcher *daemon
-	var rest []*daemon
+	var followers []*daemon
 	for _, d := range ds {
-		if d.feed.Watches() {
+		if d.feed.IsWatcher() {
 			watcher = d
 			continue
 		}
-		rest = append(rest, d)
+		followers = append(followers, d)
 	}
-	if watcher == nil || len(rest) != 2 {
-		t.Fatal("not one daemon watches")
+	if watcher == nil || len(followers) != 2 {
+		t.Fatal("not exactly one daemon is a watcher")
 	}
-	return watcher, rest
+	return watcher, followers
 }
 
-// pair makes a group and gives the daemon that watches and one that follows it,
-// both with all that there is.
-func pair(t *testing.T) (watcher, d *daemon, n *network, clock *clockwork.FakeClock) {
+// newWatcherAndFollower returns a watcher and one of its followers, both with a current
+// view.
+func newWatcherAndFollower(t *testing.T) (watcher, follower *daemon, n *fakeNetwork, clock *clockwork.FakeClock) {
 	t.Helper()
-	ds, n, clock := fleet(t)
-	watcher, rest := split(t, ds)
-	for _, o := range []*daemon{watcher, rest[0]} {
+	ds, n, clock := newDaemons(t)
+	watcher, followers := findWatcher(t, ds)
+	for _, o := range []*daemon{watcher, followers[0]} {
 		if err := o.view.Step(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return watcher, rest[0], n, clock
+	return watcher, followers[0], n, clock
 }
 
-// All daemons start at once and do not know each other yet: most take the wrong one
-// for the watcher, which refuses. Each of them asked the store instead, several times
-// in its first second, and the store turned calls away while all machines came back.
-func TestYoungViewNeedsNoStore(t *testing.T) {
+// Daemons that start at once do not know each other yet, and most take the wrong one for
+// the watcher, which refuses them. When each of them then read from the store several times
+// in its first second, the store refused calls while the whole fleet restarted.
+func TestRecentViewDoesNotReadFromStore(t *testing.T) {
 	is := is.New(t)
-	watcher, d, n, clock := pair(t)
-	n.cut[watcher.name] = true
+	watcher, d, n, clock := newWatcherAndFollower(t)
+	n.disconnected[watcher.name] = true
 	calls := d.store.calls
-	d.store.put("t2")
+	d.store.putTarget("t2")
 	is.NoErr(d.view.Step(t.Context()))
 	is.Equal(d.store.calls, calls)
-	clock.Advance(slowForce / 3)
+	clock.Advance(slowLinkLimit / 3)
 	is.NoErr(d.view.Step(t.Context()))
 	is.Equal(d.store.calls, calls+1)
-	is.Equal(d.targets(), "t1 t2")
+	is.Equal(d.targetNames(), "t1 t2")
 }
 
-// storeAnswer is what the store's own answer may take on a slow link, if it is large.
-const storeAnswer = 850 * time.Millisecond
+// slowStoreResponse is how long a large response of the store may take on a slow link.
+const slowStoreResponse = 850 * time.Millisecond
 
-// The watcher was cut off from the store just before a change. However long the time
-// for a change is, and however long watches are held for it, a follower finds out and
-// has the change from the store in time, also where that takes long to send it.
-func TestChangeIsInTimeThoughTheWatcherWasCutOff(t *testing.T) {
-	for force, held := range map[time.Duration]time.Duration{
+// The watcher was cut off from the store just before a change. For every propagation limit
+// and its watch timeout, a follower must notice that and read the change from the store in
+// time, even if the store's response is slow.
+func TestChangeAppliesInTimeIfWatcherLosesStore(t *testing.T) {
+	for propagationLimit, watchTimeout := range map[time.Duration]time.Duration{
 		2 * time.Second: 750 * time.Millisecond,
 		3 * time.Second: 750 * time.Millisecond,
 		4 * time.Second: 1500 * time.Millisecond,
 		9 * time.Second: 1500 * time.Millisecond,
 	} {
-		t.Run(force.String(), func(t *testing.T) {
+		t.Run(propagationLimit.String(), func(t *testing.T) {
 			is := is.New(t)
-			ds, _, clock := groupIn(t, members{{Name: "a", Domain: "x"}, {Name: "b", Domain: "x"}, {Name: "c", Domain: "x"}}, force)
-			watcher, rest := split(t, ds)
-			d := rest[0]
+			ds, _, clock := newDaemonsWithLimit(t, staticMembers{{Name: "a", Domain: "x"}, {Name: "b", Domain: "x"}, {Name: "c", Domain: "x"}}, propagationLimit)
+			watcher, followers := findWatcher(t, ds)
+			d := followers[0]
 			is.NoErr(watcher.view.Step(t.Context()))
 			is.NoErr(watcher.view.Step(t.Context()))
-			is.Equal(watcher.store.held, held)
+			is.Equal(watcher.store.lastWait, watchTimeout)
 			is.NoErr(d.view.Step(t.Context()))
 			start := clock.Now()
-			d.store.put("t2")
-			for d.targets() != "t1 t2" && clock.Since(start) < time.Minute {
-				is.NoErr(waited(t, clock, d))
+			d.store.putTarget("t2")
+			for d.targetNames() != "t1 t2" && clock.Since(start) < time.Minute {
+				is.NoErr(stepWhileAdvancing(t, clock, d))
 				clock.Advance(5 * time.Millisecond)
 			}
-			is.True(clock.Since(start) <= force-storeAnswer)
+			is.True(clock.Since(start) <= propagationLimit-slowStoreResponse)
 		})
 	}
 }
 
-// waited makes a step; while its answer is held back, time passes.
-func waited(t *testing.T, clock *clockwork.FakeClock, d *daemon) error {
+// stepWhileAdvancing makes a step and advances the clock while the response is held.
+func stepWhileAdvancing(t *testing.T, clock *clockwork.FakeClock, d *daemon) error {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() { done <- d.view.Step(t.Context()) }()
--- a/internal/follow/message.go
+++ b/internal/follow/message.go
@@ -8,66 +8,67 @@
 )
 
 const (
-	// inlineSize is the largest value that an answer carries, in bytes. Registrations
-	// of targets have some hundred; only the configuration is larger.
-	inlineSize = 8 << 10
-	// pageSize bounds the entries of one answer, in bytes of their values and keys. In
-	// the form that they are sent in they take 45 KB at most, 36 ms on 10 Mbit/s; those
-	// of 2,700 targets together would take a second there.
-	pageSize = 32 << 10
-	// partSize is how much of a patch one answer carries, in bytes: 18 ms on 10 Mbit/s
-	// in the form that it is sent in, so that heartbeats and placements on the same
-	// connection are not held up.
+	// maxInlineSize is the size in bytes of the largest value that a response contains.
+	// Registrations of targets have a few hundred bytes. Only the configuration is larger.
+	maxInlineSize = 8 << 10
+	// maxPageSize limits the keys and values in one response, in bytes. Encoded, a page
+	// takes at most 45 KB, which is 36 ms on 10 Mbit/s. The registrations of 2,700 targets
+	// would take a second there if they were sent at once.
+	maxPageSize = 32 << 10
+	// partSize is the number of bytes of a patch in one response. Encoded, a part takes
+	// 18 ms on 10 Mbit/s, so that heartbeats and placements on the same connection are not
+	// delayed.
 	partSize = 16 << 10
 )
 
-// ask is what a daemon asks a watcher.
-type ask struct {
-	// After is the revision of the asker's view; 0 asks for everything.
+// followRequest asks a watcher for changes.
+type followRequest struct {
+	// After is the revision of the requester's view. 0 asks for all entries.
 	After uint64 `json:"a"`
-	// Wait is how long the answer may be held back, in milliseconds.
-	Wait int64 `json:"w"`
-	// Parts is true if the asker fetches large values by itself. One that does not
-	// know of them would take a listing without them for whole.
-	Parts bool `json:"p,omitempty"`
-	// Above asks for the next page: the revision of the last entry had.
-	Above uint64 `json:"b,omitempty"`
+	// WaitMillis is how long the watcher may hold the call, in milliseconds.
+	WaitMillis int64 `json:"w"`
+	// FetchesLarge is true if the requester downloads large values separately. An older
+	// requester that does not would take a listing without them as complete.
+	FetchesLarge bool `json:"p,omitempty"`
+	// PageAfter asks for the next page: the revision of the last entry received.
+	PageAfter uint64 `json:"b,omitempty"`
 }
 
-// reply is a watcher's answer.
-type reply struct {
+// followResponse is a watcher's response to a followRequest.
+type followResponse struct {
 	Entries  []fireflypath.Entry `json:"e,omitempty"`
 	Revision uint64              `json:"r"`
-	// Large are entries whose values are fetched by themselves.
-	Large []large `json:"l,omitempty"`
-	// More is true if there is another page.
-	More bool `json:"m,omitempty"`
-	// Late is true if the view is old because a large answer of the store is on its
-	// way to the watcher.
-	Late bool `json:"t,omitempty"`
-	// Age of the view and the time for which removals may be lapses, in milliseconds.
-	Age  int64 `json:"a"`
-	Hold int64 `json:"h,omitempty"`
-	// Compacted is true if the changes since After are not known.
+	// LargeValues names the entries whose values are downloaded separately.
+	LargeValues []largeValue `json:"l,omitempty"`
+	// HasMore is true if there is another page.
+	HasMore bool `json:"m,omitempty"`
+	// Receiving is true if the view is old because the watcher is still receiving a large
+	// response from the store.
+	Receiving bool `json:"t,omitempty"`
+	// AgeMillis is the age of the view. HoldMillis is how long removals may be lapsed
+	// registrations. Both are in milliseconds.
+	AgeMillis  int64 `json:"a"`
+	HoldMillis int64 `json:"h,omitempty"`
+	// Compacted is true if the changes since After are no longer known.
 	Compacted bool `json:"c,omitempty"`
 }
 
-// fill adds the entries above a revision, in their order, up to a page's size.
-// Entries written together have one revision and stay on one page.
-func (r *reply) fill(entries []fireflypath.Entry, above uint64) {
+// addPage adds the entries above a revision, in order of revision, up to the size of a
+// page. Entries written together share a revision and stay on one page.
+func (r *followResponse) addPage(entries []fireflypath.Entry, above uint64) {
 	bytes := 0
 	last := above
 	for _, e := range entries {
 		if e.Revision <= above {
 			continue
 		}
-		if bytes > pageSize && e.Revision > last {
-			r.More = true
+		if bytes > maxPageSize && e.Revision > last {
+			r.HasMore = true
 			return
 		}
 		last = e.Revision
-		if len(e.Value) > inlineSize {
-			r.Large = append(r.Large, large{Key: e.Key, Revision: e.Revision})
+		if len(e.Value) > maxInlineSize {
+			r.LargeValues = append(r.LargeValues, largeValue{Key: e.Key, Revision: e.Revision})
 			bytes += len(e.Key)
 			continue
 		}
@@ -76,40 +77,40 @@
 	}
 }
 
-// last is the highest revision on the page.
-func (r *reply) last() uint64 {
+// lastRevision returns the highest revision on the page.
+func (r *followResponse) lastRevision() uint64 {
 	var last uint64
 	for _, e := range r.Entries {
 		last = max(last, e.Revision)
 	}
-	for _, l := range r.Large {
+	for _, l := range r.LargeValues {
 		last = max(last, l.Revision)
 	}
 	return last
 }
 
-// large names a value that no answer carries whole.
-type large struct {
+// largeValue identifies a value that is downloaded in parts.
+type largeValue struct {
 	Key      string `json:"k"`
 	Revision uint64 `json:"r"`
 }
 
-// askPart asks for a part of a large value's patch.
-type askPart struct {
-	large
-	// Base is the revision of the value that the asker has under the key; 0 is none.
+// partRequest asks for a part of the patch of a large value.
+type partRequest struct {
+	largeValue
+	// Base is the revision that the requester has under the key, or 0 if it has none.
 	Base uint64 `json:"b,omitempty"`
-	// Offset is where the part begins, in bytes of the patch.
+	// Offset is the position of the part in the patch, in bytes.
 	Offset int `json:"o"`
 }
 
-// part is a piece of a patch.
-type part struct {
-	// Base is the revision that the patch builds on; 0 if it stands by itself.
+// partResponse is a part of a patch.
+type partResponse struct {
+	// Base is the revision that the patch is based on, or 0 if it needs no base.
 	Base uint64 `json:"b,omitempty"`
-	// Size is that of the whole patch in bytes, Sum its hash. Parts with the same sum
-	// belong together, whoever sent them.
-	Size int    `json:"s"`
-	Sum  uint64 `json:"h"`
-	Data []byte `json:"d"`
+	// PatchSize is the size of the whole patch in bytes and PatchHash its hash. Parts with
+	// the same hash belong to the same patch, whichever watcher sent them.
+	PatchSize int    `json:"s"`
+	PatchHash uint64 `json:"h"`
+	Data      []byte `json:"d"`
 }
--- a/internal/follow/serve.go
+++ b/internal/follow/serve.go
@@ -11,80 +11,81 @@
 	"github.com/fireflypath/fireflypath/internal/directory"
 )
 
-// Serve answers other daemons from the view. It is called before the endpoint serves.
+// Serve registers the handlers that serve the view to other daemons. It must be called
+// before the endpoint serves.
 func (f *Feed) Serve(view *directory.Directory) {
 	f.view = view
-	view.Hold(f.pace.watch)
-	f.peers.Handle(methodFollow, f.answer)
-	f.peers.Handle(methodPart, f.answerPart)
+	view.Hold(f.timing.watchTimeout)
+	f.peers.Handle(methodFollow, f.handleFollow)
+	f.peers.Handle(methodPart, f.handlePart)
 }
 
-// answer serves a daemon that follows this one.
-func (f *Feed) answer(ctx context.Context, _ string, params json.RawMessage) (any, error) {
-	var a ask
+// handleFollow responds to a follower.
+func (f *Feed) handleFollow(ctx context.Context, _ string, params json.RawMessage) (any, error) {
+	var a followRequest
 	if err := json.Unmarshal(params, &a); err != nil {
 		return nil, errors.Wrap(err, "decode follow")
 	}
-	if !f.Watches() && a.Wait > 0 {
-		// Two daemons that take each other for the watcher would tell each other
-		// old news for ever.
+	if !f.IsWatcher() && a.WaitMillis > 0 {
+		// Otherwise, two daemons that each take the other for the watcher would send
+		// each other stale views forever.
 		return nil, errors.New("this daemon does not watch")
 	}
-	wait := time.Duration(a.Wait) * time.Millisecond
+	wait := time.Duration(a.WaitMillis) * time.Millisecond
 	end := f.clock.Now().Add(wait)
-	l, err := f.view.Since(ctx, a.After, wait, f.pace.old)
-	if err == nil && f.late(a, l) {
-		l, err = f.view.Since(ctx, a.After, end.Sub(f.clock.Now()), unlimited)
+	l, err := f.view.Since(ctx, a.After, wait, f.timing.maxViewAge)
+	if err == nil && f.isReceiving(a, l) {
+		l, err = f.view.Since(ctx, a.After, end.Sub(f.clock.Now()), unlimitedAge)
 	}
 	if errors.Is(err, fireflypath.ErrCompacted) {
-		return reply{Compacted: true}, nil
+		return followResponse{Compacted: true}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	r := reply{
-		Revision: l.Revision, Late: f.late(a, l),
-		Age: l.Age.Milliseconds() + 1, Hold: l.Hold.Milliseconds(),
+	r := followResponse{
+		Revision: l.Revision, Receiving: f.isReceiving(a, l),
+		AgeMillis: l.Age.Milliseconds() + 1, HoldMillis: l.Hold.Milliseconds(),
 	}
-	if a.Parts {
-		r.fill(l.Entries, a.Above)
+	if a.FetchesLarge {
+		r.addPage(l.Entries, a.PageAfter)
 	} else {
 		r.Entries = l.Entries
 	}
 	return r, nil
 }
 
-// late is true if there is nothing new for a follower because the store's answer
-// takes long on its way here, not because this daemon is cut off.
+// isReceiving reports whether there is nothing new for a follower because the store's
+// response is still being received, not because this daemon is cut off.
 //
-// A configuration of a megabyte takes a second to reach a watcher with a link of
-// 10 Mbit/s, and its view is too old meanwhile. Its followers would all read the same
-// megabyte from the store, each over a link of its own that is as slow, where a
-// hundredth of it brings them the change from here a moment later. With 64 daemons, 56
-// of them on such links, and five changes of 0.3 to 0.8 MB in 28 s, followers read the
-// store 309 times for that reason without this and never with it; all calls to the
-// store fell from 1,482 to 1,026.
-func (f *Feed) late(a ask, l fireflypath.Listing) bool {
-	if !a.Parts || a.Wait == 0 || l.Age < f.pace.old || l.Revision > a.After {
+// A configuration of a megabyte takes a second to reach a watcher with a link of 10 Mbit/s,
+// and the watcher's view is too old meanwhile. Without this, all its followers would read
+// the same megabyte from the store, each over a link that is as slow, although a patch of a
+// hundredth of that size would bring them the change a moment later. With 64 daemons, 56 of
+// them on such links, and five changes of 0.3 to 0.8 MB in 28 s, followers read from the
+// store for that reason 309 times without this and never with it. All calls to the store
+// fell from 1,482 to 1,026.
+func (f *Feed) isReceiving(a followRequest, l fireflypath.Listing) bool {
+	if !a.FetchesLarge || a.WaitMillis == 0 || l.Age < f.timing.maxViewAge || l.Revision > a.After {
 		return false
 	}
 	s, ok := f.store.(fireflypath.Arrivals)
-	return ok && s.Arriving(f.pace.arrived)
+	return ok && s.Arriving(f.timing.maxArrivalAge)
 }
 
-// answerPart gives a part of a large value.
-func (f *Feed) answerPart(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var a askPart
+// handlePart responds with a part of a large value.
+func (f *Feed) handlePart(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var a partRequest
 	if err := json.Unmarshal(params, &a); err != nil {
 		return nil, errors.Wrap(err, "decode a part's request")
 	}
-	m, err := f.values.patch(a.large, a.Base)
+	m, err := f.versions.patch(a.largeValue, a.Base)
 	if err != nil {
 		return nil, err
 	}
 	if a.Offset < 0 || a.Offset > len(m.data) {
-		a.Offset = 0 // the asker has parts of another patch; the sum tells it
+		a.Offset = 0 // the requester has parts of a different patch and sees that from the hash
 	}
 	data := m.data[a.Offset:min(a.Offset+partSize, len(m.data))]
-	return part{Base: m.base, Size: len(m.data), Sum: m.sum, Data: data}, nil
+	return partResponse{Base: m.base, PatchSize: len(m.data), PatchHash: m.hash, Data: data}, nil
 }
--- a/internal/follow/slow_link_test.go
+++ b/internal/follow/slow_link_test.go
@@ -14,16 +14,16 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// slowForce is the time that a change has in a fleet with slow links.
-const slowForce = 3 * time.Second
+// slowLinkLimit is the propagation limit in a fleet with slow links.
+const slowLinkLimit = 3 * time.Second
 
-// inForce is the time that a change may take to be in force everywhere.
-const inForce = 2 * time.Second
+// defaultLimit is the propagation limit in other fleets.
+const defaultLimit = 2 * time.Second
 
-// slowLink is 10 Mbit/s, what small entry hosts have, in bytes a second.
+// slowLink is 10 Mbit/s in bytes a second, the bandwidth of small entry hosts.
 const slowLink = 10e6 / 8
 
-// configuration makes one with so many routes, about 180 bytes each.
+// configuration returns a configuration with a number of routes of about 180 bytes each.
 func configuration(t *testing.T, version uint64, routes int) []byte {
 	t.Helper()
 	cfg := fireflypath.Config{Version: version}
@@ -42,14 +42,14 @@
 	return b
 }
 
-func (s *store) configure(value []byte) {
-	s.at++
-	s.entries = append(s.entries, fireflypath.Entry{Key: "config", Value: value, Revision: s.at})
+func (s *fakeStore) putConfiguration(value []byte) {
+	s.revision++
+	s.entries = append(s.entries, fireflypath.Entry{Key: "config", Value: value, Revision: s.revision})
 }
 
-// until steps a daemon, and the one that watches, until the first has the version,
-// and tells how long that took; it gives up after a minute.
-func until(t *testing.T, n *network, watcher, d *daemon, version uint64) time.Duration {
+// stepUntilVersion steps a daemon and its watcher until the daemon has a version of the
+// configuration, and returns how long that took. It gives up after a minute.
+func stepUntilVersion(t *testing.T, n *fakeNetwork, watcher, d *daemon, version uint64) time.Duration {
 	t.Helper()
 	start := n.clock.Now()
 	for d.view.Current().Version != version && n.clock.Since(start) < time.Minute {
@@ -63,40 +63,39 @@
 	return n.clock.Since(start)
 }
 
-// An operator adds some thousand routes. The daemon that watches the store has a
-// fast link and the configuration at once; the others have slow links, on which
-// the whole of it takes longer than a daemon waited for any answer. Each attempt
-// was given up near its end and the next one began anew behind the bytes of the
-// last, so none ever succeeded: for as long as the configuration was large, these
-// daemons routed by the one before and then lost their readiness. The store cannot
-// help; to its followers' links it is as large. What showed the cause was a link
-// that was full all the time beside a configuration whose age only rose.
+// An operator adds some thousand routes. The watcher has a fast link, but its followers have
+// slow links, on which the whole configuration takes longer than the timeout of a call. Each
+// attempt timed out near its end, and the next one started over behind the bytes of the one
+// before, so that none succeeded. As long as the configuration was large, these daemons used
+// the one before and then were no longer ready. Reading from the store does not help because
+// it uses the same links. The symptom was a saturated link and a configuration whose age
+// kept rising.
 func TestLargeConfigurationReachesSlowLinks(t *testing.T) {
 	is := is.New(t)
-	ds, n, _ := fleet(t)
-	n.rate = slowLink
-	watcher, rest := split(t, ds)
-	watcher.store.configure(configuration(t, 1, 40))
+	ds, n, _ := newDaemons(t)
+	n.bandwidth = slowLink
+	watcher, followers := findWatcher(t, ds)
+	watcher.store.putConfiguration(configuration(t, 1, 40))
 	is.NoErr(watcher.view.Step(t.Context()))
-	for _, d := range rest {
-		d.store.err = errors.New("answer does not come in time")
-		is.True(until(t, n, watcher, d, 1) < inForce)
+	for _, d := range followers {
+		d.store.err = errors.New("response does not arrive in time")
+		is.True(stepUntilVersion(t, n, watcher, d, 1) < defaultLimit)
 	}
 	for i, routes := range []int{1400, 2800, 4200, 5600} {
 		version := uint64(i + 2)
-		watcher.store.configure(configuration(t, version, routes))
+		watcher.store.putConfiguration(configuration(t, version, routes))
 		is.NoErr(watcher.view.Step(t.Context()))
-		for _, d := range rest {
-			took := until(t, n, watcher, d, version)
+		for _, d := range followers {
+			took := stepUntilVersion(t, n, watcher, d, version)
 			t.Logf("%d routes: %v", routes, took)
-			is.True(took < inForce)
+			is.True(took < defaultLimit)
 			is.Equal(len(d.view.Current().Routes), routes)
 		}
 	}
 }
 
-// randomTeams is a configuration whose keys are random, so that it cannot be made
-// small: some 30 bytes a team remain.
+// randomTeams returns a configuration with random keys, which compresses to some 30 bytes a
+// team at best.
 func randomTeams(t *testing.T, version uint64, teams int) []byte {
 	t.Helper()
 	r := rand.New(rand.NewSource(11))
@@ -115,40 +114,40 @@
 	return b
 }
 
-// A large configuration is on its way over a link that carries little, and the
-// store cannot be reached. A target that leaves meanwhile must not get work until
-// the configuration is there: its callers would see their requests broken off.
-func TestTargetsChangeWhileALargeConfigurationArrives(t *testing.T) {
+// A large configuration is being downloaded over a link of little bandwidth, and the store
+// is unreachable. A target that leaves meanwhile must not get work until the download ends,
+// as its requests would be aborted.
+func TestTargetChangesApplyDuringLargeDownload(t *testing.T) {
 	is := is.New(t)
-	watcher, d, n, clock := pair(t)
-	d.store.err = errors.New("store is away")
-	n.rate = slowLink / 10
-	watcher.store.configure(randomTeams(t, 2, 7000))
-	watcher.store.put("t2")
+	watcher, d, n, clock := newWatcherAndFollower(t)
+	d.store.err = errors.New("store is unreachable")
+	n.bandwidth = slowLink / 10
+	watcher.store.putConfiguration(randomTeams(t, 2, 7000))
+	watcher.store.putTarget("t2")
 	is.NoErr(watcher.view.Step(t.Context()))
 	start := clock.Now()
-	for d.targets() != "t1 t2" && clock.Since(start) < time.Minute {
+	for d.targetNames() != "t1 t2" && clock.Since(start) < time.Minute {
 		_ = d.view.Step(t.Context())
 	}
 	is.True(clock.Since(start) < time.Second)
-	is.Equal(d.view.Current().Version, uint64(0)) // still on its way
-	is.True(d.view.Age() > 0)                     // and the view proves nothing yet
-	is.True(until(t, n, watcher, d, 2) < 10*time.Second)
+	is.Equal(d.view.Current().Version, uint64(0)) // still being downloaded
+	is.True(d.view.Age() > 0)                     // and the view is not confirmed yet
+	is.True(stepUntilVersion(t, n, watcher, d, 2) < 10*time.Second)
 	is.Equal(len(d.view.Current().Teams), 7000)
 }
 
-// The daemon that watches for a failure domain dies while it hands out a large
-// configuration. The next one goes on where it stopped: what arrived already is not
-// sent again, and the change is in force in time.
-func TestAnotherWatcherGoesOnWithALargeConfiguration(t *testing.T) {
+// The watcher of a failure domain dies while followers download a large configuration from
+// it. The download must resume from the next watcher without sending received parts again,
+// and the change must be in force in time.
+func TestDownloadResumesFromAnotherWatcher(t *testing.T) {
 	is := is.New(t)
-	ds, n, _ := group(t, members{
+	ds, n, _ := newDaemonsOf(t, staticMembers{
 		{Name: "a", Domain: "x"}, {Name: "b", Domain: "x"}, {Name: "c", Domain: "y"},
 	})
 	var watchers []*daemon
 	var d *daemon
 	for _, o := range ds {
-		if o.feed.Watches() {
+		if o.feed.IsWatcher() {
 			watchers = append(watchers, o)
 			continue
 		}
@@ -160,36 +159,36 @@
 	}
 	value := randomTeams(t, 2, 7000)
 	for _, w := range watchers {
-		w.store.configure(value)
+		w.store.putConfiguration(value)
 		is.NoErr(w.view.Step(t.Context()))
 	}
-	d.store.err = errors.New("store is away")
-	n.rate = slowLink / 4
+	d.store.err = errors.New("store is unreachable")
+	n.bandwidth = slowLink / 4
 	is.NoErr(d.view.Step(t.Context())) // some of the parts
 	is.Equal(d.view.Current().Version, uint64(0))
-	before := n.carried[d.name]
+	before := n.bytesTo[d.name]
 	is.True(before > 100<<10)
 	near, watcher := watchers[0], watchers[1]
 	if near.name == "c" {
 		near, watcher = watcher, near
 	}
-	n.cut[near.name] = true
-	is.True(until(t, n, watcher, d, 2) < inForce)
-	whole := 7000 * 32 * 4 / 3 // the keys in the form in which parts are sent
-	is.True(n.carried[d.name] < whole*3/2)
+	n.disconnected[near.name] = true
+	is.True(stepUntilVersion(t, n, watcher, d, 2) < defaultLimit)
+	whole := 7000 * 32 * 4 / 3 // the keys as encoded in parts
+	is.True(n.bytesTo[d.name] < whole*3/2)
 }
 
-// The store loses its history beside 3,000 targets. Their list is a megabyte: a
-// daemon with a slow link gets it page by page, each in the time that any answer
-// may take, and need not ask the store.
-func TestManyTargetsComeInPages(t *testing.T) {
+// The store loses its history while there are 3,000 targets, whose list is a megabyte. A
+// daemon with a slow link must receive the list page by page, each within the timeout of a
+// call, and must not read from the store.
+func TestManyTargetsArePaged(t *testing.T) {
 	is := is.New(t)
-	watcher, d, n, _ := pair(t)
-	n.rate = slowLink
-	n.largest = 64 << 10
+	watcher, d, n, _ := newWatcherAndFollower(t)
+	n.bandwidth = slowLink
+	n.maxMessageSize = 64 << 10
 	const targets = 3000
 	for i := range targets {
-		watcher.store.put(fmt.Sprintf("target-%04d-%0200d", i, i))
+		watcher.store.putTarget(fmt.Sprintf("target-%04d-%0200d", i, i))
 	}
 	is.NoErr(watcher.view.Step(t.Context()))
 	calls := d.store.calls
@@ -198,15 +197,15 @@
 	is.Equal(d.store.calls, calls)
 }
 
-// Daemons of two versions run side by side while they are replaced one by one. One
-// that does not know that large values are fetched by themselves must get them with
-// the rest, or it would take the listing for whole and miss the configuration.
-func TestOlderFollowersGetLargeValuesWithTheRest(t *testing.T) {
+// During a rolling upgrade, daemons of two versions run side by side. A follower that does
+// not download large values separately must get them inline. Otherwise, it would take the
+// listing as complete and miss the configuration.
+func TestOlderVersionFollowersGetLargeValuesInline(t *testing.T) {
 	is := is.New(t)
-	ds, n, _ := fleet(t)
-	watcher, _ := split(t, ds)
+	ds, n, _ := newDaemons(t)
+	watcher, _ := findWatcher(t, ds)
 	value := configuration(t, 2, 1400)
-	watcher.store.configure(value)
+	watcher.store.putConfiguration(value)
 	is.NoErr(watcher.view.Step(t.Context()))
 	out, err := n.methods[watcher.name]["follow"](t.Context(), "older", json.RawMessage(`{"a":0,"w":0}`))
 	is.NoErr(err)
@@ -220,21 +219,21 @@
 	is.Equal(string(got.Entries[1].Value), string(value))
 }
 
-// Changes come faster than a follower asks: its own version is not among those that
-// the watcher keeps, and it gets the newest one by itself.
-func TestFollowerThatMissedManyVersions(t *testing.T) {
+// Changes come faster than a follower polls: its version is no longer cached by the
+// watcher, so that it gets the newest version without a base.
+func TestFollowerMissesManyVersions(t *testing.T) {
 	is := is.New(t)
-	ds, n, _ := fleet(t)
-	watcher, rest := split(t, ds)
-	d := rest[0]
-	n.rate = slowLink
-	watcher.store.configure(configuration(t, 1, 1400))
+	ds, n, _ := newDaemons(t)
+	watcher, followers := findWatcher(t, ds)
+	d := followers[0]
+	n.bandwidth = slowLink
+	watcher.store.putConfiguration(configuration(t, 1, 1400))
 	is.NoErr(watcher.view.Step(t.Context()))
-	is.True(until(t, n, watcher, d, 1) < inForce)
+	is.True(stepUntilVersion(t, n, watcher, d, 1) < defaultLimit)
 	for version := uint64(2); version < 8; version++ {
-		watcher.store.configure(configuration(t, version, 1400+int(version)))
+		watcher.store.putConfiguration(configuration(t, version, 1400+int(version)))
 		is.NoErr(watcher.view.Step(t.Context()))
 	}
-	is.True(until(t, n, watcher, d, 7) < inForce)
+	is.True(stepUntilVersion(t, n, watcher, d, 7) < defaultLimit)
 	is.Equal(len(d.view.Current().Routes), 1407)
 }
--- a/internal/follow/watchers.go
+++ b/internal/follow/watchers.go
@@ -9,42 +9,44 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// chosen is who watches among the live daemons that it was worked out from.
-type chosen struct {
+// watcherSet holds the live daemons and the watchers selected among them.
+type watcherSet struct {
 	live     []fireflypath.Member
 	watchers []fireflypath.Member
 }
 
-// watchers are the daemons that watch the store, the nearest one first: in each
-// failure domain the one whose name has the lowest hash. They are worked out once for
-// each view of the fleet: a watcher is asked a hundred times a second.
-func (f *Feed) watchers() []fireflypath.Member {
+// currentWatchers returns the daemons that watch the store, the nearest one first: in each
+// failure domain the daemon whose name has the lowest hash. They are selected once for each
+// version of the member list, as a watcher is called a hundred times a second.
+func (f *Feed) currentWatchers() []fireflypath.Member {
 	live := f.members.Live()
-	if c := f.chosen.Load(); c != nil && same(c.live, live) {
+	if c := f.watcherSet.Load(); c != nil && isSameSlice(c.live, live) {
 		return c.watchers
 	}
-	c := &chosen{live: live, watchers: f.choose(live)}
-	f.chosen.Store(c)
+	c := &watcherSet{live: live, watchers: f.selectWatchers(live)}
+	f.watcherSet.Store(c)
 	return c.watchers
 }
 
-// same is true for two views that are one slice: a view is never changed in place.
-func same(a, b []fireflypath.Member) bool {
+// isSameSlice reports whether two member lists are the same slice. A member list is never
+// changed in place.
+func isSameSlice(a, b []fireflypath.Member) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
-func (f *Feed) choose(live []fireflypath.Member) []fireflypath.Member {
-	lowest := map[string]fireflypath.Member{}
+// selectWatchers selects the watchers and orders them, those of this failure domain first.
+func (f *Feed) selectWatchers(live []fireflypath.Member) []fireflypath.Member {
+	byDomain := map[string]fireflypath.Member{}
 	for _, m := range live {
 		if m.Leaving {
 			continue
 		}
-		if o, ok := lowest[m.Domain]; !ok || lot(m) < lot(o) {
-			lowest[m.Domain] = m
+		if o, ok := byDomain[m.Domain]; !ok || nameHash(m) < nameHash(o) {
+			byDomain[m.Domain] = m
 		}
 	}
-	out := make([]fireflypath.Member, 0, len(lowest))
-	for _, m := range lowest {
+	out := make([]fireflypath.Member, 0, len(byDomain))
+	for _, m := range byDomain {
 		out = append(out, m)
 	}
 	slices.SortFunc(out, func(a, b fireflypath.Member) int {
@@ -54,17 +56,18 @@
 			}
 			return 1
 		}
-		return cmp.Compare(lot(a), lot(b))
+		return cmp.Compare(nameHash(a), nameHash(b))
 	})
 	return out
 }
 
-func lot(m fireflypath.Member) uint64 {
+func nameHash(m fireflypath.Member) uint64 {
 	return xxhash.Sum64String(m.Name)
 }
 
-// Watches is true if this daemon watches the store for others.
-func (f *Feed) Watches() bool {
-	ws := f.watchers()
+// IsWatcher reports whether this daemon watches the store for others. It does if no live
+// daemon is known.
+func (f *Feed) IsWatcher() bool {
+	ws := f.currentWatchers()
 	return len(ws) == 0 || slices.ContainsFunc(ws, func(m fireflypath.Member) bool { return m.Name == f.self })
 }
