--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -52,7 +52,7 @@
 
 // Peers is the part of the peer endpoint that Feed uses.
 type Peers interface {
-	Handle(method string, m peer.Method)
+	Handle(method string, m peer.Handler)
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -65,7 +65,7 @@
 type fakeNetwork struct {
 	clock *clockwork.FakeClock
 	// methods holds the handlers of each daemon, by daemon and method.
-	methods      map[string]map[string]peer.Method
+	methods      map[string]map[string]peer.Handler
 	disconnected map[string]bool
 	// bandwidth is that of each daemon's link in bytes a second. 0 means unlimited.
 	bandwidth float64
@@ -109,9 +109,9 @@
 	name    string
 }
 
-func (p fakeEndpoint) Handle(method string, m peer.Method) {
+func (p fakeEndpoint) Handle(method string, m peer.Handler) {
 	if p.network.methods[p.name] == nil {
-		p.network.methods[p.name] = map[string]peer.Method{}
+		p.network.methods[p.name] = map[string]peer.Handler{}
 	}
 	p.network.methods[p.name][method] = m
 }
@@ -178,7 +178,7 @@
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	n := &fakeNetwork{
-		clock: clock, methods: map[string]map[string]peer.Method{}, disconnected: map[string]bool{},
+		clock: clock, methods: map[string]map[string]peer.Handler{}, disconnected: map[string]bool{},
 		maxMessageSize: 1 << 20, bytesTo: map[string]int{}, busyUntil: map[string]time.Time{},
 	}
 	shared := &fakeStore{clock: clock, revision: 5}
