--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,4 +1,5 @@
-// Package directory follows the configuration and the targets that the platform's store holds.
+// Package directory maintains a view of the configuration and the targets in the platform's
+// store.
 package directory
 
 import (
@@ -18,94 +19,95 @@
 )
 
 const (
-	// watchWait is how long the store holds one watch unless Hold says otherwise. Each
-	// one that ends without a change proves the view; the view's age stays below twice
-	// this.
-	watchWait = 750 * time.Millisecond
-	// retryFirst and retryMax are the pauses after failed calls; the larger one
-	// bounds how late a store that is back is noticed.
-	retryFirst = 50 * time.Millisecond
-	retryMax   = 400 * time.Millisecond
-	// answerTime is what an answer of the store takes at most when all is well.
-	answerTime = 250 * time.Millisecond
-	// gather is how long a daemon that watches waits after a change before it
-	// watches again. Changes come in groups, as when a fleet starts: each by
-	// itself cost a call for each watcher.
-	gather = 120 * time.Millisecond
-	// settle is how long a daemon waits after it has read everything: one that starts
-	// learns meanwhile who watches the store, and does not watch it itself.
-	settle = 500 * time.Millisecond
-	// returnTime is how long after the store's return a target may take to
-	// register again, if its registration lapsed meanwhile: targets are back within
-	// about two seconds if they live.
-	returnTime = 2100 * time.Millisecond
+	// defaultWatchTimeout is how long the store holds one watch unless SetWatchTimeout is
+	// called. Each watch that ends without a change confirms that the view is current, so
+	// that the age of the view stays below twice this time.
+	defaultWatchTimeout = 750 * time.Millisecond
+	// minRetryDelay and maxRetryDelay are the pauses after failed calls. maxRetryDelay
+	// limits how late the daemon notices that the store is available again.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// responseMargin is the longest time that a response of the store takes in normal
+	// operation.
+	responseMargin = 250 * time.Millisecond
+	// batchDelay is how long a watching daemon waits after a change before the next watch.
+	// Changes come in groups, for example when a fleet starts. Without the delay, each
+	// change cost one call for each watcher.
+	batchDelay = 120 * time.Millisecond
+	// startupDelay is the pause after a read of all keys. A daemon that starts learns
+	// during this time which daemon watches the store, and does not watch it itself.
+	startupDelay = 500 * time.Millisecond
+	// reregistrationTime is how long after an outage of the store a target may take to
+	// register again if its registration lapsed during the outage. Live targets are back
+	// within about two seconds.
+	reregistrationTime = 2100 * time.Millisecond
 )
 
-// Directory keeps the newest configuration and targets, and knows how old they
-// are. It implements fireflypath.Configs and fireflypath.Freshness.
+// Directory keeps the newest configuration and targets and the age of this view. It
+// implements fireflypath.Configs and fireflypath.Freshness.
 //
-// A watch proves nothing by its silence: the store may have dropped its history
-// and the connection may be dead. What counts is an answer whose revision is
-// that of the view: then nothing has changed up to that answer.
+// A watch without a response does not confirm the view: the store may have dropped its
+// history, or the connection may be dead. Only a response with the view's own revision
+// confirms that nothing has changed up to that response.
 type Directory struct {
-	feed  fireflypath.Feed
-	codec fireflypath.Codec
-	clock clockwork.Clock
-	boot  boottime.Clock
-	log   *zap.Logger
-	count counters
+	feed      fireflypath.Feed
+	codec     fireflypath.Codec
+	clock     clockwork.Clock
+	bootClock boottime.Clock
+	log       *zap.Logger
+	metrics   metrics
 
 	current atomic.Pointer[fireflypath.Config]
-	// fresh is when the view was surely the newest, in nanoseconds of boot; 0
-	// before any view.
-	fresh atomic.Int64
+	// confirmedAt is the last time at which the view is known to have been current, in
+	// nanoseconds of bootClock, or 0 before the first view.
+	confirmedAt atomic.Int64
 
 	mu      sync.Mutex
 	changed chan struct{}
-	// moved is closed when there is something new for those who follow.
-	moved chan struct{}
-	// revision is the store's at which the view was the newest; 0 before any
-	// read. Run alone changes it.
+	// updated is closed when there are changes for followers.
+	updated chan struct{}
+	// revision is the store's revision that the view represents, or 0 before the first
+	// read. Only Run changes it.
 	revision uint64
-	// floor is the revision up to which it is not known what was removed. kept holds the
-	// newest entry of each key since, removed ones too.
-	floor uint64
-	kept  map[string]fireflypath.Entry
+	// compactedTo is the revision up to which removed keys are unknown. latest holds the
+	// newest entry of each key since then, including removed keys.
+	compactedTo uint64
+	latest      map[string]fireflypath.Entry
 
-	// follower takes the keys below followed, as they change.
-	followed string
-	follower func(fireflypath.Entry)
+	// subscriber receives the changes of keys with the prefix subscribedPrefix.
+	subscribedPrefix string
+	subscriber       func(fireflypath.Entry)
 
-	// The fields below belong to Run.
-	// others holds the keys below followed.
-	others map[string]bool
-	// unread is true if changes may be missing from the view.
-	unread bool
-	// written is the revision of the configuration in force; it never goes down.
-	written uint64
-	base    *fireflypath.Config
-	targets map[string]fireflypath.Target
-	// refused holds why a registration names no target, so that it is logged once
-	// and not with each read.
-	refused map[string]string
-	// lives holds the newest life of each target, also of those that are gone.
-	lives map[string]life
-	// missing holds since when targets are missed that may register again.
-	missing map[string]time.Time
+	// Only Run uses the fields below.
+	// subscribedKeys holds the existing keys with the prefix subscribedPrefix.
+	subscribedKeys map[string]bool
+	// needsRead is true if changes may be missing from the view.
+	needsRead bool
+	// configRevision is the revision of the configuration in force. It never decreases.
+	configRevision uint64
+	config         *fireflypath.Config
+	targets        map[string]fireflypath.Target
+	// rejected holds the reason why a registration was rejected, by target, so that it is
+	// logged once and not with each read.
+	rejected map[string]string
+	// incarnations holds the newest incarnation of each target, including removed targets.
+	incarnations map[string]targetIncarnation
+	// missingSince holds when targets that may register again went missing.
+	missingSince map[string]time.Time
 	// pause is how long Run waits after the last step.
 	pause time.Duration
-	// wait is how long a watch is held.
-	wait time.Duration
-	// lost is true while the store does not answer.
-	lost bool
-	// hold is until when a removal may be a registration that lapsed while the
-	// store was away.
-	hold time.Time
+	// watchTimeout is how long a watch is held.
+	watchTimeout time.Duration
+	// storeDown is true while calls to the store fail.
+	storeDown bool
+	// lapsesUntil is the time until which a removal may be a registration that lapsed
+	// during an outage of the store.
+	lapsesUntil time.Time
 }
 
-type counters struct {
-	watches, reads, failures, changes, unused tally.Counter
-	age, targets                              tally.Gauge
+type metrics struct {
+	watches, reads, failures, changes, rejected tally.Counter
+	age, targets                                tally.Gauge
 }
 
 var (
@@ -113,86 +115,87 @@
 	_ fireflypath.Freshness = (*Directory)(nil)
 )
 
-// New returns a directory with the empty configuration.
+// New returns a directory with an empty configuration.
 func New(feed fireflypath.Feed, codec fireflypath.Codec, clock clockwork.Clock, boot boottime.Clock,
 	scope tally.Scope, log *zap.Logger,
 ) *Directory {
 	scope = scope.SubScope("directory")
 	d := &Directory{
-		feed: feed, codec: codec, clock: clock, boot: boot, log: log,
-		changed: make(chan struct{}), moved: make(chan struct{}),
-		kept:    map[string]fireflypath.Entry{},
-		base:    &fireflypath.Config{},
-		targets: map[string]fireflypath.Target{},
-		refused: map[string]string{},
-		others:  map[string]bool{},
-		lives:   map[string]life{},
-		missing: map[string]time.Time{},
-		wait:    watchWait,
-		count: counters{
+		feed: feed, codec: codec, clock: clock, bootClock: boot, log: log,
+		changed: make(chan struct{}), updated: make(chan struct{}),
+		latest:         map[string]fireflypath.Entry{},
+		config:         &fireflypath.Config{},
+		targets:        map[string]fireflypath.Target{},
+		rejected:       map[string]string{},
+		subscribedKeys: map[string]bool{},
+		incarnations:   map[string]targetIncarnation{},
+		missingSince:   map[string]time.Time{},
+		watchTimeout:   defaultWatchTimeout,
+		metrics: metrics{
 			watches: scope.Counter("watches"), reads: scope.Counter("reads"),
 			failures: scope.Counter("failures"), changes: scope.Counter("changes"),
-			unused: scope.Counter("unused_registrations"),
-			age:    scope.Gauge("age_seconds"), targets: scope.Gauge("targets"),
+			rejected: scope.Counter("unused_registrations"),
+			age:      scope.Gauge("age_seconds"), targets: scope.Gauge("targets"),
 		},
 	}
-	d.current.Store(d.base)
+	d.current.Store(d.config)
 	return d
 }
 
-// Hold sets how long a watch is held. It is called before Run.
-func (d *Directory) Hold(wait time.Duration) {
-	d.wait = wait
+// SetWatchTimeout sets how long a watch is held. It must be called before Run.
+func (d *Directory) SetWatchTimeout(wait time.Duration) {
+	d.watchTimeout = wait
 }
 
-// OnChange has a function called with each change of the keys that begin with prefix;
-// removed ones too. It is called before Run.
+// OnChange registers a function that is called for each change of a key with the prefix,
+// including removals. It must be called before Run.
 func (d *Directory) OnChange(prefix string, fn func(fireflypath.Entry)) {
-	d.followed, d.follower = prefix, fn
+	d.subscribedPrefix, d.subscriber = prefix, fn
 }
 
-// Current is the configuration in force, with the targets known now.
+// Current returns the configuration in force with the currently known targets.
 func (d *Directory) Current() *fireflypath.Config {
 	return d.current.Load()
 }
 
-// Changed is closed when a newer generation than the given one is in force.
+// Changed returns a channel that is closed when a newer generation than the given one is in
+// force.
 func (d *Directory) Changed(generation uint64) <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.current.Load().Generation > generation {
-		done := make(chan struct{})
-		close(done)
-		return done
+		closedChannel := make(chan struct{})
+		close(closedChannel)
+		return closedChannel
 	}
 	return d.changed
 }
 
-// unseen is the age of a view that there is not.
-const unseen = 1000 * time.Hour
+// noViewAge is the age reported before the first view.
+const noViewAge = 1000 * time.Hour
 
-// Age is the time since the view was surely the newest, at most.
+// Age returns an upper bound of the time since the view was current.
 func (d *Directory) Age() time.Duration {
-	at := d.fresh.Load()
+	at := d.confirmedAt.Load()
 	if at == 0 {
-		return unseen
+		return noViewAge
 	}
-	return d.boot.Elapsed() - time.Duration(at)
+	return d.bootClock.Elapsed() - time.Duration(at)
 }
 
 // Run follows the store until the context ends.
 func (d *Directory) Run(ctx context.Context) error {
-	pause := retryFirst
+	pause := minRetryDelay
 	for ctx.Err() == nil {
 		err := d.Step(ctx)
-		d.count.age.Update(d.Age().Seconds())
+		d.metrics.age.Update(d.Age().Seconds())
 		switch {
 		case err != nil:
 			d.sleep(ctx, pause)
-			pause = min(2*pause, retryMax)
+			pause = min(2*pause, maxRetryDelay)
 		default:
 			d.sleep(ctx, d.pause)
-			pause = retryFirst
+			pause = minRetryDelay
 		}
 	}
 	return ctx.Err()
@@ -208,53 +211,53 @@
 	}
 }
 
-// Step makes one call: a read of everything, or one watch.
+// Step makes one call to the store: a read of all keys or one watch.
 func (d *Directory) Step(ctx context.Context) error {
-	sent := d.boot.Elapsed()
-	d.forget(d.clock.Now())
+	sentAt := d.bootClock.Elapsed()
+	d.removeExpired(d.clock.Now())
 	d.pause = 0
 	var err error
-	if d.revision == 0 || d.unread {
-		err = d.read(ctx, sent)
+	if d.revision == 0 || d.needsRead {
+		err = d.read(ctx, sentAt)
 	} else {
-		err = d.watch(ctx, sent)
+		err = d.watch(ctx, sentAt)
 	}
 	if err == nil {
-		d.regained()
+		d.storeRecovered()
 		return nil
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	d.count.failures.Inc(1)
+	d.metrics.failures.Inc(1)
 	if errors.Is(err, fireflypath.ErrCompacted) {
-		// Changes may be missing from the view, so all of it is read again.
-		d.log.Info("history of the store is gone, reading everything", zap.Uint64("revision", d.revision))
-		d.reset()
+		// Changes may be missing from the view, so all keys are read again.
+		d.log.Info("store history was compacted, reading all keys", zap.Uint64("revision", d.revision))
+		d.scheduleRead()
 		return nil
 	}
-	if !d.lost {
-		d.lost = true
-		d.log.Warn("store lost", logs.Cause(err), zap.Duration("age", d.Age()))
+	if !d.storeDown {
+		d.storeDown = true
+		d.log.Warn("store unreachable", logs.Cause(err), zap.Duration("age", d.Age()))
 	}
 	return err
 }
 
-// regained logs the end of an outage.
-func (d *Directory) regained() {
-	if !d.lost {
+// storeRecovered ends an outage of the store.
+func (d *Directory) storeRecovered() {
+	if !d.storeDown {
 		return
 	}
-	d.lost = false
+	d.storeDown = false
 	d.mu.Lock()
-	d.hold = d.clock.Now().Add(returnTime)
+	d.lapsesUntil = d.clock.Now().Add(reregistrationTime)
 	d.mu.Unlock()
-	d.log.Info("store regained", zap.Uint64("revision", d.revision))
+	d.log.Info("store reachable again", zap.Uint64("revision", d.revision))
 }
 
-// proved moves the view's time forward.
-func (d *Directory) proved(at time.Duration) {
-	if n := max(int64(at), 1); n > d.fresh.Load() {
-		d.fresh.Store(n)
+// confirm records that the view was current at the given time.
+func (d *Directory) confirm(at time.Duration) {
+	if n := max(int64(at), 1); n > d.confirmedAt.Load() {
+		d.confirmedAt.Store(n)
 	}
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -21,26 +21,26 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// feed answers the next call as the test says.
-type feed struct {
+// fakeFeed returns the responses that the test sets.
+type fakeFeed struct {
 	clock *clockwork.FakeClock
-	// all is the answer to a read.
-	all fireflypath.Listing
-	// changes is the answer to a watch; it takes took.
-	changes fireflypath.Listing
-	took    time.Duration
-	err     error
-	reads   int
-	watches int
+	// snapshot is the response to a read.
+	snapshot fireflypath.Listing
+	// changes is the response to a watch, which takes watchTime.
+	changes   fireflypath.Listing
+	watchTime time.Duration
+	err       error
+	reads     int
+	watches   int
 }
 
-func (f *feed) Snapshot(context.Context, string) (fireflypath.Listing, error) {
+func (f *fakeFeed) Snapshot(context.Context, string) (fireflypath.Listing, error) {
 	f.reads++
-	return f.all, f.err
+	return f.snapshot, f.err
 }
 
-func (f *feed) Follow(_ context.Context, _ string, _ uint64, wait time.Duration) (fireflypath.Listing, error) {
-	took := f.took
+func (f *fakeFeed) Follow(_ context.Context, _ string, _ uint64, wait time.Duration) (fireflypath.Listing, error) {
+	took := f.watchTime
 	if took == 0 {
 		took = wait
 	}
@@ -62,7 +62,7 @@
 	return fireflypath.Entry{Key: "targets/" + name, Value: []byte(`{"pool":"p","addr":"127.0.0.1:1"}`), Revision: revision}
 }
 
-func names(cfg *fireflypath.Config) string {
+func targetNames(cfg *fireflypath.Config) string {
 	var out []string
 	for _, t := range cfg.Targets {
 		out = append(out, t.Name)
@@ -70,11 +70,11 @@
 	return strings.Join(out, " ")
 }
 
-// start reads all that there is.
-func start(t *testing.T, all ...fireflypath.Entry) (*feed, *directory.Directory, *clockwork.FakeClock) {
+// newDirectory returns a directory that has read the given entries.
+func newDirectory(t *testing.T, all ...fireflypath.Entry) (*fakeFeed, *directory.Directory, *clockwork.FakeClock) {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
-	f := &feed{clock: clock, all: fireflypath.Listing{Entries: all, Revision: 10}}
+	f := &fakeFeed{clock: clock, snapshot: fireflypath.Listing{Entries: all, Revision: 10}}
 	d := directory.New(f, testkit.Codec{}, clock, &testkit.Boot{Clock: clock}, tally.NoopScope, zap.NewNop())
 	if err := d.Step(t.Context()); err != nil {
 		t.Fatal(err)
@@ -82,12 +82,12 @@
 	return f, d, clock
 }
 
-// A watch that ends without a change proves the view only if the store's
-// revision is that of the view. A daemon that took any answer for a proof would
-// go on with keys that were taken away.
-func TestFreshnessNeedsTheStoresRevision(t *testing.T) {
+// A watch that ends without a change confirms the view only if the store's revision is that
+// of the view. If any response confirmed it, the daemon would continue to accept revoked
+// keys.
+func TestWatchConfirmsViewOnlyAtStoreRevision(t *testing.T) {
 	is := is.New(t)
-	f, d, clock := start(t, config(t, 1, 5), target("a", 6))
+	f, d, clock := newDirectory(t, config(t, 1, 5), target("a", 6))
 	clock.Advance(time.Second)
 	is.Equal(d.Age(), time.Second)
 	f.changes = fireflypath.Listing{Revision: 10}
@@ -96,49 +96,49 @@
 
 	f.changes = fireflypath.Listing{Revision: 12}
 	is.NoErr(d.Step(t.Context()))
-	unproved := d.Age()
-	is.True(unproved > 0) // a change that the watch did not bring proves nothing
+	unconfirmed := d.Age()
+	is.True(unconfirmed > 0) // a change that the watch missed confirms nothing
 
-	f.all = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 2, 12), target("a", 6)}, Revision: 12}
+	f.snapshot = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 2, 12), target("a", 6)}, Revision: 12}
 	is.NoErr(d.Step(t.Context()))
 	is.Equal(f.reads, 2)
 	is.Equal(d.Current().Version, uint64(2))
-	is.True(d.Age() < unproved)
+	is.True(d.Age() < unconfirmed)
 }
 
-// The store drops its history while a daemon watches. The daemon must read
-// everything again, and end the targets that are gone meanwhile.
-func TestLostHistoryIsReadAgain(t *testing.T) {
+// The store drops its history while a daemon watches. The daemon must read all keys again and
+// remove the targets that have gone meanwhile.
+func TestCompactedHistoryCausesFullRead(t *testing.T) {
 	is := is.New(t)
-	f, d, _ := start(t, config(t, 1, 5), target("a", 6), target("b", 7))
-	is.Equal(names(d.Current()), "a b")
+	f, d, _ := newDirectory(t, config(t, 1, 5), target("a", 6), target("b", 7))
+	is.Equal(targetNames(d.Current()), "a b")
 	f.err = fireflypath.ErrCompacted
 	is.NoErr(d.Step(t.Context()))
 	f.err = nil
-	f.all = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 3, 14), target("b", 7)}, Revision: 15}
+	f.snapshot = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 3, 14), target("b", 7)}, Revision: 15}
 	is.NoErr(d.Step(t.Context()))
-	is.Equal(names(d.Current()), "b")
+	is.Equal(targetNames(d.Current()), "b")
 	is.Equal(d.Current().Version, uint64(3))
 }
 
-// A read that was answered by an older state comes after a newer one. Going back
-// would bring a key to life again that was taken away.
-func TestViewNeverGoesBack(t *testing.T) {
+// A read returns an older state after a newer one was applied. Applying the older one would
+// make a revoked key valid again.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
-	f, d, _ := start(t, config(t, 4, 9))
+	f, d, _ := newDirectory(t, config(t, 4, 9))
 	f.err = fireflypath.ErrCompacted
 	is.NoErr(d.Step(t.Context()))
 	f.err = nil
-	f.all = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 3, 8)}, Revision: 9}
+	f.snapshot = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 3, 8)}, Revision: 9}
 	is.NoErr(d.Step(t.Context()))
 	is.Equal(d.Current().Version, uint64(4))
 }
 
-// A configuration that cannot be decoded is written. The last good one stays in
-// force, and the daemon goes on serving.
-func TestMalformedConfigurationIsRefused(t *testing.T) {
+// A malformed configuration is written. The last valid one must stay in force, and the daemon
+// must continue to serve.
+func TestMalformedConfigurationIsRejected(t *testing.T) {
 	is := is.New(t)
-	f, d, _ := start(t, config(t, 4, 9))
+	f, d, _ := newDirectory(t, config(t, 4, 9))
 	f.changes = fireflypath.Listing{Revision: 11, Entries: []fireflypath.Entry{
 		{Key: "config", Value: []byte("{"), Revision: 11},
 	}}
@@ -149,38 +149,38 @@
 	is.Equal(d.Current().Version, uint64(5))
 }
 
-// Registrations lapse while the store is away although the targets live. They
-// are back about two seconds after its return; dropped at once, there would be
-// no target left for that time.
-func TestLapsedRegistrationsAreWaitedFor(t *testing.T) {
+// Registrations lapse during an outage of the store although the targets are alive. The
+// targets register again about two seconds after the outage. If they were removed at once,
+// there would be no target for that time.
+func TestLapsedRegistrationsAreKeptAfterOutage(t *testing.T) {
 	is := is.New(t)
-	f, d, clock := start(t, config(t, 1, 5), target("a", 6), target("b", 7))
+	f, d, clock := newDirectory(t, config(t, 1, 5), target("a", 6), target("b", 7))
 	f.err = fireflypath.ErrUnavailable
 	is.True(errors.Is(d.Step(t.Context()), fireflypath.ErrUnavailable))
 	f.err = nil
 	f.changes = fireflypath.Listing{Revision: 12, Entries: []fireflypath.Entry{
 		{Key: "targets/a", Revision: 11, Deleted: true}, {Key: "targets/b", Revision: 12, Deleted: true},
 	}}
-	f.took = time.Millisecond
+	f.watchTime = time.Millisecond
 	is.NoErr(d.Step(t.Context()))
-	is.Equal(names(d.Current()), "a b")
+	is.Equal(targetNames(d.Current()), "a b")
 	f.changes = fireflypath.Listing{Revision: 13, Entries: []fireflypath.Entry{target("a", 13)}}
 	is.NoErr(d.Step(t.Context()))
 	clock.Advance(3 * time.Second)
 	f.changes = fireflypath.Listing{Revision: 13}
 	is.NoErr(d.Step(t.Context()))
-	is.Equal(names(d.Current()), "a")
+	is.Equal(targetNames(d.Current()), "a")
 }
 
-// A target leaves without a word a second after the store's return. If its time
-// to come back counted from its removal, it would get work for longer than the
-// two seconds in which that must end.
-func TestTargetThatLeavesAfterTheReturnIsNotWaitedForAnew(t *testing.T) {
+// A target leaves without notice a second after an outage of the store. If its time to
+// register again counted from its removal, it would get work for longer than the two seconds
+// within which that must end.
+func TestTargetThatLeavesAfterOutageIsRemovedInTime(t *testing.T) {
 	is := is.New(t)
-	f, d, clock := start(t, config(t, 1, 5), target("a", 6), target("b", 7))
+	f, d, clock := newDirectory(t, config(t, 1, 5), target("a", 6), target("b", 7))
 	f.err = fireflypath.ErrUnavailable
 	is.True(d.Step(t.Context()) != nil)
-	f.err, f.took = nil, time.Millisecond
+	f.err, f.watchTime = nil, time.Millisecond
 	f.changes = fireflypath.Listing{Revision: 10}
 	is.NoErr(d.Step(t.Context()))
 	clock.Advance(1500 * time.Millisecond)
@@ -188,38 +188,38 @@
 	f.changes = fireflypath.Listing{Revision: 11, Entries: []fireflypath.Entry{{Key: "targets/b", Revision: 11, Deleted: true}}}
 	is.NoErr(d.Step(t.Context()))
 	f.changes = fireflypath.Listing{Revision: 11}
-	f.took = 300 * time.Millisecond
-	for names(d.Current()) != "a" {
+	f.watchTime = 300 * time.Millisecond
+	for targetNames(d.Current()) != "a" {
 		is.NoErr(d.Step(t.Context()))
 		is.True(clock.Since(removed) < 1500*time.Millisecond)
 	}
 }
 
-// A target leaves while the store is well: it gets no more work at once.
-func TestRemovedTargetIsGoneAtOnce(t *testing.T) {
+// A target leaves while the store is available and must get no more work at once.
+func TestRemovedTargetIsDroppedAtOnce(t *testing.T) {
 	is := is.New(t)
-	f, d, _ := start(t, config(t, 1, 5), target("a", 6), target("b", 7))
+	f, d, _ := newDirectory(t, config(t, 1, 5), target("a", 6), target("b", 7))
 	f.changes = fireflypath.Listing{Revision: 11, Entries: []fireflypath.Entry{{Key: "targets/b", Revision: 11, Deleted: true}}}
 	is.NoErr(d.Step(t.Context()))
-	is.Equal(names(d.Current()), "a")
+	is.Equal(targetNames(d.Current()), "a")
 }
 
-// A host is suspended for some seconds, which its steady clock does not count,
-// or its time of day jumps back. The view's age must count them: else a key that
-// was taken away meanwhile would still work.
-func TestSuspendedTimeAgesTheView(t *testing.T) {
+// A host is suspended for some seconds, which its monotonic clock does not count, or its wall
+// clock jumps back. The view's age must include that time, or a key revoked meanwhile would
+// still be valid.
+func TestSuspendedTimeCountsTowardsAge(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	asleep := &testkit.Boot{Clock: clock}
-	f := &feed{clock: clock, all: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5)}, Revision: 10}}
-	d := directory.New(f, testkit.Codec{}, clock, asleep, tally.NoopScope, zap.NewNop())
+	boot := &testkit.Boot{Clock: clock}
+	f := &fakeFeed{clock: clock, snapshot: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5)}, Revision: 10}}
+	d := directory.New(f, testkit.Codec{}, clock, boot, tally.NoopScope, zap.NewNop())
 	is.NoErr(d.Step(t.Context()))
-	asleep.Suspended = 6 * time.Second
+	boot.Suspended = 6 * time.Second
 	is.Equal(d.Age(), 6*time.Second)
 }
 
-// register is a registration that says more of the target.
-func register(name string, revision uint64, t fireflypath.Target) fireflypath.Entry {
+// registration returns the registration of a target with the given fields.
+func registration(name string, revision uint64, t fireflypath.Target) fireflypath.Entry {
 	t.Name = name
 	b, err := json.Marshal(t)
 	if err != nil {
@@ -228,8 +228,8 @@
 	return fireflypath.Entry{Key: "targets/" + name, Value: b, Revision: revision}
 }
 
-// change has the watch bring entries.
-func change(t *testing.T, f *feed, d *directory.Directory, entries ...fireflypath.Entry) {
+// applyChanges makes a watch return entries.
+func applyChanges(t *testing.T, f *fakeFeed, d *directory.Directory, entries ...fireflypath.Entry) {
 	t.Helper()
 	f.changes = fireflypath.Listing{Entries: entries, Revision: entries[len(entries)-1].Revision}
 	if err := d.Step(t.Context()); err != nil {
@@ -237,97 +237,94 @@
 	}
 }
 
-// Another program writes bytes under a target's key that nobody can read. The
-// target gets no work until it writes again; the others keep theirs. The daemon
-// says so once, however often it reads the entry: a line for each read would fill
-// the log of every host.
-func TestUnreadableRegistrationNamesNoTarget(t *testing.T) {
+// Another program writes malformed data under a target's key. The target must get no work
+// until it registers again, while the others keep theirs. The daemon must log this once,
+// however often it reads the entry, or the lines would fill the log of every host.
+func TestMalformedRegistrationRemovesTarget(t *testing.T) {
 	is := is.New(t)
 	core, seen := observer.New(zap.WarnLevel)
 	clock := clockwork.NewFakeClock()
-	f := &feed{clock: clock, all: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5), target("a", 6), target("b", 7)}, Revision: 10}}
+	f := &fakeFeed{clock: clock, snapshot: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5), target("a", 6), target("b", 7)}, Revision: 10}}
 	scope := tally.NewTestScope("", nil)
 	d := directory.New(f, testkit.Codec{}, clock, &testkit.Boot{Clock: clock}, scope, zap.New(core))
 	is.NoErr(d.Step(t.Context()))
 	garbage := fireflypath.Entry{Key: "targets/a", Value: []byte("\xff"), Revision: 11}
-	change(t, f, d, garbage)
-	is.Equal(names(d.Current()), "b")
-	f.all = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5), garbage, target("b", 7)}, Revision: 12}
+	applyChanges(t, f, d, garbage)
+	is.Equal(targetNames(d.Current()), "b")
+	f.snapshot = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5), garbage, target("b", 7)}, Revision: 12}
 	f.err = fireflypath.ErrCompacted
 	is.NoErr(d.Step(t.Context()))
 	f.err = nil
-	is.NoErr(d.Step(t.Context())) // everything is read again
+	is.NoErr(d.Step(t.Context())) // reads all keys again
 	is.Equal(f.reads, 2)
-	is.Equal(names(d.Current()), "b")
+	is.Equal(targetNames(d.Current()), "b")
 	is.Equal(seen.FilterMessage("registration is not used").Len(), 1)
 	is.Equal(scope.Snapshot().Counters()["directory.unused_registrations+"].Value(), int64(1))
-	change(t, f, d, target("a", 13))
-	is.Equal(names(d.Current()), "a b")
+	applyChanges(t, f, d, target("a", 13))
+	is.Equal(targetNames(d.Current()), "a b")
 }
 
-// A target crashes and starts again under its name. A registration of the life
-// before was held up and reaches the store later: taken over, all requests would
-// go to an address where nobody listens, until the target writes again.
-func TestRegistrationOfAnEarlierLifeChangesNothing(t *testing.T) {
+// A target crashes and restarts under its name. A delayed registration of the earlier
+// incarnation reaches the store later. If it were applied, all requests would go to an
+// address where nothing listens, until the target registers again.
+func TestRegistrationOfEarlierIncarnationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	first := fireflypath.Target{Pool: "p", Addr: "127.0.0.1:1", Incarnation: 100}
 	second := fireflypath.Target{Pool: "p", Addr: "127.0.0.1:2", Incarnation: 200}
-	f, d, _ := start(t, config(t, 1, 5), register("a", 6, first))
-	change(t, f, d, register("a", 11, second))
+	f, d, _ := newDirectory(t, config(t, 1, 5), registration("a", 6, first))
+	applyChanges(t, f, d, registration("a", 11, second))
 	is.Equal(d.Current().Targets[0].Incarnation, uint64(200))
-	change(t, f, d, register("a", 12, first))
+	applyChanges(t, f, d, registration("a", 12, first))
 	is.Equal(d.Current().Targets[0].Addr, "127.0.0.1:2")
-	change(t, f, d, fireflypath.Entry{Key: "targets/a", Revision: 13, Deleted: true})
-	change(t, f, d, register("a", 14, first))
-	is.Equal(names(d.Current()), "") // also when the newer life has gone meanwhile
+	applyChanges(t, f, d, fireflypath.Entry{Key: "targets/a", Revision: 13, Deleted: true})
+	applyChanges(t, f, d, registration("a", 14, first))
+	is.Equal(targetNames(d.Current()), "") // also after the newer incarnation was removed
 }
 
-// A target's registration changes its pool or its address under one name, and two
-// names share an address, as when a target starts where another has just crashed.
-// Each entry counts as it is written last.
-func TestRegistrationsThatChange(t *testing.T) {
+// A target's registration changes its pool or address under the same name, and two names
+// share an address, as when a target starts where another one has just crashed. The last
+// write of each key must apply.
+func TestChangedRegistrationIsApplied(t *testing.T) {
 	is := is.New(t)
-	f, d, _ := start(t, config(t, 1, 5), register("a", 6, fireflypath.Target{Pool: "p", Addr: "127.0.0.1:1"}))
-	change(t, f, d, register("a", 11, fireflypath.Target{Pool: "q", Addr: "127.0.0.1:2"}))
+	f, d, _ := newDirectory(t, config(t, 1, 5), registration("a", 6, fireflypath.Target{Pool: "p", Addr: "127.0.0.1:1"}))
+	applyChanges(t, f, d, registration("a", 11, fireflypath.Target{Pool: "q", Addr: "127.0.0.1:2"}))
 	is.Equal(d.Current().Targets, []fireflypath.Target{{Name: "a", Pool: "q", Addr: "127.0.0.1:2"}})
-	change(t, f, d, register("b", 12, fireflypath.Target{Pool: "q", Addr: "127.0.0.1:2"}))
-	is.Equal(names(d.Current()), "a b")
+	applyChanges(t, f, d, registration("b", 12, fireflypath.Target{Pool: "q", Addr: "127.0.0.1:2"}))
+	is.Equal(targetNames(d.Current()), "a b")
 }
 
-// A fleet starts, and each daemon writes its record beside the targets. Those who
-// follow this daemon are not woken for that: 60 of them asked again eight times a
-// second.
-func TestOtherKeysWakeNobody(t *testing.T) {
+// A fleet starts, and each daemon writes its record next to the targets. Followers must not
+// be woken for that: 60 of them polled again eight times a second.
+func TestIrrelevantKeysDoNotWakeFollowers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f, d, _ := start(t, config(t, 1, 5))
-		f.took = 10 * time.Millisecond
-		told := make(chan fireflypath.Listing, 1)
+		f, d, _ := newDirectory(t, config(t, 1, 5))
+		f.watchTime = 10 * time.Millisecond
+		result := make(chan fireflypath.Listing, 1)
 		go func() {
-			l, err := d.Since(t.Context(), 10, 500*time.Millisecond, time.Second)
+			l, err := d.WaitForChanges(t.Context(), 10, 500*time.Millisecond, time.Second)
 			is.NoErr(err)
-			told <- l
+			result <- l
 		}()
 		synctest.Wait()
 		record := fireflypath.Entry{Key: "members/x", Value: []byte("{}"), Revision: 11}
 		f.changes = fireflypath.Listing{Entries: []fireflypath.Entry{record}, Revision: 11}
 		is.NoErr(d.Step(t.Context()))
 		synctest.Wait()
-		is.Equal(len(told), 0)
-		change(t, f, d, target("a", 12))
-		l := <-told
+		is.Equal(len(result), 0)
+		applyChanges(t, f, d, target("a", 12))
+		l := <-result
 		is.Equal(len(l.Entries), 1)
 		is.Equal(l.Revision, uint64(12))
 	})
 }
 
-// A daemon starts and reads everything. It knows no other daemon yet: if it watched the
-// store at once, each of hundreds that start together would, until it has met the one
-// that watches for it.
-func TestStartDoesNotWatchAtOnce(t *testing.T) {
+// A daemon that starts reads all keys and knows no other daemon yet. If it watched the store at
+// once, so would each of hundreds that start together, until each has found its watcher.
+func TestFirstWatchIsDelayed(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	f := &feed{clock: clock, all: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5)}, Revision: 10}}
+	f := &fakeFeed{clock: clock, snapshot: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5)}, Revision: 10}}
 	f.changes = fireflypath.Listing{Revision: 10}
 	d := directory.New(f, testkit.Codec{}, clock, &testkit.Boot{Clock: clock}, tally.NoopScope, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -341,37 +338,37 @@
 	is.True(errors.Is(<-done, context.Canceled))
 }
 
-// The store drops its history while hundreds of daemons follow this one. They go on
-// with what it knows, and learn what was removed meanwhile from the difference. Each of
-// them read everything again, most from the store, which turned them away.
-func TestLostHistoryIsNotLostToFollowers(t *testing.T) {
+// The store drops its history while hundreds of daemons follow this one. They must continue
+// with its view and learn about removals from the difference. Before, each of them read all
+// keys again, most of them from the store, which refused their calls.
+func TestCompactedHistoryIsHiddenFromFollowers(t *testing.T) {
 	is := is.New(t)
-	f, d, _ := start(t, config(t, 1, 5), target("a", 6), target("b", 7))
-	change(t, f, d, target("c", 11))
+	f, d, _ := newDirectory(t, config(t, 1, 5), target("a", 6), target("b", 7))
+	applyChanges(t, f, d, target("c", 11))
 	f.err = fireflypath.ErrCompacted
 	is.NoErr(d.Step(t.Context()))
-	l, err := d.Since(t.Context(), 10, 0, time.Second)
+	l, err := d.WaitForChanges(t.Context(), 10, 0, time.Second)
 	is.NoErr(err)
-	is.Equal(len(l.Entries), 1) // what was known before
+	is.Equal(len(l.Entries), 1) // as known before
 
 	f.err = nil
-	f.all = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5), target("a", 6), target("e", 20)}, Revision: 21}
+	f.snapshot = fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5), target("a", 6), target("e", 20)}, Revision: 21}
 	is.NoErr(d.Step(t.Context()))
-	l, err = d.Since(t.Context(), 11, 0, time.Second)
+	l, err = d.WaitForChanges(t.Context(), 11, 0, time.Second)
 	is.NoErr(err)
 	is.Equal(l.Revision, uint64(21))
-	var gone, there []string
+	var deleted, present []string
 	for _, e := range l.Entries {
 		if e.Deleted {
-			gone = append(gone, e.Key)
+			deleted = append(deleted, e.Key)
 		} else {
-			there = append(there, e.Key)
+			present = append(present, e.Key)
 		}
 	}
-	slices.Sort(gone)
-	is.Equal(gone, []string{"targets/b", "targets/c"})
-	is.Equal(there, []string{"targets/e"})
-	all, err := d.Since(t.Context(), 0, 0, time.Second)
+	slices.Sort(deleted)
+	is.Equal(deleted, []string{"targets/b", "targets/c"})
+	is.Equal(present, []string{"targets/e"})
+	all, err := d.WaitForChanges(t.Context(), 0, 0, time.Second)
 	is.NoErr(err)
 	is.Equal(len(all.Entries), 3)
 }
--- a/internal/directory/log.go
+++ b/internal/directory/log.go
@@ -8,44 +8,44 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// maxRemoved bounds the removed keys that are kept for daemons that follow this
-// one; one that lags by more reads everything.
-const maxRemoved = 4096
+// maxTombstones limits the removed keys that are kept for followers. A follower that is
+// further behind reads all keys.
+const maxTombstones = 4096
 
-// Since waits for changes above a revision and returns them with the view's age.
-// After 0 it returns everything. It does not wait while the view is older than
-// given: who asked has to look elsewhere then. It fails with ErrCompacted if
-// removals may be missing.
-func (d *Directory) Since(ctx context.Context, after uint64, wait, old time.Duration) (fireflypath.Listing, error) {
+// WaitForChanges waits for changes above a revision and returns them with the view's age. If
+// after is 0, it returns all entries. It does not wait while the view is older than maxAge,
+// as the caller must then use another source. It fails with ErrCompacted if removals may be
+// missing.
+func (d *Directory) WaitForChanges(ctx context.Context, after uint64, wait, maxAge time.Duration) (fireflypath.Listing, error) {
 	end := d.clock.Now().Add(wait)
 	for {
-		l, moved, err := d.since(after)
+		l, updated, err := d.changesSince(after)
 		now := d.clock.Now()
 		l.Age = d.Age()
-		left := min(end.Sub(now), old-l.Age)
-		if err != nil || len(l.Entries) > 0 || l.Revision > after || left <= 0 {
+		remaining := min(end.Sub(now), maxAge-l.Age)
+		if err != nil || len(l.Entries) > 0 || l.Revision > after || remaining <= 0 {
 			return l, err
 		}
-		t := d.clock.NewTimer(left)
+		t := d.clock.NewTimer(remaining)
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			return fireflypath.Listing{}, ctx.Err()
 		case <-t.Chan():
-		case <-moved:
+		case <-updated:
 			t.Stop()
 		}
 	}
 }
 
-func (d *Directory) since(after uint64) (fireflypath.Listing, <-chan struct{}, error) {
+func (d *Directory) changesSince(after uint64) (fireflypath.Listing, <-chan struct{}, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.revision == 0 || after != 0 && after < d.floor {
+	if d.revision == 0 || after != 0 && after < d.compactedTo {
 		return fireflypath.Listing{}, nil, fireflypath.ErrCompacted
 	}
-	l := fireflypath.Listing{Revision: d.revision, Relayed: true, Hold: d.hold.Sub(d.clock.Now())}
-	for _, e := range d.kept {
+	l := fireflypath.Listing{Revision: d.revision, Relayed: true, Hold: d.lapsesUntil.Sub(d.clock.Now())}
+	for _, e := range d.latest {
 		if e.Revision > after && (after != 0 || !e.Deleted) {
 			l.Entries = append(l.Entries, e)
 		}
@@ -56,101 +56,102 @@
 		}
 		return 1
 	})
-	return l, d.moved, nil
+	return l, d.updated, nil
 }
 
-// restart goes on with the log after a full read. What the read did not bring was
-// removed at some time since the last one, and those who follow are told so. If the log
-// began anew instead, hundreds of daemons would read everything again, from here or from
-// the store, each time that the store drops its history.
-func (d *Directory) restart(all fireflypath.Listing) {
+// replaceLog updates the log after a read of all keys. Keys that the read did not return were
+// removed since the last read, and followers are notified of that. If the log were cleared
+// instead, hundreds of daemons would read all keys again, from here or from the store, each
+// time the store drops its history.
+func (d *Directory) replaceLog(all fireflypath.Listing) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	seen := make(map[string]bool, len(all.Entries))
 	for _, e := range all.Entries {
 		seen[e.Key] = true
-		d.keep(e)
+		d.addToLog(e)
 	}
-	for key, e := range d.kept {
+	for key, e := range d.latest {
 		if !seen[key] && !e.Deleted {
-			d.kept[key] = fireflypath.Entry{Key: key, Revision: all.Revision, Deleted: true}
+			d.latest[key] = fireflypath.Entry{Key: key, Revision: all.Revision, Deleted: true}
 		}
 	}
-	if d.floor == 0 {
-		d.floor = all.Revision
+	if d.compactedTo == 0 {
+		d.compactedTo = all.Revision
 	}
-	d.move(all.Revision)
-	d.trim()
+	d.setRevision(all.Revision)
+	d.compact()
 }
 
-// advance adds changes to the log.
-func (d *Directory) advance(got fireflypath.Listing) {
+// appendLog adds changes to the log.
+func (d *Directory) appendLog(changes fireflypath.Listing) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	revision, useful := d.revision, false
-	for _, e := range got.Entries {
-		d.keep(e)
-		useful = useful || d.concerns(e.Key)
+	revision, relevant := d.revision, false
+	for _, e := range changes.Entries {
+		d.addToLog(e)
+		relevant = relevant || d.isRelevant(e.Key)
 		revision = max(revision, e.Revision)
 	}
-	if got.Relayed {
-		revision = max(revision, got.Revision)
+	if changes.Relayed {
+		revision = max(revision, changes.Revision)
 	}
 	switch {
-	case useful:
-		d.move(revision)
+	case relevant:
+		d.setRevision(revision)
 	case revision > d.revision:
-		// Other keys have changed, such as the records of daemons that start. Told of
-		// each, all who follow would ask again as often as the fleet writes.
+		// Only irrelevant keys have changed, such as the records of starting daemons.
+		// If followers were woken for those, all of them would poll again with every
+		// write of the fleet.
 		d.revision = revision
 	}
-	d.trim()
+	d.compact()
 }
 
-// keep stores an entry if it is of use to others. The caller holds mu.
-func (d *Directory) keep(e fireflypath.Entry) {
-	if d.concerns(e.Key) {
-		d.kept[e.Key] = e
+// addToLog stores an entry if it is relevant to followers. The caller holds mu.
+func (d *Directory) addToLog(e fireflypath.Entry) {
+	if d.isRelevant(e.Key) {
+		d.latest[e.Key] = e
 	}
 }
 
-// trim forgets the removed keys if there are too many. The caller holds mu.
-func (d *Directory) trim() {
-	removed := 0
-	for _, e := range d.kept {
+// compact drops the removed keys if there are too many. The caller holds mu.
+func (d *Directory) compact() {
+	tombstones := 0
+	for _, e := range d.latest {
 		if e.Deleted {
-			removed++
+			tombstones++
 		}
 	}
-	if removed <= maxRemoved {
+	if tombstones <= maxTombstones {
 		return
 	}
-	for key, e := range d.kept {
+	for key, e := range d.latest {
 		if e.Deleted {
-			delete(d.kept, key)
+			delete(d.latest, key)
 		}
 	}
-	d.floor = d.revision
+	d.compactedTo = d.revision
 }
 
-// move sets the revision and wakes those who wait for changes. The caller holds mu.
-func (d *Directory) move(revision uint64) {
+// setRevision sets the revision and wakes waiting followers. The caller holds mu.
+func (d *Directory) setRevision(revision uint64) {
 	d.revision = revision
-	close(d.moved)
-	d.moved = make(chan struct{})
+	close(d.updated)
+	d.updated = make(chan struct{})
 }
 
-// reset has the next step read everything. Those who follow go on with the view that
-// there is, whose age tells what it is worth.
-func (d *Directory) reset() {
-	d.unread = true
+// scheduleRead makes the next step read all keys. Followers continue with the existing view,
+// whose age tells them whether it is still usable.
+func (d *Directory) scheduleRead() {
+	d.needsRead = true
 }
 
-// extend takes over for how long removals may be lapses.
-func (d *Directory) extend(hold time.Duration) {
+// extendLapses adopts the remaining time for which removals may be lapsed registrations.
+func (d *Directory) extendLapses(hold time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at := d.clock.Now().Add(hold); at.After(d.hold) {
-		d.hold = at
+	if at := d.clock.Now().Add(hold); at.After(d.lapsesUntil) {
+		d.lapsesUntil = at
 	}
 }
--- a/internal/directory/reading.go
+++ b/internal/directory/reading.go
@@ -11,9 +11,9 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// read replaces the view.
-func (d *Directory) read(ctx context.Context, sent time.Duration) error {
-	d.count.reads.Inc(1)
+// read replaces the view with all keys of the store.
+func (d *Directory) read(ctx context.Context, sentAt time.Duration) error {
+	d.metrics.reads.Inc(1)
 	all, err := d.feed.Snapshot(ctx, "")
 	if err != nil {
 		return err
@@ -21,89 +21,90 @@
 	seen := map[string]bool{}
 	for _, e := range all.Entries {
 		seen[e.Key] = true
-		d.take(e)
+		d.applyEntry(e)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.targets)) {
 		if !seen[d.codec.TargetPrefix()+name] {
-			d.remove(name)
+			d.removeTarget(name)
 		}
 	}
-	d.passGone(seen)
-	maps.DeleteFunc(d.refused, func(name, _ string) bool { return !seen[d.codec.TargetPrefix()+name] })
-	d.restart(all)
-	d.unread = false
+	d.notifyRemoved(seen)
+	maps.DeleteFunc(d.rejected, func(name, _ string) bool { return !seen[d.codec.TargetPrefix()+name] })
+	d.replaceLog(all)
+	d.needsRead = false
 	d.publish()
-	d.proved(sent - all.Age)
-	d.pause = settle
+	d.confirm(sentAt - all.Age)
+	d.pause = startupDelay
 	return nil
 }
 
-// watch waits for changes. It always goes on from the last change seen, never
-// from the store's own revision: a watch that is deaf for a while would step
-// over what it did not hear. The difference shows it instead.
-func (d *Directory) watch(ctx context.Context, sent time.Duration) error {
-	d.count.watches.Inc(1)
-	wait := d.patience()
-	got, err := d.feed.Follow(ctx, "", d.revision, wait)
+// watch waits for changes. It always continues from the last change seen, never from the
+// store's own revision. Otherwise, a watch that missed changes would skip them for good,
+// instead of showing them as a difference between the two revisions.
+func (d *Directory) watch(ctx context.Context, sentAt time.Duration) error {
+	d.metrics.watches.Inc(1)
+	wait := d.nextWatchTimeout()
+	changes, err := d.feed.Follow(ctx, "", d.revision, wait)
 	if err != nil {
 		return err
 	}
-	if got.Relayed {
-		d.extend(got.Hold)
+	if changes.Relayed {
+		d.extendLapses(changes.Hold)
 	}
-	if got.Partial {
-		// Targets that leave are not kept in use because a large configuration takes
-		// its time. The revision stays, so the same entries come again, with the rest.
-		d.takeAll(got.Entries)
+	if changes.Partial {
+		// Changes of targets apply at once, so that a target that leaves is not used
+		// until a large configuration has arrived. The revision stays the same, so that
+		// the same entries come again with the rest.
+		d.applyEntries(changes.Entries)
 		d.publish()
-		d.pause = got.Pause
+		d.pause = changes.Pause
 		return nil
 	}
-	before := d.revision
-	if len(got.Entries) > 0 && !got.Relayed {
-		d.pause = gather
+	previous := d.revision
+	if len(changes.Entries) > 0 && !changes.Relayed {
+		d.pause = batchDelay
 	}
-	d.takeAll(got.Entries)
-	d.advance(got)
+	d.applyEntries(changes.Entries)
+	d.appendLog(changes)
 	d.publish()
-	d.judge(got, before, sent, wait)
+	d.confirmWatch(changes, previous, sentAt, wait)
 	return nil
 }
 
-func (d *Directory) takeAll(entries []fireflypath.Entry) {
+func (d *Directory) applyEntries(entries []fireflypath.Entry) {
 	for _, e := range entries {
-		d.take(e)
+		d.applyEntry(e)
 	}
 }
 
-// judge tells what the answer to a watch proves about the view's age.
-func (d *Directory) judge(got fireflypath.Listing, before uint64, sent, wait time.Duration) {
+// confirmWatch confirms the view's age as far as the response to a watch allows.
+func (d *Directory) confirmWatch(changes fireflypath.Listing, previous uint64, sentAt, wait time.Duration) {
 	switch {
-	case got.Relayed:
-		// The answer was given after the question, so the view was the newest at
-		// the question's time less the age at the answer's.
-		d.proved(sent - got.Age)
-	case got.Revision > d.revision:
-		d.log.Info("store has changes that the watch did not bring, reading everything",
-			zap.Uint64("revision", got.Revision), zap.Uint64("seen", d.revision))
-		d.reset()
-	case len(got.Entries) == 0 && got.Revision == before:
-		// The store held the call for its whole wait and nothing had changed. An
-		// answer that took much longer may have been given early and read late.
-		if took := d.boot.Elapsed() - sent; took >= wait && took < wait+answerTime {
-			sent += wait
+	case changes.Relayed:
+		// The response was given after the request was sent, so the view was current at
+		// least at the request's time less the age in the response.
+		d.confirm(sentAt - changes.Age)
+	case changes.Revision > d.revision:
+		d.log.Info("watch missed changes of the store, reading all keys",
+			zap.Uint64("revision", changes.Revision), zap.Uint64("seen", d.revision))
+		d.scheduleRead()
+	case len(changes.Entries) == 0 && changes.Revision == previous:
+		// The store held the call for its whole wait and nothing changed. A response
+		// that took much longer may have been sent early and read late.
+		if took := d.bootClock.Elapsed() - sentAt; took >= wait && took < wait+responseMargin {
+			sentAt += wait
 		}
-		d.proved(sent)
+		d.confirm(sentAt)
 	default:
-		d.proved(sent)
+		d.confirm(sentAt)
 	}
 }
 
-// patience is how long a watch may wait: less while a missing target is due to
-// be given up.
-func (d *Directory) patience() time.Duration {
-	if len(d.missing) > 0 {
-		return d.wait / 3
+// nextWatchTimeout returns how long to hold the next watch: less than usual while a missing
+// target is due to be removed.
+func (d *Directory) nextWatchTimeout() time.Duration {
+	if len(d.missingSince) > 0 {
+		return d.watchTimeout / 3
 	}
-	return d.wait
+	return d.watchTimeout
 }
--- a/internal/directory/registrations.go
+++ b/internal/directory/registrations.go
@@ -10,109 +10,109 @@
 	"github.com/fireflypath/fireflypath/internal/logs"
 )
 
-// lifeKept is how long the last life of a target that is gone is remembered: far
-// longer than a write can be on its way to the store.
-const lifeKept = 10 * time.Minute
+// incarnationRetention is how long the last incarnation of a removed target is kept. It is
+// far longer than a write can take to reach the store.
+const incarnationRetention = 10 * time.Minute
 
-// life is the newest incarnation known of a target.
-type life struct {
-	incarnation uint64
-	heard       time.Time
+// targetIncarnation is the newest known incarnation of a target.
+type targetIncarnation struct {
+	number uint64
+	seenAt time.Time
 }
 
-// register puts a target's registration into the view.
+// register adds a target's registration to the view.
 //
-// What cannot be read names no target, not the one that was there before either:
-// somebody else has taken the key, and the target writes it again with its next
-// heartbeat. All others stay in force.
+// A malformed registration removes the target, even if a valid one was there before: another
+// program has overwritten the key, and the target writes it again with its next heartbeat.
+// All other targets stay in use.
 func (d *Directory) register(name string, e fireflypath.Entry) {
 	t, err := d.codec.Target(e.Key, e.Value)
 	if err != nil {
-		d.refuse(name, e, err)
+		d.rejectTarget(name, e, err)
 		return
 	}
-	if last := d.lives[name].incarnation; t.Incarnation < last {
-		// It was held up on its way to the store. Taken over, it would send work to
-		// an address that belongs to nobody any more.
-		d.complain(name, e, errors.Newf("incarnation %d is older than %d", t.Incarnation, last))
+	if last := d.incarnations[name].number; t.Incarnation < last {
+		// The write was delayed on its way to the store. If it were applied, work would
+		// go to an address that is no longer in use.
+		d.reportRejected(name, e, errors.Newf("incarnation %d is older than %d", t.Incarnation, last))
 		return
 	}
-	delete(d.refused, name)
-	delete(d.missing, name)
-	d.remember(t)
-	old, known := d.targets[name]
+	delete(d.rejected, name)
+	delete(d.missingSince, name)
+	d.recordIncarnation(t)
+	previous, known := d.targets[name]
 	d.targets[name] = t
-	if !known || old != t {
+	if !known || previous != t {
 		d.log.Info("target changed", zap.String("target", name), zap.String("pool", t.Pool), zap.String("addr", t.Addr),
 			zap.Bool("leaving", t.Drained), zap.Uint64("incarnation", t.Incarnation), zap.Uint64("revision", e.Revision))
 	}
 }
 
-// refuse takes the target out whose registration cannot be used.
-func (d *Directory) refuse(name string, e fireflypath.Entry, err error) {
+// rejectTarget removes a target whose registration is malformed.
+func (d *Directory) rejectTarget(name string, e fireflypath.Entry, err error) {
 	delete(d.targets, name)
-	delete(d.missing, name)
-	d.complain(name, e, err)
+	delete(d.missingSince, name)
+	d.reportRejected(name, e, err)
 }
 
-// complain counts and logs a registration that is not used, once for each cause.
-func (d *Directory) complain(name string, e fireflypath.Entry, err error) {
-	if d.refused[name] == err.Error() {
+// reportRejected counts and logs an unused registration, once for each cause.
+func (d *Directory) reportRejected(name string, e fireflypath.Entry, err error) {
+	if d.rejected[name] == err.Error() {
 		return
 	}
-	d.refused[name] = err.Error()
-	d.count.unused.Inc(1)
+	d.rejected[name] = err.Error()
+	d.metrics.rejected.Inc(1)
 	d.log.Warn("registration is not used", zap.String("target", name), zap.Uint64("revision", e.Revision), logs.Cause(err))
 }
 
-// remember keeps the target's life, and forgets those of targets long gone.
-func (d *Directory) remember(t fireflypath.Target) {
+// recordIncarnation records the target's incarnation and drops those of long removed targets.
+func (d *Directory) recordIncarnation(t fireflypath.Target) {
 	if t.Incarnation == 0 {
 		return
 	}
 	now := d.clock.Now()
-	for name, l := range d.lives {
-		if _, here := d.targets[name]; !here && now.Sub(l.heard) > lifeKept {
-			delete(d.lives, name)
+	for name, l := range d.incarnations {
+		if _, here := d.targets[name]; !here && now.Sub(l.seenAt) > incarnationRetention {
+			delete(d.incarnations, name)
 		}
 	}
-	d.lives[t.Name] = life{incarnation: t.Incarnation, heard: now}
+	d.incarnations[t.Name] = targetIncarnation{number: t.Incarnation, seenAt: now}
 }
 
-// remove takes a target out of the view, or out of it later if its registration
-// may only have lapsed while the store was away. The time to come back counts
-// from the store's return, not from the removal: a target that left soon after
-// the return would else get work for seconds more.
-func (d *Directory) remove(name string) {
+// removeTarget removes a target from the view, or marks it as missing if its registration may
+// only have lapsed during an outage of the store. The time to register again counts from the
+// end of the outage and not from the removal. Otherwise, a target that left soon after the
+// outage would get work for seconds longer.
+func (d *Directory) removeTarget(name string) {
 	if _, ok := d.targets[name]; !ok {
 		return
 	}
 	now := d.clock.Now()
-	if d.lost || now.Before(d.hold) {
-		if _, ok := d.missing[name]; !ok {
-			d.missing[name] = now
-			d.log.Info("target missing after an outage of the store", zap.String("target", name))
+	if d.storeDown || now.Before(d.lapsesUntil) {
+		if _, ok := d.missingSince[name]; !ok {
+			d.missingSince[name] = now
+			d.log.Info("target missing after store outage", zap.String("target", name))
 		}
 		return
 	}
 	delete(d.targets, name)
-	delete(d.missing, name)
-	d.log.Info("target gone", zap.String("target", name))
+	delete(d.missingSince, name)
+	d.log.Info("target removed", zap.String("target", name))
 }
 
-// forget removes the missing targets whose time to come back is over.
-func (d *Directory) forget(now time.Time) {
-	gone := false
-	for name, since := range d.missing {
-		if d.lost || now.Before(d.hold) {
+// removeExpired removes the missing targets whose time to register again is over.
+func (d *Directory) removeExpired(now time.Time) {
+	changed := false
+	for name, since := range d.missingSince {
+		if d.storeDown || now.Before(d.lapsesUntil) {
 			continue
 		}
-		delete(d.missing, name)
+		delete(d.missingSince, name)
 		delete(d.targets, name)
-		d.log.Info("target gone", zap.String("target", name), zap.Duration("missing", now.Sub(since)))
-		gone = true
+		d.log.Info("target removed", zap.String("target", name), zap.Duration("missing", now.Sub(since)))
+		changed = true
 	}
-	if gone {
+	if changed {
 		d.publish()
 	}
 }
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -11,42 +11,41 @@
 	"github.com/fireflypath/fireflypath/internal/logs"
 )
 
-// concerns is true for the keys that the view is made of, and those that are followed
-// besides.
-func (d *Directory) concerns(key string) bool {
-	return key == d.codec.ConfigKey() || strings.HasPrefix(key, d.codec.TargetPrefix()) || d.follows(key)
+// isRelevant reports whether a key is part of the view or has a subscriber.
+func (d *Directory) isRelevant(key string) bool {
+	return key == d.codec.ConfigKey() || strings.HasPrefix(key, d.codec.TargetPrefix()) || d.isSubscribed(key)
 }
 
-func (d *Directory) follows(key string) bool {
-	return d.follower != nil && strings.HasPrefix(key, d.followed)
+func (d *Directory) isSubscribed(key string) bool {
+	return d.subscriber != nil && strings.HasPrefix(key, d.subscribedPrefix)
 }
 
-// pass gives a change to who follows it.
-func (d *Directory) pass(e fireflypath.Entry) {
-	d.others[e.Key] = true
+// notifySubscriber passes a change to the subscriber.
+func (d *Directory) notifySubscriber(e fireflypath.Entry) {
+	d.subscribedKeys[e.Key] = true
 	if e.Deleted {
-		delete(d.others, e.Key)
+		delete(d.subscribedKeys, e.Key)
 	}
-	d.follower(e)
+	d.subscriber(e)
 }
 
-// passGone tells of keys that a full read did not bring.
-func (d *Directory) passGone(seen map[string]bool) {
-	for _, key := range slices.Sorted(maps.Keys(d.others)) {
+// notifyRemoved notifies the subscriber of keys that a read of all keys did not return.
+func (d *Directory) notifyRemoved(seen map[string]bool) {
+	for _, key := range slices.Sorted(maps.Keys(d.subscribedKeys)) {
 		if !seen[key] {
-			d.pass(fireflypath.Entry{Key: key, Deleted: true})
+			d.notifySubscriber(fireflypath.Entry{Key: key, Deleted: true})
 		}
 	}
 }
 
-// take puts one entry into the view.
-func (d *Directory) take(e fireflypath.Entry) {
+// applyEntry applies one entry to the view.
+func (d *Directory) applyEntry(e fireflypath.Entry) {
 	if e.Key == d.codec.ConfigKey() {
-		d.configure(e)
+		d.applyConfig(e)
 		return
 	}
-	if d.follows(e.Key) {
-		d.pass(e)
+	if d.isSubscribed(e.Key) {
+		d.notifySubscriber(e)
 		return
 	}
 	name, ok := strings.CutPrefix(e.Key, d.codec.TargetPrefix())
@@ -54,48 +53,48 @@
 		return
 	}
 	if e.Deleted {
-		delete(d.refused, name)
-		d.remove(name)
+		delete(d.rejected, name)
+		d.removeTarget(name)
 		return
 	}
 	d.register(name, e)
 }
 
-// configure puts a newer configuration in force. An older one, read late, is
-// ignored: a view that went back would bring revoked keys back to life.
-func (d *Directory) configure(e fireflypath.Entry) {
-	if e.Deleted || e.Revision <= d.written {
+// applyConfig puts a newer configuration in force. An older one that was read late is
+// ignored, because going back would make revoked keys valid again.
+func (d *Directory) applyConfig(e fireflypath.Entry) {
+	if e.Deleted || e.Revision <= d.configRevision {
 		return
 	}
 	cfg, err := d.codec.Config(e.Value)
 	if err != nil {
-		d.log.Error("configuration refused, the last good one stays in force", logs.Cause(err),
-			zap.Uint64("revision", e.Revision), zap.Uint64("version", d.base.Version))
+		d.log.Error("configuration refused, the last valid one stays in force", logs.Cause(err),
+			zap.Uint64("revision", e.Revision), zap.Uint64("version", d.config.Version))
 		return
 	}
-	if cfg.Version < d.base.Version {
+	if cfg.Version < d.config.Version {
 		d.log.Error("configuration refused, its version went back", zap.Uint64("revision", e.Revision),
-			zap.Uint64("version", cfg.Version), zap.Uint64("force", d.base.Version))
+			zap.Uint64("version", cfg.Version), zap.Uint64("force", d.config.Version))
 		return
 	}
-	d.written = e.Revision
-	d.base = cfg
+	d.configRevision = e.Revision
+	d.config = cfg
 	d.log.Info("configuration in force", zap.Uint64("version", cfg.Version), zap.Uint64("revision", e.Revision),
 		zap.Int("routes", len(cfg.Routes)), zap.Int("teams", len(cfg.Teams)), zap.Int("bytes", len(e.Value)),
 		zap.Duration("age", d.Age()))
 }
 
-// publish puts the view in force if it differs from the one that is.
+// publish puts the view in force if it has changed.
 func (d *Directory) publish() {
 	old := d.current.Load()
 	targets := make([]fireflypath.Target, 0, len(d.targets))
 	for _, name := range slices.Sorted(maps.Keys(d.targets)) {
 		targets = append(targets, d.targets[name])
 	}
-	if old.Version == d.base.Version && slices.Equal(old.Targets, targets) {
+	if old.Version == d.config.Version && slices.Equal(old.Targets, targets) {
 		return
 	}
-	next := *d.base
+	next := *d.config
 	next.Generation = old.Generation + 1
 	next.Targets = targets
 	d.mu.Lock()
@@ -103,6 +102,6 @@
 	d.current.Store(&next)
 	close(d.changed)
 	d.changed = make(chan struct{})
-	d.count.changes.Inc(1)
-	d.count.targets.Update(float64(len(targets)))
+	d.metrics.changes.Inc(1)
+	d.metrics.targets.Update(float64(len(targets)))
 }
--- a/internal/follow/serve.go
+++ b/internal/follow/serve.go
@@ -15,7 +15,7 @@
 // before the endpoint serves.
 func (f *Feed) Serve(view *directory.Directory) {
 	f.view = view
-	view.Hold(f.timing.watchTimeout)
+	view.SetWatchTimeout(f.timing.watchTimeout)
 	f.peers.Handle(methodFollow, f.handleFollow)
 	f.peers.Handle(methodPart, f.handlePart)
 }
@@ -33,9 +33,9 @@
 	}
 	wait := time.Duration(a.WaitMillis) * time.Millisecond
 	end := f.clock.Now().Add(wait)
-	l, err := f.view.Since(ctx, a.After, wait, f.timing.maxViewAge)
+	l, err := f.view.WaitForChanges(ctx, a.After, wait, f.timing.maxViewAge)
 	if err == nil && f.isReceiving(a, l) {
-		l, err = f.view.Since(ctx, a.After, end.Sub(f.clock.Now()), unlimitedAge)
+		l, err = f.view.WaitForChanges(ctx, a.After, end.Sub(f.clock.Now()), unlimitedAge)
 	}
 	if errors.Is(err, fireflypath.ErrCompacted) {
 		return followResponse{Compacted: true}, nil
