--- a/internal/route/claim/claim.go
+++ b/internal/route/claim/claim.go
@@ -56,9 +56,9 @@
 		return refuse(fireflypath.ReasonWithdrawn, "the caller left while its key was claimed", fireflypath.RunNo)
 	default:
 		r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateExpired)
-		ref := refuse(fireflypath.ReasonClaimUnavailable, err.Error(), fireflypath.RunNo)
-		ref.RetryAfter = retryAfter
-		return ref
+		refusal := refuse(fireflypath.ReasonClaimUnavailable, err.Error(), fireflypath.RunNo)
+		refusal.RetryAfter = retryAfter
+		return refusal
 	}
 }
 
--- a/internal/route/early/early.go
+++ b/internal/route/early/early.go
@@ -57,8 +57,8 @@
 }
 
 // RecordRefusal remembers a refusal that gave a time.
-func (e *Early) RecordRefusal(r *request.Request, ref *fireflypath.Refusal) {
-	if ref.RetryAfter <= 0 || r.Team == nil {
+func (e *Early) RecordRefusal(r *request.Request, refusal *fireflypath.Refusal) {
+	if refusal.RetryAfter <= 0 || r.Team == nil {
 		return
 	}
 	e.mu.Lock()
@@ -66,7 +66,7 @@
 	if len(e.allowedAt) >= maxEntries {
 		e.olderAllowedAt, e.allowedAt = e.allowedAt, make(map[uint64]time.Time, maxEntries)
 	}
-	e.allowedAt[requestHash(r)] = e.clock.Now().Add(ref.RetryAfter)
+	e.allowedAt[requestHash(r)] = e.clock.Now().Add(refusal.RetryAfter)
 }
 
 func requestHash(r *request.Request) uint64 {
--- a/internal/route/meter/meter.go
+++ b/internal/route/meter/meter.go
@@ -40,8 +40,8 @@
 	return &Meter{scope: scope}
 }
 
-// RecordEnd counts the end of a request; ref is nil for a whole answer.
-func (m *Meter) RecordEnd(now time.Time, r *request.Request, ref *fireflypath.Refusal) {
+// RecordEnd counts the end of a request; refusal is nil for a whole answer.
+func (m *Meter) RecordEnd(now time.Time, r *request.Request, refusal *fireflypath.Refusal) {
 	t := m.forTier(r.Work.Tier)
 	t.requests.Inc(1)
 	if !r.Sent.IsZero() {
@@ -50,8 +50,8 @@
 	if r.Tokens > 0 {
 		t.tokens.Inc(int64(r.Tokens))
 	}
-	if ref != nil {
-		t.refusedCounter(ref.Code).Inc(1)
+	if refusal != nil {
+		t.refusedCounter(refusal.Code).Inc(1)
 		return
 	}
 	t.latency.RecordDuration(now.Sub(r.Work.Arrived))
--- a/internal/route/refuse/refuse.go
+++ b/internal/route/refuse/refuse.go
@@ -43,8 +43,8 @@
 }
 
 // JSON is the refusal's body.
-func JSON(ref *fireflypath.Refusal) []byte {
-	r := *ref
+func JSON(refusal *fireflypath.Refusal) []byte {
+	r := *refusal
 	r.RetryMS = int64((r.RetryAfter + time.Millisecond - 1) / time.Millisecond)
 	body, err := json.Marshal(&r)
 	if err != nil {
@@ -55,10 +55,10 @@
 }
 
 // Reply is the refusal as an answer.
-func Reply(ref *fireflypath.Refusal) request.Reply {
+func Reply(refusal *fireflypath.Refusal) request.Reply {
 	h := map[string]string{"Content-Type": "application/json"}
-	if ref.RetryAfter > 0 {
-		h["Retry-After"] = strconv.Itoa(int((ref.RetryAfter + time.Second - 1) / time.Second))
+	if refusal.RetryAfter > 0 {
+		h["Retry-After"] = strconv.Itoa(int((refusal.RetryAfter + time.Second - 1) / time.Second))
 	}
-	return request.Reply{Status: Status(ref.Code), Header: h, Body: JSON(ref)}
+	return request.Reply{Status: Status(refusal.Code), Header: h, Body: JSON(refusal)}
 }
--- a/internal/route/relay/assemble.go
+++ b/internal/route/relay/assemble.go
@@ -10,7 +10,7 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// event is what is read of a streamed completion.
+// event is one event of a streamed completion; fields that are not used are omitted.
 type event struct {
 	ID      string `json:"id"`
 	Model   string `json:"model"`
@@ -24,7 +24,7 @@
 	} `json:"choices"`
 }
 
-// completion is a whole answer, as the completions API has it.
+// completion is a complete answer in the format of the completions API.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -52,7 +52,7 @@
 	Total      int `json:"total_tokens"`
 }
 
-// assembler collects the events of one answer.
+// assembler accumulates the events of one answer.
 type assembler struct {
 	text   []byte
 	last   event
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// assemble makes one JSON answer of the events.
+// assemble combines the events of a streamed completion into one JSON answer, for
+// a caller that did not ask for a stream.
 func (l *Relay) assemble(f *follower, c fireflypath.Chunk, err error) error {
 	var a assembler
 	for err == nil {
@@ -114,16 +115,16 @@
 func (a *assembler) completion(f *follower) completion {
 	r := f.request
 	text := string(a.text)
-	ch := choice{Finish: a.finish}
+	answer := choice{Finish: a.finish}
 	object := "text_completion"
 	if r.Inbound.Path == "/v1/chat/completions" {
 		object = "chat.completion"
-		ch.Message = &message{Role: "assistant", Content: text}
+		answer.Message = &message{Role: "assistant", Content: text}
 	} else {
-		ch.Text = &text
+		answer.Text = &text
 	}
 	return completion{
-		ID: r.Work.ID, Object: object, Created: a.last.Created, Model: r.Work.Model, Choices: []choice{ch},
+		ID: r.Work.ID, Object: object, Created: a.last.Created, Model: r.Work.Model, Choices: []choice{answer},
 		Usage: usage{Prompt: r.Work.Cost.Prompt, Completion: r.Tokens, Total: r.Work.Cost.Prompt + r.Tokens},
 	}
 }
--- a/internal/route/relay/body.go
+++ b/internal/route/relay/body.go
@@ -10,11 +10,12 @@
 	"github.com/fireflypath/fireflypath/internal/route/refuse"
 )
 
-// errIncomplete makes the caller's connection end without the end mark.
+// errIncomplete causes the caller's connection to be closed without the terminating
+// chunk.
 var errIncomplete = errors.New("answer could not be finished")
 
-// streamBody is a streamed answer. It reads from the target only as fast as the
-// caller takes, so a slow caller costs one piece of memory.
+// streamBody is the body of a streamed answer. It reads from the target only as
+// fast as the caller reads, so that a slow caller holds one chunk in memory.
 type streamBody struct {
 	relay       *Relay
 	follower    *follower
@@ -24,16 +25,16 @@
 	ended       bool
 }
 
-func newStreamBody(l *Relay, f *follower, first fireflypath.Chunk, err error, events bool) *streamBody {
-	b := &streamBody{relay: l, follower: f, pending: first.Data, err: err, eventStream: events}
+func newStreamBody(l *Relay, f *follower, first fireflypath.Chunk, err error, eventStream bool) *streamBody {
+	b := &streamBody{relay: l, follower: f, pending: first.Data, err: err, eventStream: eventStream}
 	if err != nil && !errors.Is(err, io.EOF) {
 		b.fail()
 	}
 	return b
 }
 
-// Read returns a piece as soon as it comes, and with it those that are there
-// already: each Read is a write to the caller.
+// Read returns a chunk as soon as it arrives, together with those that are already
+// available, because each Read results in a write to the caller.
 func (b *streamBody) Read(p []byte) (int, error) {
 	for len(b.pending) == 0 {
 		if b.err != nil {
@@ -63,15 +64,16 @@
 	return n + k
 }
 
-// fail ends a cut answer: the caller of a stream reads why.
+// fail ends an incomplete answer. The caller of an event stream receives the
+// reason as a last event.
 func (b *streamBody) fail() {
-	ref := b.relay.fail(b.follower, b.err)
+	err := b.relay.fail(b.follower, b.err)
 	b.ended = true
 	b.err = errIncomplete
-	var r *fireflypath.Refusal
-	if b.eventStream && errors.As(ref, &r) {
+	var refusal *fireflypath.Refusal
+	if b.eventStream && errors.As(err, &refusal) {
 		b.pending = append(slices.Clip(b.pending), "event: error\ndata: "...)
-		b.pending = append(b.pending, refuse.JSON(r)...)
+		b.pending = append(b.pending, refuse.JSON(refusal)...)
 		b.pending = append(b.pending, "\n\n"...)
 	}
 }
@@ -87,7 +89,7 @@
 	return b.err
 }
 
-// Close ends an answer whose caller left before its end.
+// Close releases the answer if the caller left before its end.
 func (b *streamBody) Close() error {
 	if b.ended {
 		return nil
--- a/internal/route/relay/body_test.go
+++ b/internal/route/relay/body_test.go
@@ -11,30 +11,30 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// endless always has the next piece.
-type endless struct{ taken int }
+// endlessAnswer always has a next chunk available.
+type endlessAnswer struct{ chunks int }
 
-func (*endless) Head() fireflypath.Head { return fireflypath.Head{} }
-func (*endless) Ready() bool            { return true }
-func (*endless) Close() error           { return nil }
+func (*endlessAnswer) Head() fireflypath.Head { return fireflypath.Head{} }
+func (*endlessAnswer) Ready() bool            { return true }
+func (*endlessAnswer) Close() error           { return nil }
 
-func (e *endless) Next(context.Context) (fireflypath.Chunk, error) {
-	e.taken++
-	return fireflypath.Chunk{Data: make([]byte, 100), Offset: e.taken}, nil
+func (e *endlessAnswer) Next(context.Context) (fireflypath.Chunk, error) {
+	e.chunks++
+	return fireflypath.Chunk{Data: make([]byte, 100), Offset: e.chunks}, nil
 }
 
-type owner struct{}
+type nopOwner struct{}
 
-func (owner) Requeue(context.Context, *request.Request) error     { return nil }
-func (owner) Notify(*request.Request, fireflypath.EventKind, int) {}
+func (nopOwner) Requeue(context.Context, *request.Request) error     { return nil }
+func (nopOwner) Notify(*request.Request, fireflypath.EventKind, int) {}
 
-// A caller reads slowly, or not at all, while its engine is fast. What the
-// daemon took from the engine beyond the caller's reads stays in memory, for
-// each such caller.
-func TestSlowCallerHoldsOnePiece(t *testing.T) {
+// Guards against buffering the answer of a fast engine for a caller that reads
+// slowly or not at all. Whatever is read from the engine ahead of the caller stays
+// in memory, for each such caller.
+func TestSlowCallerBuffersOneChunk(t *testing.T) {
 	is := is.New(t)
-	e := &endless{}
-	r := &request.Request{Answer: e, Owner: owner{}}
+	e := &endlessAnswer{}
+	r := &request.Request{Answer: e, Owner: nopOwner{}}
 	f := newFollower(t.Context(), clockwork.NewFakeClock(), r)
 	b := newStreamBody(nil, f, fireflypath.Chunk{}, nil, true)
 	p := make([]byte, 1050)
@@ -42,6 +42,6 @@
 		k, err := b.Read(p)
 		is.NoErr(err)
 		is.Equal(k, len(p))
-		is.True(100*e.taken-n*len(p) < 100)
+		is.True(100*e.chunks-n*len(p) < 100)
 	}
 }
--- a/internal/route/relay/follower.go
+++ b/internal/route/relay/follower.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// maxFailures bounds resumes in a row that fail at once. With the pauses
-	// below they last about 1.5 s, longer than a target's network takes to
-	// come back from a moved route, and far shorter than a restart: a
-	// restarted target no longer holds the answer.
+	// maxFailures bounds consecutive resumes that fail immediately. With the pauses
+	// between them they last about 1.5 s, which is longer than a target's network
+	// needs to recover from a moved route and far shorter than a restart. A
+	// restarted target no longer has the answer.
 	maxFailures = 5
 	basePause   = 50 * time.Millisecond
-	// maxTimeouts bounds resumes in a row that bring nothing for the silence
-	// limit. A target may queue work that long, so it is generous; it ends
-	// the wait for one that accepts connections and does nothing else.
+	// maxTimeouts bounds consecutive resumes that receive nothing until the read
+	// timeout. It is high because a target may queue a request for that long; it
+	// ends the wait for a target that only accepts connections.
 	maxTimeouts = 30
-	// cancelTimeout bounds telling a target that its work is no longer wanted.
+	// cancelTimeout bounds the request that cancels work at a target.
 	cancelTimeout = 2 * time.Second
 )
 
-// follower reads one answer over as many connections as it takes.
+// follower reads one answer and resumes it on a new connection as often as needed.
 //
-// An open connection can break or go silent while the target still works on
-// the answer. The caller would wait for ever or read half an answer; a resume
-// behind the last event on a new connection costs no second run.
+// A connection can break or go silent while the target still works on the answer.
+// The caller would wait forever or read an incomplete answer. Resuming after the
+// last event on a new connection does not run the request a second time.
 type follower struct {
 	ctx           context.Context
 	clock         clockwork.Clock
@@ -53,7 +53,7 @@
 	return &follower{ctx: ctx, clock: clock, request: r, answer: r.Answer}
 }
 
-// start returns the first piece, after which there is a head.
+// start returns the first chunk. The answer's head is available afterwards.
 func (f *follower) start() (fireflypath.Chunk, error) {
 	if f.answer == nil {
 		if err := f.resume(f.request.AnswerErr); err != nil {
@@ -74,7 +74,7 @@
 	return f.answer.Head().Cached
 }
 
-// next returns the next piece, or io.EOF after the whole answer.
+// next returns the next chunk, or io.EOF after the complete answer.
 func (f *follower) next() (fireflypath.Chunk, error) {
 	if f.started && !f.firstReported && !f.ready() {
 		f.reportFirstToken()
@@ -94,7 +94,7 @@
 	}
 }
 
-// ready reports whether next returns without waiting.
+// ready reports whether next returns without blocking.
 func (f *follower) ready() bool {
 	r, ok := f.answer.(interface{ Ready() bool })
 	return ok && r.Ready()
@@ -112,14 +112,15 @@
 	f.request.Draft.First(f.clock.Now())
 }
 
-// reportFirstToken reports the first token, when the first piece is on its way to the
-// caller. An answer that came all at once is only reported as done.
+// reportFirstToken reports the first token once the first chunk is on its way to
+// the caller. An answer that arrives all at once is only reported as done.
 func (f *follower) reportFirstToken() {
 	f.firstReported = true
 	f.request.Owner.Notify(f.request, fireflypath.EventFirst, f.cachedTokens())
 }
 
-// resume asks for the rest until a connection answers, or returns why not.
+// resume requests the rest of the answer until a connection answers, or returns an
+// error if it gives up.
 func (f *follower) resume(cause error) error {
 	for {
 		if f.ctx.Err() != nil {
@@ -141,7 +142,8 @@
 	}
 }
 
-// allowResume pauses before a resume and reports whether there may be one more.
+// allowResume counts the failure that requires a resume and pauses before the next
+// one. It returns false if there were too many in a row.
 func (f *follower) allowResume(cause error) bool {
 	var t net.Error
 	if errors.As(cause, &t) && t.Timeout() && !errors.Is(cause, fireflypath.ErrUnsent) {
@@ -179,8 +181,8 @@
 	}
 }
 
-// cancelTarget ends the answer of a caller that left. The target is told to stop
-// only if the work may be cut; other work runs to its end, unread.
+// cancelTarget asks the target to stop work whose caller left. It is used only for
+// work that may be cancelled; other work runs to its end.
 func (f *follower) cancelTarget() {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(f.ctx), cancelTimeout)
 	defer cancel()
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -1,4 +1,4 @@
-// Package relay passes the target's answer to the caller.
+// Package relay passes the answer of a target to the caller.
 package relay
 
 import (
@@ -13,33 +13,35 @@
 )
 
 const (
-	// maxBuffered is the largest answer that is read whole before a byte is passed
-	// on, so that a cut one still gets a refusal with a status.
+	// maxBuffered is the largest answer that is read completely before its first
+	// byte is passed on, so that an incomplete one can still be replaced by a
+	// refusal with its own status.
 	maxBuffered = 64 << 10
-	// maxAssembled bounds an answer assembled for a caller that wants no stream.
+	// maxAssembled bounds the text assembled for a caller that did not ask for a
+	// stream.
 	maxAssembled = 16 << 20
 )
 
 var errTooLong = errors.New("answer is longer than the bound")
 
-// Relay is the last step.
+// Relay is the last step of the route.
 type Relay struct {
 	clock clockwork.Clock
-	ended func(r *request.Request, ref *fireflypath.Refusal)
+	ended func(r *request.Request, refusal *fireflypath.Refusal)
 }
 
-// New returns the step; ended is called once for each request that came here,
-// with nil for a whole answer.
-func New(clock clockwork.Clock, ended func(r *request.Request, ref *fireflypath.Refusal)) *Relay {
+// New returns the step. The function ended is called once for each request that
+// reaches the step, with a nil refusal for a complete answer.
+func New(clock clockwork.Clock, ended func(r *request.Request, refusal *fireflypath.Refusal)) *Relay {
 	return &Relay{clock: clock, ended: ended}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Relay) String() string {
 	return "relay"
 }
 
-// Run sets the reply. A streamed one ends after Run has returned.
+// Run sets the reply. A streamed reply ends after Run has returned.
 func (l *Relay) Run(ctx context.Context, r *request.Request) error {
 	f := newFollower(ctx, l.clock, r)
 	first, err := f.start()
@@ -58,8 +60,8 @@
 	}
 }
 
-// stream passes events on. An answer that is all there already is written as
-// one body, which saves a short one a write.
+// stream passes events on. An answer that is already complete is written as one
+// body, which saves a write for a short answer.
 func (l *Relay) stream(f *follower, first fireflypath.Chunk, err error) error {
 	events := append([]byte(nil), first.Data...)
 	for err == nil && f.ready() && len(events) < maxBuffered {
@@ -78,14 +80,14 @@
 
 const statusOK = 200
 
-// plain passes on an answer without events.
+// plain passes on an answer that is not an event stream.
 func (l *Relay) plain(f *follower, first fireflypath.Chunk, err error) error {
 	r := f.request
 	if n, ok := f.answer.(interface{ Length() int }); ok {
 		r.Reply.Length = n.Length()
 	}
 	if r.Reply.Length > maxBuffered || r.Reply.Length < 0 && err == nil {
-		// An answer of unknown length may come slowly; its pieces are not held back.
+		// An answer of unknown length may arrive slowly, so its chunks are not buffered.
 		r.Reply.Stream = newStreamBody(l, f, first, err, false)
 		return nil
 	}
@@ -111,7 +113,7 @@
 	l.ended(r, nil)
 }
 
-// fail ends a request whose answer will not be whole.
+// fail ends a request whose answer cannot be completed and returns its refusal.
 func (l *Relay) fail(f *follower, err error) error {
 	r := f.request
 	if f.ctx.Err() != nil {
@@ -122,17 +124,18 @@
 	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
 	r.Owner.Notify(r, fireflypath.EventFailed, f.cachedTokens())
 	f.close()
-	ref := &fireflypath.Refusal{
+	refusal := &fireflypath.Refusal{
 		Code: fireflypath.ReasonTarget, Tier: r.Work.Tier, Run: fireflypath.RunUnknown,
 		Detail: "the answer of " + r.Target.Name + " was lost: " + err.Error(),
 		ID:     r.Work.ID, Generation: r.Config.Generation,
 	}
-	l.ended(r, ref)
-	return ref
+	l.ended(r, refusal)
+	return refusal
 }
 
-// callerLeft ends the answer of a caller that left. Work that may not be cut is
-// read to its end, because a target may take a closed connection for a cancel.
+// callerLeft ends the answer of a caller that left. The answer to work that may not
+// be cancelled is read to its end, because a target may treat a closed connection
+// as a cancellation.
 func (l *Relay) callerLeft(f *follower) {
 	r := f.request
 	if r.Work.Idempotent {
@@ -154,10 +157,10 @@
 	r := f.request
 	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
 	r.Owner.Notify(r, fireflypath.EventFailed, f.cachedTokens())
-	ref := &fireflypath.Refusal{
+	refusal := &fireflypath.Refusal{
 		Code: fireflypath.ReasonWithdrawn, Tier: r.Work.Tier, Run: fireflypath.RunUnknown,
 		Detail: "the caller left while the request ran", ID: r.Work.ID, Generation: r.Config.Generation,
 	}
-	l.ended(r, ref)
-	return ref
+	l.ended(r, refusal)
+	return refusal
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -119,8 +119,8 @@
 }
 
 // Refuse sets the reply of a request that Rank looked at and that is not served.
-func (rt *Route) Refuse(r *request.Request, ref *fireflypath.Refusal) {
-	rt.refuse(r, "body", ref)
+func (rt *Route) Refuse(r *request.Request, refusal *fireflypath.Refusal) {
+	rt.refuse(r, "body", refusal)
 }
 
 // recoverPanic answers a request whose step panicked.
@@ -136,14 +136,14 @@
 	if rt.deps.Log != nil {
 		rt.deps.Log.Error("request panicked", zap.String("request", r.Work.ID), zap.Any("cause", cause), zap.Stack("stack"))
 	}
-	ref := &fireflypath.Refusal{Code: fireflypath.ReasonTarget, Detail: "a fault of the daemon", Run: fireflypath.RunNo}
+	refusal := &fireflypath.Refusal{Code: fireflypath.ReasonTarget, Detail: "a fault of the daemon", Run: fireflypath.RunNo}
 	if !r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
-		ref.Run = rt.runState(r)
+		refusal.Run = rt.runState(r)
 	}
 	if r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed) {
 		r.Owner.Notify(r, fireflypath.EventFailed, -1)
 	}
-	rt.refuse(r, "", ref)
+	rt.refuse(r, "", refusal)
 }
 
 // prepare gives the request its id and the configuration that it keeps.
@@ -165,16 +165,16 @@
 
 // refuse makes a refusal of the error that ended the route.
 func (rt *Route) refuse(r *request.Request, step string, err error) {
-	var ref *fireflypath.Refusal
-	if !errors.As(err, &ref) {
-		ref = &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: step + ": " + err.Error(), Run: rt.runState(r)}
+	var refusal *fireflypath.Refusal
+	if !errors.As(err, &refusal) {
+		refusal = &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: step + ": " + err.Error(), Run: rt.runState(r)}
 	}
 	r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateRefused)
-	ref.ID = r.Work.ID
-	ref.Tier = r.Work.Tier
-	ref.Generation = r.Config.Generation
-	r.Reply = refuse.Reply(ref)
-	rt.finish(r, ref)
+	refusal.ID = r.Work.ID
+	refusal.Tier = r.Work.Tier
+	refusal.Generation = r.Config.Generation
+	r.Reply = refuse.Reply(refusal)
+	rt.finish(r, refusal)
 }
 
 func (rt *Route) runState(r *request.Request) fireflypath.Run {
@@ -187,21 +187,21 @@
 }
 
 // finish counts the end of a request, once.
-func (rt *Route) finish(r *request.Request, ref *fireflypath.Refusal) {
+func (rt *Route) finish(r *request.Request, refusal *fireflypath.Refusal) {
 	if r.Ended {
 		return
 	}
 	r.Ended = true
-	if ref != nil {
-		rt.early.RecordRefusal(r, ref)
+	if refusal != nil {
+		rt.early.RecordRefusal(r, refusal)
 	}
-	if r.Claimed && ref != nil && ref.Run == fireflypath.RunNo {
+	if r.Claimed && refusal != nil && refusal.Run == fireflypath.RunNo {
 		rt.deps.Claims.Release(r.Work.Team, r.Inbound.Key, r.Work.ID)
 	}
 	if r.Draft == nil {
 		r.Draft = draft.New(rt.deps.Recorder, &r.Work, r.Config.Generation)
 	}
 	now := rt.deps.Clock.Now()
-	rt.deps.Meter.RecordEnd(now, r, ref)
-	r.Draft.End(now, r.Work.Life.State(), r.Tokens, ref)
+	rt.deps.Meter.RecordEnd(now, r, refusal)
+	r.Draft.End(now, r.Work.Life.State(), r.Tokens, refusal)
 }
