--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -86,7 +86,7 @@
 	d.deps.Members = d.members
 	if d.deps.Relief == nil {
 		rounds := relief.New(d.cfg.Name, d.members, d.peers, d.cluster, windows{d}, d.deps.Clock, d.scope)
-		rounds.Handle(d.peers)
+		rounds.Register(d.peers)
 		d.deps.Relief = rounds
 	}
 	return nil
@@ -175,7 +175,7 @@
 	d.pools.SetInitialShare(d.exchange.InitialShare)
 	d.board = leaving.New(d.cfg.Name, d.mates, d.peers, d.peersLeaving, d.peersBack, clock, d.scope)
 	if d.deps.Leaving == nil {
-		d.deps.Leaving, d.deps.Back = d.board.Leaving, d.board.Back
+		d.deps.Leaving, d.deps.Back = d.board.ReportLeaving, d.board.ReportStaying
 	}
 	d.work.Go(func() { _ = d.exchange.Run(d.ctx) })
 	d.work.Go(func() { _ = d.board.Run(d.ctx) })
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -85,7 +85,7 @@
 	peers    *peer.Endpoint
 	peerPort net.Listener
 	exchange *exchange.Exchange
-	board    *leaving.Board
+	board    *leaving.Tracker
 	orders   *order.Issuer
 
 	scope    tally.Scope
--- a/internal/daemon/targets.go
+++ b/internal/daemon/targets.go
@@ -70,13 +70,13 @@
 // keeps away from it by its own failures.
 func (d *Daemon) sawDead(target string) {
 	if d.board != nil {
-		d.board.Dead(target, "takes no connection")
+		d.board.ReportDead(target, "takes no connection")
 	}
 }
 
 func (d *Daemon) sawAnswer(target string) {
 	if d.board != nil {
-		d.board.Answers(target)
+		d.board.ReportAlive(target)
 	}
 }
 
@@ -84,7 +84,7 @@
 	if d.board == nil {
 		return nil
 	}
-	return d.board.Suspects()
+	return d.board.SuspectedDead()
 }
 
 // polling reads the state of targets and hosts.
--- a/internal/leaving/board.go
+++ b/internal/leaving/board.go
@@ -48,11 +48,11 @@
 	Flush()
 }
 
-// Board holds what this daemon and its peers saw of targets, and tells the
+// Tracker holds what this daemon and its peers saw of targets, and tells the
 // route when the sum of it changes. It tells so from Run and from the endpoint,
 // never from within Leaving, Dead and Back, whose callers may hold a lock that
 // they take when they are told.
-type Board struct {
+type Tracker struct {
 	self    string
 	mates   func() int
 	peers   Peers
@@ -107,9 +107,9 @@
 // told when peers' evidence changes what is known.
 func New(self string, mates func() int, peers Peers, leaving func(target, why string), back func(target string),
 	clock clockwork.Clock, scope tally.Scope,
-) *Board {
+) *Tracker {
 	scope = scope.SubScope("leaving")
-	b := &Board{
+	b := &Tracker{
 		self: self, mates: mates, peers: peers, leaving: leaving, back: back, clock: clock,
 		// Numbers go on where an earlier life under this name stopped.
 		number: uint64(clock.Now().UnixNano()),
@@ -127,7 +127,7 @@
 }
 
 // Run repeats and forgets evidence until the context ends.
-func (b *Board) Run(ctx context.Context) error {
+func (b *Tracker) Run(ctx context.Context) error {
 	t := b.clock.NewTicker(stepEvery)
 	defer t.Stop()
 	for {
@@ -140,30 +140,30 @@
 	}
 }
 
-// Leaving spreads that this daemon learned first-hand that a target leaves.
-func (b *Board) Leaving(target, why string) { b.see(target, kindLeaving, why) }
+// ReportLeaving spreads that this daemon learned first-hand that a target leaves.
+func (b *Tracker) ReportLeaving(target, why string) { b.see(target, kindLeaving, why) }
 
-// Dead spreads that a target does not answer this daemon. It is called for each
+// ReportDead spreads that a target does not answer this daemon. It is called for each
 // time that this was seen, and lapses if it is not seen again: a daemon that no
 // longer uses the target would speak against it for ever.
-func (b *Board) Dead(target, why string) { b.see(target, kindDead, why) }
+func (b *Tracker) ReportDead(target, why string) { b.see(target, kindDead, why) }
 
-// Answers takes back that a target did not answer this daemon; that it leaves
+// ReportAlive takes back that a target did not answer this daemon; that it leaves
 // stands.
-func (b *Board) Answers(target string) {
+func (b *Tracker) ReportAlive(target string) {
 	b.mu.Lock()
 	s := b.own[target]
 	dead := s != nil && s.kind == kindDead
 	b.mu.Unlock()
 	if dead {
-		b.Back(target)
+		b.ReportStaying(target)
 	}
 }
 
-// Suspects are the targets that some daemon found dead lately. Daemons look at
+// SuspectedDead are the targets that some daemon found dead lately. Daemons look at
 // idle targets every few seconds by turns; those that may be dead need a look
 // by all at once, or a third would not have seen it within three seconds.
-func (b *Board) Suspects() map[string]bool {
+func (b *Tracker) SuspectedDead() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]bool{}
@@ -178,8 +178,8 @@
 	return out
 }
 
-// Back takes back what this daemon said of a target.
-func (b *Board) Back(target string) {
+// ReportStaying takes back what this daemon said of a target.
+func (b *Tracker) ReportStaying(target string) {
 	b.mu.Lock()
 	s := b.own[target]
 	delete(b.own, target)
@@ -190,7 +190,7 @@
 	b.peers.Flush()
 }
 
-func (b *Board) see(target, kind, why string) {
+func (b *Tracker) see(target, kind, why string) {
 	b.mu.Lock()
 	s := b.own[target]
 	if s == nil || s.kind == kindDead && kind == kindLeaving {
@@ -213,7 +213,7 @@
 // repeat tells what was seen if it is due, and if no other daemon's word of the
 // same stands: a draining target is seen by all, and one word is enough. The
 // caller holds mu.
-func (b *Board) repeat(target string, s *sight) bool {
+func (b *Tracker) repeat(target string, s *sight) bool {
 	now := b.clock.Now()
 	v := voice{Evidence: peer.Evidence{Kind: s.kind}}
 	if !s.told.IsZero() && now.Sub(s.told) < v.lasts()/repeats {
@@ -232,7 +232,7 @@
 }
 
 // say adds this daemon's word. The caller holds mu.
-func (b *Board) say(target, kind, why string) {
+func (b *Tracker) say(target, kind, why string) {
 	b.number++
 	b.count.told.Inc(1)
 	b.take(peer.Evidence{Target: target, Observer: b.self, Sequence: b.number, Kind: kind, Reason: why})
@@ -240,7 +240,7 @@
 
 // take keeps evidence that is newer than the daemon's word before, and queues
 // it for the peers. The caller holds mu.
-func (b *Board) take(e peer.Evidence) bool {
+func (b *Tracker) take(e peer.Evidence) bool {
 	by := b.heard[e.Target]
 	if by == nil {
 		if len(b.heard) >= maxTargets {
@@ -262,7 +262,7 @@
 }
 
 // judge tells the route if the sum of the evidence changed for a target.
-func (b *Board) judge(target string) {
+func (b *Tracker) judge(target string) {
 	b.telling.Lock()
 	defer b.telling.Unlock()
 	b.mu.Lock()
@@ -286,7 +286,7 @@
 // verdict is why peers' evidence takes a target out, or empty. One daemon that
 // heard it from the target is enough; that it did not answer must be the
 // experience of several. The caller holds mu.
-func (b *Board) verdict(target string) string {
+func (b *Tracker) verdict(target string) string {
 	now := b.clock.Now()
 	dead := 0
 	for by, v := range b.heard[target] {
@@ -309,7 +309,7 @@
 }
 
 // step repeats what is due, forgets what is old and judges again.
-func (b *Board) step() {
+func (b *Tracker) step() {
 	b.mu.Lock()
 	now := b.clock.Now()
 	said := false
@@ -341,7 +341,7 @@
 	}
 }
 
-func (b *Board) tell(to string, beat *peer.Heartbeat) {
+func (b *Tracker) tell(to string, beat *peer.Heartbeat) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	from := max(b.cursors[to], b.first)
@@ -350,7 +350,7 @@
 	b.cursors[to] = until
 }
 
-func (b *Board) hear(_ string, beat *peer.Heartbeat) {
+func (b *Tracker) hear(_ string, beat *peer.Heartbeat) {
 	if len(beat.Evidence) == 0 {
 		return
 	}
@@ -373,7 +373,7 @@
 }
 
 // met has a new connection told all that is kept.
-func (b *Board) met(m fireflypath.Member) {
+func (b *Tracker) met(m fireflypath.Member) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.cursors[m.Name] = 0
--- a/internal/leaving/board_test.go
+++ b/internal/leaving/board_test.go
@@ -16,7 +16,7 @@
 // mesh joins boards without a network; beats are carried by pass.
 type mesh struct {
 	clock  *clockwork.FakeClock
-	boards []*Board
+	boards []*Tracker
 	// state is what each daemon's route was told last of target t.
 	state []string
 	cut   map[int]bool
@@ -70,14 +70,14 @@
 func TestLeavingSpreads(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(9)
-	m.boards[3].Leaving("t", "the target's own word")
+	m.boards[3].ReportLeaving("t", "the target's own word")
 	m.pass()
 	is.Equal(m.out(), 8) // the daemon that saw it has told its own route itself
 	for range 200 {
 		m.pass()
 	}
 	is.Equal(m.out(), 8) // it is repeated while it is seen
-	m.boards[3].Back("t")
+	m.boards[3].ReportStaying("t")
 	m.pass()
 	is.Equal(m.out(), 0)
 }
@@ -86,10 +86,10 @@
 func TestOneWordIsEnough(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(9)
-	m.boards[0].Leaving("t", "drains")
+	m.boards[0].ReportLeaving("t", "drains")
 	m.pass()
 	for _, b := range m.boards[1:] {
-		b.Leaving("t", "drains")
+		b.ReportLeaving("t", "drains")
 	}
 	m.pass()
 	is.Equal(len(m.boards[5].heard["t"]), 1)
@@ -108,17 +108,17 @@
 	is := is.New(t)
 	m := newMesh(9)
 	for range 20 {
-		m.boards[0].Dead("t", "connection refused")
+		m.boards[0].ReportDead("t", "connection refused")
 		m.pass()
 	}
 	is.Equal(m.out(), 0)
-	m.boards[1].Dead("t", "connection refused")
+	m.boards[1].ReportDead("t", "connection refused")
 	m.pass()
 	is.Equal(m.out(), 0)
-	m.boards[2].Dead("t", "connection refused")
+	m.boards[2].ReportDead("t", "connection refused")
 	m.pass()
 	is.Equal(m.out(), 9)
-	m.boards[1].Back("t")
+	m.boards[1].ReportStaying("t")
 	m.pass()
 	is.Equal(m.out(), 0)
 }
@@ -129,12 +129,12 @@
 func TestKilledTargetIsOutAndBack(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(9)
-	look := func(b *Board, up bool) {
+	look := func(b *Tracker, up bool) {
 		if up {
-			b.Answers("t")
+			b.ReportAlive("t")
 			return
 		}
-		b.Dead("t", "takes no connection")
+		b.ReportDead("t", "takes no connection")
 	}
 	for s := range 60 {
 		up := s < 10 || s >= 40
@@ -162,11 +162,11 @@
 	for s := range 60 {
 		up := s < 10 || s >= 40
 		for i, b := range m.boards {
-			switch due := s%period == i || b.Suspects()["t"]; {
+			switch due := s%period == i || b.SuspectedDead()["t"]; {
 			case due && up:
-				b.Answers("t")
+				b.ReportAlive("t")
 			case due:
-				b.Dead("t", "takes no connection")
+				b.ReportDead("t", "takes no connection")
 			}
 		}
 		m.pass()
@@ -175,7 +175,7 @@
 		}
 		if s < 10 || s >= 42 {
 			is.Equal(m.out(), 0)
-			is.Equal(len(m.boards[0].Suspects()), 0)
+			is.Equal(len(m.boards[0].SuspectedDead()), 0)
 		}
 	}
 }
@@ -185,9 +185,9 @@
 func TestAnswersDoNotUndoLeaving(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(9)
-	m.boards[3].Leaving("t", "drains")
-	m.boards[3].Dead("t", "takes no connection")
-	m.boards[3].Answers("t")
+	m.boards[3].ReportLeaving("t", "drains")
+	m.boards[3].ReportDead("t", "takes no connection")
+	m.boards[3].ReportAlive("t")
 	m.pass()
 	is.Equal(m.out(), 8)
 }
@@ -199,7 +199,7 @@
 	is := is.New(t)
 	m := newMesh(9)
 	for _, b := range m.boards[:4] {
-		b.Dead("t", "takes no connection")
+		b.ReportDead("t", "takes no connection")
 	}
 	m.pass()
 	is.Equal(m.out(), 9)
@@ -215,7 +215,7 @@
 func TestWordOfTheDeadLapses(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(9)
-	m.boards[3].Leaving("t", "drains")
+	m.boards[3].ReportLeaving("t", "drains")
 	m.pass()
 	m.cut[3] = true
 	for range int(leavingLasts / time.Second) {
@@ -230,11 +230,11 @@
 func TestOlderWordChangesNothing(t *testing.T) {
 	is := is.New(t)
 	m := newMesh(2)
-	m.boards[0].Leaving("t", "drains")
+	m.boards[0].ReportLeaving("t", "drains")
 	var old peer.Heartbeat
 	m.boards[0].tell("x", &old)
 	m.pass()
-	m.boards[0].Back("t")
+	m.boards[0].ReportStaying("t")
 	m.pass()
 	m.boards[1].hear("x", &old)
 	is.Equal(m.out(), 0)
--- a/internal/relief/rounds.go
+++ b/internal/relief/rounds.go
@@ -346,8 +346,8 @@
 	return true
 }
 
-// Handle registers the answer to peers' questions.
-func (r *Rounds) Handle(e *peer.Endpoint) {
+// Register registers the answer to peers' questions.
+func (r *Rounds) Register(e *peer.Endpoint) {
 	e.Handle(method, r.answer)
 }
 
