--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -124,9 +124,9 @@
 	pool, path, _ := strings.Cut(rest, "/")
 	pool, query, hasQuery := strings.Cut(pool, "?")
 	r.Inbound.Service = pool
-	r.Inbound.Rest = "/" + path
+	r.Inbound.ServicePath = "/" + path
 	if hasQuery {
-		r.Inbound.Rest = "/?" + query
+		r.Inbound.ServicePath = "/?" + query
 	}
 	r.Inbound.Header = endToEnd(&c.RequestCtx().Request.Header)
 	s.serve(c.RequestCtx(), r)
@@ -148,13 +148,13 @@
 	h := &c.Request.Header
 	r := &request.Request{}
 	r.Inbound = request.Inbound{
-		Method:     string(h.Method()),
-		Path:       string(h.RequestURI()),
-		Token:      token(h.Peek(fasthttp.HeaderAuthorization)),
-		Tier:       string(h.Peek(headerTier)),
-		Deadline:   string(h.Peek(headerDeadline)),
-		Idempotent: string(h.Peek(headerIdempotent)),
-		Key:        string(h.Peek(headerKey)),
+		Method:         string(h.Method()),
+		Path:           string(h.RequestURI()),
+		Token:          token(h.Peek(fasthttp.HeaderAuthorization)),
+		Tier:           string(h.Peek(headerTier)),
+		Deadline:       string(h.Peek(headerDeadline)),
+		Idempotent:     string(h.Peek(headerIdempotent)),
+		IdempotencyKey: string(h.Peek(headerKey)),
 	}
 	return r
 }
--- a/internal/route/claim/claim.go
+++ b/internal/route/claim/claim.go
@@ -37,13 +37,13 @@
 
 // Run claims the key of work that is not idempotent.
 func (s *Claim) Run(ctx context.Context, r *request.Request) error {
-	if r.Inbound.Key == "" || r.Work.Idempotent {
+	if r.Inbound.IdempotencyKey == "" || r.Work.Idempotent {
 		return nil
 	}
-	if len(r.Inbound.Key) > maxKeyLength {
+	if len(r.Inbound.IdempotencyKey) > maxKeyLength {
 		return refuse(fireflypath.ReasonMalformed, "the idempotency key is too long", fireflypath.RunNo)
 	}
-	err := s.claims.Claim(ctx, r.Team.Name, r.Inbound.Key, r.Work.ID, r.Work.Deadline)
+	err := s.claims.Claim(ctx, r.Team.Name, r.Inbound.IdempotencyKey, r.Work.ID, r.Work.Deadline)
 	var held *claim.HeldError
 	switch {
 	case err == nil:
--- a/internal/route/classify/classify.go
+++ b/internal/route/classify/classify.go
@@ -39,7 +39,7 @@
 func (*Classify) Run(_ context.Context, r *request.Request) error {
 	r.Call.ID = r.Work.ID
 	r.Call.Method = r.Inbound.Method
-	r.Call.Key = r.Inbound.Key
+	r.Call.Key = r.Inbound.IdempotencyKey
 	r.Work.Bytes = len(r.Inbound.Body)
 	if r.Inbound.Service != "" {
 		return classifyService(r)
@@ -52,7 +52,7 @@
 	if p == nil || p.Kind != fireflypath.KindService {
 		return refuse(fireflypath.ReasonNoPool, "no service pool has this name")
 	}
-	r.Call.Path = r.Inbound.Rest
+	r.Call.Path = r.Inbound.ServicePath
 	r.Call.Header = r.Inbound.Header
 	r.Call.Body = r.Inbound.Body
 	r.Work.Cost = fireflypath.Cost{Prompt: 1}
--- a/internal/route/records_test.go
+++ b/internal/route/records_test.go
@@ -75,7 +75,7 @@
 
 func serveAs(rt *route.Route, token string) *request.Request {
 	r := &request.Request{Inbound: request.Inbound{
-		Method: "GET", Path: "/services/packets/x", Service: "packets", Rest: "/x", Token: token,
+		Method: "GET", Path: "/services/packets/x", Service: "packets", ServicePath: "/x", Token: token,
 	}}
 	rt.Serve(context.Background(), r)
 	if r.Reply.Stream != nil {
--- a/internal/route/request/request.go
+++ b/internal/route/request/request.go
@@ -73,20 +73,20 @@
 	Path string
 	// Service is the pool named by a call to /services/POOL/..., and Rest the
 	// path behind it, with its query.
-	Service string
-	Rest    string
+	Service     string
+	ServicePath string
 	// Token is the bearer token.
-	Token      string
-	Tier       string
-	Deadline   string
-	Idempotent string
-	Key        string
+	Token          string
+	Tier           string
+	Deadline       string
+	Idempotent     string
+	IdempotencyKey string
 	// Header holds the end-to-end headers to pass on to services.
 	Header map[string]string
 	// Body belongs to the connection until the request's answer begins.
 	Body []byte
-	// Peer is the caller's address without its port.
-	Peer string
+	// CallerAddr is the caller's address without its port.
+	CallerAddr string
 }
 
 // Reply is an answer to write: Body, or Stream if that is not nil.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -196,7 +196,7 @@
 		rt.early.RecordRefusal(r, refusal)
 	}
 	if r.Claimed && refusal != nil && refusal.Run == fireflypath.RunNo {
-		rt.deps.Claims.Release(r.Work.Team, r.Inbound.Key, r.Work.ID)
+		rt.deps.Claims.Release(r.Work.Team, r.Inbound.IdempotencyKey, r.Work.ID)
 	}
 	if r.Draft == nil {
 		r.Draft = draft.New(rt.deps.Recorder, &r.Work, r.Config.Generation)
