--- a/internal/route/catalog/catalog.go
+++ b/internal/route/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog finds things in a configuration without walking it.
+// Package catalog indexes a configuration for lookups by key, name and model.
 package catalog
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Catalog is the index of one configuration. It is never changed.
+// Catalog is an immutable index of one configuration.
 type Catalog struct {
 	Config       *fireflypath.Config
 	teamsByKey   map[[sha256.Size]byte]keyEntry
@@ -20,13 +20,15 @@
 	poolsByModel map[string]*fireflypath.Pool
 }
 
+// keyEntry is a team's key, by its hash, with the time from which it is no longer
+// valid.
 type keyEntry struct {
 	hash      [sha256.Size]byte
 	team      *fireflypath.Team
 	expiresAt time.Time
 }
 
-// New indexes the configuration.
+// New returns the index of the configuration.
 func New(cfg *fireflypath.Config) *Catalog {
 	c := &Catalog{
 		Config:       cfg,
@@ -63,10 +65,10 @@
 	}
 }
 
-// TeamByToken is the team whose key hashes from the token, or nil.
+// TeamByToken returns the team that the token is a valid key of, or nil.
 //
-// The map finds a candidate by the hash, of which a caller can choose no byte;
-// the comparison of the whole hash takes the same time for every token.
+// The map lookup by hash leaks no usable timing, because a caller cannot choose any
+// byte of the hash. The full hashes are compared in constant time.
 func (c *Catalog) TeamByToken(token string, now time.Time) *fireflypath.Team {
 	sum := sha256.Sum256([]byte(token))
 	e := c.teamsByKey[sum]
@@ -79,28 +81,29 @@
 	return e.team
 }
 
-// Tier is the tier of the name, or nil.
+// Tier returns the tier with the name, or nil.
 func (c *Catalog) Tier(name string) *fireflypath.Tier {
 	return c.tiers[name]
 }
 
-// Pool is the pool of the name, or nil.
+// Pool returns the pool with the name, or nil.
 func (c *Catalog) Pool(name string) *fireflypath.Pool {
 	return c.pools[name]
 }
 
-// PoolByModel is the pool that serves the model, or nil.
+// PoolByModel returns the pool that serves the model, or nil.
 func (c *Catalog) PoolByModel(name string) *fireflypath.Pool {
 	return c.poolsByModel[name]
 }
 
-// Cache holds the catalog of the configuration in force.
+// Cache holds the catalog of the current configuration.
 type Cache struct {
 	current atomic.Pointer[Catalog]
 }
 
-// Get is the configuration's catalog. Requests pay two atomic loads; the first
-// one after a change builds the index.
+// Get returns the catalog of the configuration. With reading the current
+// configuration it costs a request two atomic loads; the first call after a change
+// builds the index.
 func (c *Cache) Get(cfg *fireflypath.Config) *Catalog {
 	if cat := c.current.Load(); cat != nil && cat.Config == cfg {
 		return cat
