--- a/internal/route/identify/identify.go
+++ b/internal/route/identify/identify.go
@@ -1,4 +1,4 @@
-// Package identify finds the team that sent a request.
+// Package identify determines the team and the tier of a request.
 package identify
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// Identify is the step that admits nobody without a team's key.
+// Identify is the step that refuses requests without a valid key of a team.
 type Identify struct{}
 
 // New returns the step.
@@ -17,12 +17,12 @@
 	return &Identify{}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Identify) String() string {
 	return "identify"
 }
 
-// Run sets the team and the tier.
+// Run sets the request's team and its tier, and its deadline if it has none.
 func (*Identify) Run(_ context.Context, r *request.Request) error {
 	team := r.Catalog.TeamByToken(r.Inbound.Token, r.Work.Arrived)
 	if r.Inbound.Token == "" || team == nil {
