--- a/internal/route/request/request.go
+++ b/internal/route/request/request.go
@@ -1,4 +1,5 @@
-// Package request is a caller's request on its way through the route.
+// Package request defines the state of a caller's request that the steps of the
+// route share.
 package request
 
 import (
@@ -11,68 +12,69 @@
 	"github.com/fireflypath/fireflypath/internal/route/catalog"
 )
 
-// Turn is what the queue tells a waiting request: a target, or a refusal.
+// Turn ends the wait of a queued request, with a target or with a refusal.
 type Turn struct {
 	Target  fireflypath.Target
 	Refusal *fireflypath.Refusal
 }
 
-// Owner is what the steps behind the queue tell the request's pool.
+// Owner is the pool of a request, as used by the steps after the queue.
 type Owner interface {
-	// Requeue lets a request wait once more of whose dispatch no byte left.
+	// Requeue lets a request wait again whose dispatch failed before any byte was
+	// sent.
 	Requeue(ctx context.Context, r *Request) error
-	// Notify passes on an event of a dispatched request.
+	// Notify passes an event of a dispatched request to the pool's scheduler.
 	Notify(r *Request, kind fireflypath.EventKind, cached int)
 }
 
-// Request is used by one goroutine at a time: the caller's, and while it waits
-// in a pool, whoever holds the pool's lock.
+// Request is used by one goroutine at a time: the caller's, or, while it waits in a
+// pool, the one that holds the pool's lock.
 type Request struct {
-	// Work is what the decision modules see.
+	// Work is the part that the scheduler and the other decision packages use.
 	Work fireflypath.Work
 	// Inbound is the request as the caller sent it.
 	Inbound Inbound
-	// Config is the configuration in force on arrival; all steps use this one.
+	// Config is the configuration at the arrival of the request; all steps use it.
 	Config *fireflypath.Config
 	// Catalog is the index of Config.
 	Catalog *catalog.Catalog
 	// Team is set by identify, Pool by classify.
 	Team *fireflypath.Team
 	Pool *fireflypath.Pool
-	// Call is what is sent to the target.
+	// Call is the call that is sent to the target.
 	Call fireflypath.Call
-	// Owner is the pool that the request waits or runs in, set by queue.
+	// Owner is the pool in which the request waits or runs, set by queue.
 	Owner Owner
-	// Backend speaks to the pool's targets, set by dispatch.
+	// Backend communicates with the pool's targets, set by dispatch.
 	Backend fireflypath.Backend
-	// Draft collects the record; nil if none is kept.
+	// Draft collects the request's record; nil if none is kept.
 	Draft *draft.Draft
-	// Turn holds at most one turn at a time.
+	// Turn receives the end of the wait; it is buffered for one value.
 	Turn chan Turn
-	// Target and Sent are those of the dispatch.
+	// Target is the target of the last dispatch, Sent its time.
 	Target fireflypath.Target
 	Sent   time.Time
-	// Answer is nil after a dispatch whose answer has not begun to arrive.
+	// Answer is the target's answer; nil if the dispatch failed before it began.
 	Answer fireflypath.Answer
-	// AnswerErr is why Answer is nil.
+	// AnswerErr is the error because of which Answer is nil.
 	AnswerErr error
-	// Claimed is true while the request's idempotency key is held for it.
+	// Claimed is true while the request holds the claim to its idempotency key.
 	Claimed bool
-	// Reply is what the caller gets.
+	// Reply is the reply to the caller.
 	Reply Reply
-	// Tokens counts the output tokens passed on.
+	// Tokens is the number of output tokens received from the target.
 	Tokens int
-	// Ended is true once the request's end has been counted.
+	// Ended is true once the end of the request has been counted and recorded.
 	Ended bool
 }
 
-// Inbound holds copies of what the caller sent, but for Body.
+// Inbound is the request as received. Its fields are copies, except for Body.
 type Inbound struct {
 	Method string
-	// Path is the path with its query, Route the part that the door matched.
+	// Path is the path with its query.
 	Path string
-	// Service is the pool named by a call to /services/POOL/..., and Rest the
-	// path behind it, with its query.
+	// Service is the pool named by a call to /services/POOL/..., and ServicePath the
+	// rest of the path with its query.
 	Service     string
 	ServicePath string
 	// Token is the bearer token.
@@ -81,22 +83,22 @@
 	Deadline       string
 	Idempotent     string
 	IdempotencyKey string
-	// Header holds the end-to-end headers to pass on to services.
+	// Header holds the end-to-end headers that are passed on to services.
 	Header map[string]string
-	// Body belongs to the connection until the request's answer begins.
+	// Body is owned by the connection and valid until the reply begins.
 	Body []byte
-	// CallerAddr is the caller's address without its port.
+	// CallerAddr is the address of the caller without the port.
 	CallerAddr string
 }
 
-// Reply is an answer to write: Body, or Stream if that is not nil.
+// Reply is the reply to write, with Stream as its body if that is not nil, or Body.
 type Reply struct {
 	Status int
 	Header map[string]string
 	Body   []byte
-	// Stream fails with an error other than io.EOF if the answer is not whole;
-	// the connection is then closed without the end mark.
+	// Stream fails with an error other than io.EOF if the answer is incomplete. The
+	// connection is then closed without the terminating chunk.
 	Stream io.ReadCloser
-	// Length is the length of Stream, or -1 for chunks.
+	// Length is the length of Stream, or -1 for chunked encoding.
 	Length int
 }
