--- a/internal/route/refuse/refuse.go
+++ b/internal/route/refuse/refuse.go
@@ -1,4 +1,4 @@
-// Package refuse writes refusals for callers.
+// Package refuse encodes refusals as HTTP replies.
 package refuse
 
 import (
@@ -11,10 +11,11 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// statusClientClosed is the customary code for a caller that left; nobody reads it.
+// statusClientClosed is the nonstandard code, introduced by nginx, for a caller that
+// closed its connection. It appears in no reply that is read.
 const statusClientClosed = 499
 
-// Status is the HTTP status that fits the reason.
+// Status returns the HTTP status for the reason.
 func Status(r fireflypath.Reason) int {
 	switch r {
 	case fireflypath.ReasonMalformed:
@@ -42,7 +43,7 @@
 	}
 }
 
-// JSON is the refusal's body.
+// JSON returns the body of a reply with the refusal.
 func JSON(refusal *fireflypath.Refusal) []byte {
 	r := *refusal
 	r.RetryMS = int64((r.RetryAfter + time.Millisecond - 1) / time.Millisecond)
@@ -54,7 +55,7 @@
 	return body
 }
 
-// Reply is the refusal as an answer.
+// Reply returns the refusal as a reply to the caller.
 func Reply(refusal *fireflypath.Refusal) request.Reply {
 	h := map[string]string{"Content-Type": "application/json"}
 	if refusal.RetryAfter > 0 {
