--- a/internal/route/classify/classify.go
+++ b/internal/route/classify/classify.go
@@ -1,4 +1,4 @@
-// Package classify finds the pool of a request and estimates its cost.
+// Package classify determines the pool of a request and estimates its cost.
 package classify
 
 import (
@@ -11,18 +11,19 @@
 )
 
 const (
-	// bytesPerToken is the length of prompt text taken for one token (docs/PROTOCOLS.md).
+	// bytesPerToken is the length of prompt text that counts as one token
+	// (docs/PROTOCOLS.md).
 	bytesPerToken = 4
-	// defaultOutput is the output expected of callers that name no bound; it
-	// is the common default of completions APIs, rounded up to a power of two.
+	// defaultOutput is the output expected of a call without max_tokens. It is the
+	// common default of completions APIs, rounded up to a power of two.
 	defaultOutput = 256
-	// maxOutput bounds what a caller may ask for: no engine holds more.
+	// maxOutput bounds max_tokens; no engine can hold more.
 	maxOutput = 1 << 20
-	// maxModelName bounds a model's name, which records keep.
+	// maxModelName bounds the length of a model's name, because records keep it.
 	maxModelName = 256
 )
 
-// Classify is the step that reads the body of model work.
+// Classify is the step that reads the body of completions calls.
 type Classify struct{}
 
 // New returns the step.
@@ -30,12 +31,12 @@
 	return &Classify{}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Classify) String() string {
 	return "classify"
 }
 
-// Run sets the pool, the cost, the prefix and the call.
+// Run sets the request's pool, cost and prefix hashes and the call to the target.
 func (*Classify) Run(_ context.Context, r *request.Request) error {
 	r.Call.ID = r.Work.ID
 	r.Call.Method = r.Inbound.Method
@@ -59,7 +60,7 @@
 	return setPool(r, p)
 }
 
-// body is what is read of a completions call.
+// body is the body of a completions call; fields that are not used are omitted.
 type body struct {
 	Model    string    `json:"model"`
 	Stream   *bool     `json:"stream"`
@@ -72,10 +73,11 @@
 	Content content `json:"content"`
 }
 
-// content is a text, or a list of parts of which those with a text count.
+// content is the text of a message, given as a string or as a list of parts; parts
+// without text are ignored.
 type content string
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON decodes a string or a list of parts.
 func (c *content) UnmarshalJSON(b []byte) error {
 	if b[0] == '"' {
 		var s string
@@ -121,7 +123,7 @@
 	return setPool(r, p)
 }
 
-// setPool checks that the team may use the pool.
+// setPool sets the request's pool if the team may use it.
 func setPool(r *request.Request, p *fireflypath.Pool) error {
 	if len(r.Team.Pools) > 0 && !slices.Contains(r.Team.Pools, p.Name) {
 		return refuse(fireflypath.ReasonForbidden, "the team may not use the pool")
--- a/internal/route/classify/classify_test.go
+++ b/internal/route/classify/classify_test.go
@@ -15,9 +15,9 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// Engines are always asked for a stream, whatever the caller wants, and the
-// rest of its call reaches them unchanged.
-func TestCall(t *testing.T) {
+// The call to an engine always requests a stream, whatever the caller requested,
+// and is otherwise passed on unchanged.
+func TestCallRequestsStream(t *testing.T) {
 	tests := []struct {
 		name, body string
 		stream     bool
@@ -29,7 +29,7 @@
 		{"stream null", `{"model":"m","prompt":"x","stream":null }`, false, fireflypath.Cost{Prompt: 1, Output: 256}},
 		{"chat", `{"model":"m","messages":[{"content":"abcd"},{"content":"e"}]} `, false, fireflypath.Cost{Prompt: 2, Output: 256}},
 		{"chat of parts", `{"model":"m","messages":[{"content":[{"type":"text","text":"abcd"},{"type":"image"}]}]}`, false, fireflypath.Cost{Prompt: 1, Output: 256}},
-		{"stream in the text", `{"model":"m","prompt":"\"stream\":false"}`, false, fireflypath.Cost{Prompt: 4, Output: 256}},
+		{"stream in the prompt", `{"model":"m","prompt":"\"stream\":false"}`, false, fireflypath.Cost{Prompt: 4, Output: 256}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -38,12 +38,12 @@
 			is.NoErr(classify.New().Run(t.Context(), r))
 			is.Equal(r.Call.Stream, tt.stream)
 			is.Equal(r.Work.Cost, tt.cost)
-			var sent, given map[string]any
+			var sent, received map[string]any
 			is.NoErr(json.Unmarshal(r.Call.Body, &sent))
-			is.NoErr(json.Unmarshal([]byte(tt.body), &given))
+			is.NoErr(json.Unmarshal([]byte(tt.body), &received))
 			is.Equal(sent["stream"], true)
-			given["stream"] = true
-			is.Equal(sent, given)
+			received["stream"] = true
+			is.Equal(sent, received)
 		})
 	}
 }
--- a/internal/route/classify/prompt.go
+++ b/internal/route/classify/prompt.go
@@ -11,10 +11,11 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// blockBytes is the prompt text of one cache block (docs/PROTOCOLS.md).
+// blockBytes is the length of prompt text in one cache block (docs/PROTOCOLS.md).
 const blockBytes = 256
 
-// promptText is the prompt as the engine counts it: a chat's contents one after the other.
+// promptText returns the prompt as the engine counts it; for a chat, the contents of
+// its messages are concatenated. It returns false if there is neither.
 func (b *body) promptText() (string, bool) {
 	if b.Prompt != nil {
 		return *b.Prompt, true
@@ -26,7 +27,7 @@
 	return out.String(), len(b.Messages) > 0
 }
 
-// prefixHashes is the cumulative hash at the end of each full block.
+// prefixHashes returns the cumulative hash at the end of each full block.
 func prefixHashes(text string) []uint64 {
 	n := len(text) / blockBytes
 	if n == 0 {
@@ -43,7 +44,8 @@
 	return out
 }
 
-// requestStream makes the body ask for a stream: only streams can be resumed.
+// requestStream sets a body that requests a stream, because only streams can be
+// resumed.
 func requestStream(r *request.Request, b *body) error {
 	r.Call.Body = r.Inbound.Body
 	r.Call.Stream = b.Stream != nil && *b.Stream
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// appendField adds a field to a JSON object that has at least one.
+// appendField appends a field to a JSON object that has at least one field.
 func appendField(object []byte, field string) []byte {
 	end := bytes.LastIndexByte(object, '}')
 	out := make([]byte, 0, len(object)+len(field)+1)
@@ -67,8 +69,9 @@
 	return append(out, '}')
 }
 
-// replaceStream writes the object anew; a second field of the same name would
-// leave the choice between the two to the engine's parser.
+// replaceStream sets the stream field of the decoded object. Appending a second
+// field of the same name would leave the choice between the two to the engine's
+// parser.
 func replaceStream(r *request.Request) error {
 	var m map[string]json.RawMessage
 	if err := json.Unmarshal(r.Inbound.Body, &m); err != nil {
