--- a/internal/route/queue/queue.go
+++ b/internal/route/queue/queue.go
@@ -1,4 +1,4 @@
-// Package queue lets a request wait for its turn.
+// Package queue lets a request wait in its pool until it has a target.
 package queue
 
 import (
@@ -10,11 +10,12 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// retryAfter is given for want of memory, which running requests free within
-// seconds.
+// retryAfter is sent with a refusal for lack of memory, which running requests free
+// within seconds.
 const retryAfter = time.Second
 
-// Queue is the step that ends with a target or a refusal as not run.
+// Queue is the step that ends with a target, or with a refusal of a request that
+// did not run.
 type Queue struct {
 	pools *pools.Pools
 }
@@ -24,12 +25,12 @@
 	return &Queue{pools: p}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Queue) String() string {
 	return "queue"
 }
 
-// Run waits.
+// Run reserves the request's memory and waits for a target.
 func (q *Queue) Run(ctx context.Context, r *request.Request) error {
 	p := q.pools.Pool(r.Config, r.Work.Pool)
 	if p == nil {
