--- a/internal/route/claim/claim.go
+++ b/internal/route/claim/claim.go
@@ -1,4 +1,4 @@
-// Package claim takes a request's idempotency key before anything is sent.
+// Package claim claims a request's idempotency key before the request is sent.
 package claim
 
 import (
@@ -13,13 +13,14 @@
 )
 
 const (
-	// maxKeyLength bounds a key; keys are usually UUIDs.
+	// maxKeyLength bounds the length of a key; keys are usually UUIDs.
 	maxKeyLength = 256
-	// retryAfter is given when the store was down for the request's whole time.
+	// retryAfter is sent with a refusal when the store was unavailable until the
+	// request's deadline.
 	retryAfter = 2 * time.Second
 )
 
-// Claim is the step.
+// Claim is the step that claims idempotency keys.
 type Claim struct {
 	claims   *claim.Claims
 	recorder fireflypath.Recorder
@@ -30,12 +31,12 @@
 	return &Claim{claims: claims, recorder: recorder}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Claim) String() string {
 	return "claim"
 }
 
-// Run claims the key of work that is not idempotent.
+// Run claims the key of a request that is not idempotent.
 func (s *Claim) Run(ctx context.Context, r *request.Request) error {
 	if r.Inbound.IdempotencyKey == "" || r.Work.Idempotent {
 		return nil
@@ -62,7 +63,8 @@
 	}
 }
 
-// conflictDetail adds how the holder ended if this daemon knows.
+// conflictDetail describes the request that holds the key, with its state if this
+// daemon has a record of it.
 func (s *Claim) conflictDetail(held *claim.HeldError) string {
 	if s.recorder != nil {
 		if rec := s.recorder.Find(held.Holder); rec != nil {
