--- a/internal/route/early/early.go
+++ b/internal/route/early/early.go
@@ -1,4 +1,5 @@
-// Package early recognises requests that come back before the time that their refusal gave.
+// Package early detects requests that are retried before the Retry-After time of
+// their refusal.
 package early
 
 import (
@@ -13,20 +14,20 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// maxEntries bounds the refusals remembered in each of two maps, of about 40 bytes
-// an entry: at the peak's 57 requests a second all of them, refused for four
-// minutes, fit in.
+// maxEntries bounds each of the two maps of refusals, at about 40 bytes per entry.
+// It holds all refusals of four minutes even if every request is refused at the
+// peak rate of 57 requests per second.
 const maxEntries = 16 << 10
 
-// Early is a step that marks the work of impatient callers, for the scheduler
-// to weigh. A request is known by its team, path and body, because callers
-// send the same again; it carries nothing else that tells.
+// Early is the step that marks requests of callers that retry too early, for the
+// scheduler to consider. A retry is recognised by its team, path and body, because
+// callers send the same request again without any other mark.
 type Early struct {
 	clock clockwork.Clock
 
 	mu sync.Mutex
-	// allowedAt maps a request to when it may come back. The older map is dropped
-	// when the younger one is full.
+	// allowedAt maps the hash of a refused request to the time from which it may be
+	// retried. When it is full it replaces olderAllowedAt, which is dropped.
 	allowedAt, olderAllowedAt map[uint64]time.Time
 }
 
@@ -35,7 +36,7 @@
 	return &Early{clock: clock, allowedAt: map[uint64]time.Time{}}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Early) String() string {
 	return "early"
 }
@@ -56,7 +57,8 @@
 	return nil
 }
 
-// RecordRefusal remembers a refusal that gave a time.
+// RecordRefusal records the time from which a refused request may be retried, if
+// the refusal has one.
 func (e *Early) RecordRefusal(r *request.Request, refusal *fireflypath.Refusal) {
 	if refusal.RetryAfter <= 0 || r.Team == nil {
 		return
