--- a/internal/route/parse/parse.go
+++ b/internal/route/parse/parse.go
@@ -1,4 +1,4 @@
-// Package parse reads what the headers say of a request.
+// Package parse reads a request's deadline and idempotency from its headers.
 package parse
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// maxDeadline bounds a deadline: a waiting request holds memory, and work whose
-// answer may come a day later is no request.
+// maxDeadline bounds the time until a deadline: a waiting request holds memory, and
+// a caller does not wait a day for an answer.
 const maxDeadline = 24 * time.Hour
 
-// Parse is the first step: it needs no configuration.
+// Parse is the first step of the route; it needs no configuration.
 type Parse struct {
 	clock clockwork.Clock
 }
@@ -27,12 +27,13 @@
 	return &Parse{clock: clock}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Parse) String() string {
 	return "parse"
 }
 
-// Run sets Arrived, Deadline (zero if the caller names none) and Idempotent.
+// Run sets the request's Arrived, Deadline (zero if the caller sent none) and
+// Idempotent.
 func (p *Parse) Run(_ context.Context, r *request.Request) error {
 	r.Work.Arrived = p.clock.Now()
 	if err := p.setDeadline(r); err != nil {
