--- a/internal/route/meter/meter.go
+++ b/internal/route/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what becomes of requests.
+// Package meter counts the outcomes of requests.
 package meter
 
 import (
@@ -11,36 +11,37 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// buckets double from a millisecond, the network's own time, to about four
-// minutes, above the longest deadline in use.
+// buckets double from 1 ms, the latency of the network itself, to about four
+// minutes, which is above the longest deadline in use.
 var buckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 18)
 
-// Meter holds the instruments by tier, so that a request looks up one map.
+// Meter holds the metrics of each tier, so that a request needs one map lookup.
 type Meter struct {
 	scope tally.Scope
 	tiers sync.Map // of string to *tier
 }
 
-// tierMetrics is one tier's instruments.
+// tierMetrics holds the metrics of one tier.
 type tierMetrics struct {
 	scope    tally.Scope
 	requests tally.Counter
-	// goodput counts whole answers in time, late the other whole ones.
+	// goodput counts complete answers before the deadline, late those after it.
 	goodput tally.Counter
 	late    tally.Counter
 	tokens  tally.Counter
-	// wait is from arrival to dispatch, latency to the end of a whole answer.
+	// wait is the time from arrival to dispatch, latency from arrival to the end of
+	// a complete answer.
 	wait    tally.Histogram
 	latency tally.Histogram
 	refused sync.Map // of fireflypath.Reason to tally.Counter
 }
 
-// New returns a Meter that counts in the scope.
+// New returns a Meter that reports to the scope.
 func New(scope tally.Scope) *Meter {
 	return &Meter{scope: scope}
 }
 
-// RecordEnd counts the end of a request; refusal is nil for a whole answer.
+// RecordEnd counts the end of a request; refusal is nil for a complete answer.
 func (m *Meter) RecordEnd(now time.Time, r *request.Request, refusal *fireflypath.Refusal) {
 	t := m.forTier(r.Work.Tier)
 	t.requests.Inc(1)
