--- a/internal/route/admit/admit.go
+++ b/internal/route/admit/admit.go
@@ -11,14 +11,15 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// Admit is the step before the queue.
+// Admit is the step that evaluates the operators' rules.
 type Admit struct {
 	clock   clockwork.Clock
 	members fireflypath.Members
 	rules   *rules.Rules
 }
 
-// New returns the step; nil members are this daemon alone.
+// New returns the step. If members is nil, this daemon is the only one; if state is
+// nil, the step keeps its own.
 func New(clock clockwork.Clock, members fireflypath.Members, state *rules.Rules) *Admit {
 	if state == nil {
 		state = &rules.Rules{}
@@ -26,12 +27,12 @@
 	return &Admit{clock: clock, members: members, rules: state}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Admit) String() string {
 	return "admit"
 }
 
-// Run refuses what a rule does not let in.
+// Run refuses a request that a rule does not admit.
 func (a *Admit) Run(_ context.Context, r *request.Request) error {
 	daemons := 1
 	if a.members != nil {
