--- a/internal/route/evidence/evidence.go
+++ b/internal/route/evidence/evidence.go
@@ -1,4 +1,4 @@
-// Package evidence weighs who says that a target is leaving.
+// Package evidence combines the reports of several sources that a target is leaving.
 package evidence
 
 import (
@@ -6,39 +6,40 @@
 	"time"
 )
 
-// Source is who says that a target is leaving.
+// Source is the origin of a report that a target is leaving.
 type Source string
 
 const (
-	// SourceTarget is the target itself, by its report or its refusal.
+	// SourceTarget is the target itself, by its load report or a refusal.
 	SourceTarget Source = "the target's own word"
-	// SourceHosts is the platform's list.
+	// SourceHosts is the platform's host list.
 	SourceHosts Source = "the host list"
-	// SourcePeers is what other daemons saw; it is not told to them again.
+	// SourcePeers is the observation of other daemons; it is not sent back to them.
 	SourcePeers Source = "other daemons"
 )
 
-// Evidence holds the sources that say so, by target. Only the first one and
-// the end of the last one are told on.
+// Evidence holds, by target, the sources that report it as leaving. Only the first
+// such report and the retraction of the last one are passed on.
 //
-// Sources disagree: the host list lags behind a target's own word. If the last
-// speaker won, a target that said it drains would get work again from a list
-// that has not heard yet.
+// Sources disagree, because the host list lags behind a target's own report. If
+// the latest report won, a target that announced that it drains would get new
+// requests again because of an outdated list.
 type Evidence struct {
 	onLeaving func(target, why string)
 	onBack    func(target string)
 
 	mu sync.Mutex
-	// reports holds when each source last said that the target leaves.
+	// reports holds when each source last reported that the target is leaving.
 	reports map[string]map[Source]time.Time
 }
 
-// New returns Evidence that calls leaving and back at changes, with a lock held.
+// New returns an Evidence that calls leaving and back at changes, while it holds
+// its lock.
 func New(leaving func(target, why string), back func(target string)) *Evidence {
 	return &Evidence{onLeaving: leaving, onBack: back, reports: map[string]map[Source]time.Time{}}
 }
 
-// ReportLeaving takes that the source said at a time that the target leaves.
+// ReportLeaving records that the source reported the target as leaving at the time.
 func (e *Evidence) ReportLeaving(target string, source Source, at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -49,13 +50,13 @@
 	e.reports[target][source] = at
 }
 
-// ReportStaying takes that the source said at a time that the target does not leave.
-// A reading older than the source's word to the contrary is a late report.
+// ReportStaying records that the source reported the target as not leaving at the
+// time. It is ignored if the same source reported it as leaving later than that.
 func (e *Evidence) ReportStaying(target string, source Source, at time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	said, ok := e.reports[target][source]
-	if !ok || at.Before(said) {
+	reportedAt, ok := e.reports[target][source]
+	if !ok || at.Before(reportedAt) {
 		return
 	}
 	delete(e.reports[target], source)
