--- a/internal/route/dispatch/dispatch.go
+++ b/internal/route/dispatch/dispatch.go
@@ -1,4 +1,4 @@
-// Package dispatch sends a request to its target.
+// Package dispatch sends a request to the target that the scheduler chose.
 package dispatch
 
 import (
@@ -11,28 +11,30 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// retryAfter is given when a target refused: by then its refusal has steered new
-// work elsewhere (3 s, docs/DESIGN.md).
+// retryAfter is sent with the refusal by a target. By then the scheduler places new
+// requests elsewhere because of that refusal (3 s, docs/DESIGN.md).
 const retryAfter = time.Second
 
-// Dispatch is the step in which a request's bytes leave, once.
+// Dispatch is the step that sends a request's bytes at most once.
 type Dispatch struct {
 	backends    map[fireflypath.Kind]fireflypath.Backend
 	leaving     func(target string)
 	unreachable func(target string)
 }
 
-// New returns the step; leaving spreads what a target says of itself.
-func New(backends map[fireflypath.Kind]fireflypath.Backend, leaving, dead func(target string)) *Dispatch {
-	return &Dispatch{backends: backends, leaving: leaving, unreachable: dead}
+// New returns the step. The function leaving is called with a target that refused a
+// request because it drains, unreachable with one that accepted no connection.
+func New(backends map[fireflypath.Kind]fireflypath.Backend, leaving, unreachable func(target string)) *Dispatch {
+	return &Dispatch{backends: backends, leaving: leaving, unreachable: unreachable}
 }
 
-// String names the step.
+// String returns the name of the step.
 func (*Dispatch) String() string {
 	return "dispatch"
 }
 
-// Run dispatches, and lets the request wait again as long as no byte left.
+// Run dispatches the request. While a dispatch fails before any byte is sent, the
+// request returns to the queue and is dispatched again.
 func (d *Dispatch) Run(ctx context.Context, r *request.Request) error {
 	r.Backend = d.backends[r.Pool.Kind]
 	for {
@@ -56,8 +58,8 @@
 	}
 }
 
-// send keeps the caller's leaving from cutting work that may not be repeated:
-// cut off, nobody would know whether it ran.
+// send dispatches once. A request that is not idempotent is not cancelled when its
+// caller leaves, because it would then be unknown whether it ran.
 func (d *Dispatch) send(ctx context.Context, r *request.Request) error {
 	if ctx.Err() != nil {
 		return errors.Mark(ctx.Err(), fireflypath.ErrUnsent)
--- a/internal/route/dispatch/dispatch_test.go
+++ b/internal/route/dispatch/dispatch_test.go
@@ -12,48 +12,49 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// failing is a backend that sends nothing, and the pool that ends the request.
-type failing struct{ err error }
+// failingBackend is a backend whose dispatches fail before any byte is sent, and the
+// pool that ends the request.
+type failingBackend struct{ err error }
 
-func (f failing) Dispatch(context.Context, fireflypath.Target, *fireflypath.Call) (fireflypath.Answer, error) {
+func (f failingBackend) Dispatch(context.Context, fireflypath.Target, *fireflypath.Call) (fireflypath.Answer, error) {
 	return nil, errors.Mark(f.err, fireflypath.ErrUnsent)
 }
 
-func (failing) Resume(context.Context, fireflypath.Target, *fireflypath.Call, int) (fireflypath.Answer, error) {
+func (failingBackend) Resume(context.Context, fireflypath.Target, *fireflypath.Call, int) (fireflypath.Answer, error) {
 	return nil, nil
 }
-func (failing) Cancel(context.Context, fireflypath.Target, string) error { return nil }
+func (failingBackend) Cancel(context.Context, fireflypath.Target, string) error { return nil }
 
 var errEnd = errors.New("the wait ended")
 
-func (failing) Requeue(context.Context, *request.Request) error     { return errEnd }
-func (failing) Notify(*request.Request, fireflypath.EventKind, int) {}
+func (failingBackend) Requeue(context.Context, *request.Request) error     { return errEnd }
+func (failingBackend) Notify(*request.Request, fireflypath.EventKind, int) {}
 
-// A request meets a target that takes no connection, before the next look at
-// that target. The other daemons must hear of it. That this host has no
-// descriptor left says nothing of the target: told to all, it would take every
-// target out when the load is highest.
-func TestOnlyUnreachedTargetsAreTold(t *testing.T) {
+// A target that accepts no connection is reported to the other daemons without
+// waiting for its next poll. A failure on this host, such as no file descriptor
+// left, must not be reported: it would take every target out of service when the
+// load is highest.
+func TestOnlyUnreachableTargetsAreReported(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		err  error
-		told []string
+		name     string
+		err      error
+		reported []string
 	}{
-		{"takes no connection", fireflypath.ErrUnreached, []string{"e0"}},
-		{"no descriptor here", errors.New("too many open files"), nil},
+		{"target accepts no connection", fireflypath.ErrUnreached, []string{"e0"}},
+		{"no file descriptor left", errors.New("too many open files"), nil},
 		{"caller left", context.Canceled, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			var told []string
-			f := failing{tt.err}
+			var reported []string
+			f := failingBackend{tt.err}
 			d := dispatch.New(map[fireflypath.Kind]fireflypath.Backend{fireflypath.KindEngine: f},
-				func(string) {}, func(target string) { told = append(told, target) })
+				func(string) {}, func(target string) { reported = append(reported, target) })
 			r := &request.Request{
 				Owner: f, Target: fireflypath.Target{Name: "e0"}, Pool: &fireflypath.Pool{Kind: fireflypath.KindEngine},
 			}
 			is.True(errors.Is(d.Run(t.Context(), r), errEnd))
-			is.Equal(told, tt.told)
+			is.Equal(reported, tt.reported)
 		})
 	}
 }
