--- a/internal/route/panic_test.go
+++ b/internal/route/panic_test.go
@@ -18,31 +18,33 @@
 	"github.com/fireflypath/fireflypath/internal/testkit/fifo"
 )
 
-// mistaken panics at its first call.
-type mistaken struct {
-	instant
+// panickingBackend panics at its first dispatch.
+type panickingBackend struct {
+	instantBackend
 	called bool
 }
 
-func (m *mistaken) Dispatch(ctx context.Context, t fireflypath.Target, c *fireflypath.Call) (fireflypath.Answer, error) {
-	if !m.called {
-		m.called = true
-		panic("a mistake")
+func (p *panickingBackend) Dispatch(
+	ctx context.Context, t fireflypath.Target, c *fireflypath.Call,
+) (fireflypath.Answer, error) {
+	if !p.called {
+		p.called = true
+		panic("bug in the backend")
 	}
-	return m.instant.Dispatch(ctx, t, c)
+	return p.instantBackend.Dispatch(ctx, t, c)
 }
 
-// A mistake in the code panics for one request. Its caller reads that the
-// request may have run, and the requests of all others go on.
-func TestPanicEndsOneRequest(t *testing.T) {
+// A bug that panics ends only the request that triggers it. Its caller is told that
+// the request may have run, and other requests are still served.
+func TestPanicEndsOnlyOneRequest(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
 	cfg := testkit.Config(nil, []string{"127.0.0.1:1"})
 	p := pools.New(clock, nil, func(c fireflypath.Pool) fireflypath.Scheduler { return fifo.New(c) })
 	p.Apply(cfg)
 	rt := route.New(route.Deps{
-		Name: "d0", Clock: clock, Configs: fixed{cfg}, Pools: p, Meter: meter.New(tally.NoopScope),
-		Backends: map[fireflypath.Kind]fireflypath.Backend{fireflypath.KindService: &mistaken{}},
+		Name: "d0", Clock: clock, Configs: staticConfig{cfg}, Pools: p, Meter: meter.New(tally.NoopScope),
+		Backends: map[fireflypath.Kind]fireflypath.Backend{fireflypath.KindService: &panickingBackend{}},
 	})
 	first := serve(rt).Reply
 	is.Equal(first.Status, http.StatusBadGateway)
@@ -50,7 +52,7 @@
 	is.Equal(serve(rt).Reply.Status, http.StatusOK)
 	for _, d := range p.Demands() {
 		for _, n := range d.Running {
-			is.Equal(n, 0) // the target's place is free again
+			is.Equal(n, 0) // the target's capacity is free again
 		}
 	}
 }
--- a/internal/route/records_test.go
+++ b/internal/route/records_test.go
@@ -20,24 +20,24 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// instant answers at once, so that what is measured is the route itself.
-type instant struct{}
+// instantBackend answers immediately, so that a benchmark measures only the route.
+type instantBackend struct{}
 
-type answer struct{ read bool }
+type okAnswer struct{ read bool }
 
-func (instant) Dispatch(context.Context, fireflypath.Target, *fireflypath.Call) (fireflypath.Answer, error) {
-	return &answer{}, nil
+func (instantBackend) Dispatch(context.Context, fireflypath.Target, *fireflypath.Call) (fireflypath.Answer, error) {
+	return &okAnswer{}, nil
 }
 
-func (instant) Resume(context.Context, fireflypath.Target, *fireflypath.Call, int) (fireflypath.Answer, error) {
+func (instantBackend) Resume(context.Context, fireflypath.Target, *fireflypath.Call, int) (fireflypath.Answer, error) {
 	return nil, fireflypath.ErrGone
 }
 
-func (instant) Cancel(context.Context, fireflypath.Target, string) error { return nil }
+func (instantBackend) Cancel(context.Context, fireflypath.Target, string) error { return nil }
 
-func (*answer) Head() fireflypath.Head { return fireflypath.Head{Status: 200, Cached: -1} }
+func (*okAnswer) Head() fireflypath.Head { return fireflypath.Head{Status: 200, Cached: -1} }
 
-func (a *answer) Next(context.Context) (fireflypath.Chunk, error) {
+func (a *okAnswer) Next(context.Context) (fireflypath.Chunk, error) {
 	if a.read {
 		return fireflypath.Chunk{}, io.EOF
 	}
@@ -45,14 +45,14 @@
 	return fireflypath.Chunk{Data: []byte("ok"), Offset: 1}, nil
 }
 
-func (*answer) Close() error { return nil }
+func (*okAnswer) Close() error { return nil }
 
-type fixed struct{ cfg *fireflypath.Config }
+type staticConfig struct{ cfg *fireflypath.Config }
 
-func (f fixed) Current() *fireflypath.Config   { return f.cfg }
-func (f fixed) Changed(uint64) <-chan struct{} { return nil }
+func (s staticConfig) Current() *fireflypath.Config   { return s.cfg }
+func (s staticConfig) Changed(uint64) <-chan struct{} { return nil }
 
-func newRoute(to fireflypath.Recorder) *route.Route {
+func newRoute(recorder fireflypath.Recorder) *route.Route {
 	addrs := make([]string, 12)
 	for i := range addrs {
 		addrs[i] = fmt.Sprintf("127.0.0.1:%d", 9000+i)
@@ -64,8 +64,8 @@
 	})
 	p.Apply(cfg)
 	return route.New(route.Deps{
-		Name: "d0", Clock: clock, Configs: fixed{cfg}, Pools: p, Recorder: to, Meter: meter.New(tally.NoopScope),
-		Backends: map[fireflypath.Kind]fireflypath.Backend{fireflypath.KindService: instant{}},
+		Name: "d0", Clock: clock, Configs: staticConfig{cfg}, Pools: p, Recorder: recorder, Meter: meter.New(tally.NoopScope),
+		Backends: map[fireflypath.Kind]fireflypath.Backend{fireflypath.KindService: instantBackend{}},
 	})
 }
 
@@ -85,8 +85,8 @@
 	return r
 }
 
-// Every end of the route leaves a record under the id that the caller gets.
-func TestRecordOfAServedRequest(t *testing.T) {
+// An answered request has a record under the id that its caller receives.
+func TestRecordOfAnsweredRequest(t *testing.T) {
 	is := is.New(t)
 	ring := record.New(0)
 	r := serve(newRoute(ring))
@@ -99,9 +99,10 @@
 	is.Equal(len(got.Considered), 12)
 }
 
-// A caller comes with an unknown key and is refused before it waits. An operator
-// who counts requests by state must not read it as one that still waits.
-func TestRecordOfARefusedRequest(t *testing.T) {
+// Guards against a request with an unknown key that is refused before it waits, but
+// recorded as waiting. An operator who counts requests by state would count it as
+// still waiting.
+func TestRecordOfRefusedRequest(t *testing.T) {
 	is := is.New(t)
 	ring := record.New(0)
 	r := serveAs(newRoute(ring), "unknown")
@@ -111,16 +112,16 @@
 	is.Equal(got.State, "refused")
 }
 
-// BenchmarkServe measures a request's time in the daemon, without its sockets,
-// with records for "why" and without.
+// BenchmarkServe measures the time of a request in the route, without network I/O,
+// with and without records.
 func BenchmarkServe(b *testing.B) {
 	for _, on := range []bool{false, true} {
 		b.Run(fmt.Sprintf("records=%v", on), func(b *testing.B) {
-			var to fireflypath.Recorder
+			var recorder fireflypath.Recorder
 			if on {
-				to = record.New(0)
+				recorder = record.New(0)
 			}
-			rt := newRoute(to)
+			rt := newRoute(recorder)
 			b.ReportAllocs()
 			for b.Loop() {
 				serve(rt)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,4 +1,5 @@
-// Package route is the way of a request through a daemon.
+// Package route processes requests in a sequence of steps, from parsing the headers
+// to relaying the answer.
 package route
 
 import (
@@ -32,16 +33,16 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// Step is one part of the way. An error ends it: a *fireflypath.Refusal is the
-// caller's answer, any other error is turned into one.
+// Step is one step of the route. An error ends the route: a *fireflypath.Refusal is
+// sent to the caller, any other error is converted to one.
 type Step interface {
 	String() string
 	Run(ctx context.Context, r *request.Request) error
 }
 
-// Deps is what the steps need.
+// Deps holds the dependencies of the steps.
 type Deps struct {
-	// Name begins the ids of requests.
+	// Name is the prefix of request ids.
 	Name     string
 	Clock    clockwork.Clock
 	Configs  fireflypath.Configs
@@ -49,27 +50,28 @@
 	Backends map[fireflypath.Kind]fireflypath.Backend
 	Claims   *claims.Claims
 	Meter    *meter.Meter
-	// Members share the operators' limits; nil is this daemon alone.
+	// Members returns the daemons that share the operators' limits; nil means that
+	// this daemon is the only one.
 	Members fireflypath.Members
-	// Rules holds the state of the operators' rules; nil makes one.
+	// Rules holds the state of the operators' rules; if nil, the route keeps its own.
 	Rules *rules.Rules
 	// Recorder may be nil.
 	Recorder fireflypath.Recorder
 	// Log may be nil.
 	Log *zap.Logger
-	// Leaving spreads what a target says of itself.
+	// Leaving is called with a target that refused a request because it drains.
 	Leaving func(target string)
-	// Unreachable spreads that a target took no connection.
+	// Unreachable is called with a target that accepted no connection.
 	Unreachable func(target string)
 }
 
-// Route runs requests.
+// Route processes requests.
 type Route struct {
 	deps     Deps
 	catalogs catalog.Cache
 	early    *early.Early
 	steps    []Step
-	// headerSteps are the steps that need the header only.
+	// headerSteps are the first steps, which need only the headers.
 	headerSteps []Step
 }
 
@@ -90,7 +92,8 @@
 	return rt
 }
 
-// Serve sets the request's reply. The context ends when the caller leaves.
+// Serve runs the steps and sets the request's reply. The context is done when the
+// caller leaves.
 func (rt *Route) Serve(ctx context.Context, r *request.Request) {
 	defer rt.recoverPanic(r)
 	rt.prepare(r)
@@ -102,9 +105,9 @@
 	}
 }
 
-// Rank is the rank of the request's tier, found by its header before the body
-// is read. For a request that its header refuses it sets the reply and reports
-// false; such a request must not be served, as its body is missing.
+// Rank returns the rank of the request's tier, determined from the headers before
+// the body is read. For a request that is refused because of its headers it sets the
+// reply and returns false; such a request must not be served, as its body is missing.
 func (rt *Route) Rank(r *request.Request) (rank int, ok bool) {
 	defer rt.recoverPanic(r)
 	rt.prepare(r)
@@ -114,20 +117,19 @@
 			return 0, false
 		}
 	}
-	r.Work.Deadline = time.Time{} // counts from the whole request's arrival
+	r.Work.Deadline = time.Time{} // set again when the complete request has arrived
 	return r.Work.Rank, true
 }
 
-// Refuse sets the reply of a request that Rank looked at and that is not served.
+// Refuse sets the reply of a request that is refused after Rank and is not served.
 func (rt *Route) Refuse(r *request.Request, refusal *fireflypath.Refusal) {
 	rt.refuse(r, "body", refusal)
 }
 
-// recoverPanic answers a request whose step panicked.
+// recoverPanic refuses and counts a request whose step panicked, and logs the stack.
 //
-// The server library lets a panic end the process: one request that meets a
-// mistake in the code would take all others of the daemon with it, and again
-// at each retry. Here it ends alone, counted and logged with its stack.
+// The server library lets a panic end the process. One request that triggers a bug
+// would then end all other requests of the daemon, and again at each retry.
 func (rt *Route) recoverPanic(r *request.Request) {
 	cause := recover()
 	if cause == nil {
@@ -146,7 +148,8 @@
 	rt.refuse(r, "", refusal)
 }
 
-// prepare gives the request its id and the configuration that it keeps.
+// prepare sets the request's id and the configuration that all steps use, unless
+// they are set.
 func (rt *Route) prepare(r *request.Request) {
 	if r.Config != nil {
 		return
@@ -157,13 +160,13 @@
 	r.Catalog = rt.catalogs.Get(r.Config)
 }
 
-// NewID is unique over all daemons.
+// NewID returns a request id that is unique among all daemons.
 func (rt *Route) NewID() string {
 	u := ulid.MustNew(ulid.Timestamp(rt.deps.Clock.Now()), ulid.DefaultEntropy())
 	return rt.deps.Name + "." + u.String()
 }
 
-// refuse makes a refusal of the error that ended the route.
+// refuse ends the request with the error that ended the route, as a refusal.
 func (rt *Route) refuse(r *request.Request, step string, err error) {
 	var refusal *fireflypath.Refusal
 	if !errors.As(err, &refusal) {
@@ -177,6 +180,7 @@
 	rt.finish(r, refusal)
 }
 
+// runState reports whether the request may have run.
 func (rt *Route) runState(r *request.Request) fireflypath.Run {
 	switch r.Work.Life.State() {
 	case fireflypath.StateDispatched, fireflypath.StateAnswered, fireflypath.StateFailed:
@@ -186,7 +190,8 @@
 	}
 }
 
-// finish counts the end of a request, once.
+// finish counts and records the end of a request, once. It releases the claimed
+// idempotency key of a request that did not run.
 func (rt *Route) finish(r *request.Request, refusal *fireflypath.Refusal) {
 	if r.Ended {
 		return
