--- a/internal/order/lease.go
+++ b/internal/order/lease.go
@@ -13,84 +13,90 @@
 const (
 	holderKey = "orders/holder"
 	fenceKey  = "orders/fence"
-	// leaseTime is how long a holder that dies keeps orders from being sent. It
-	// is many times an outage of a renewal and short against an order's work.
-	leaseTime = 10 * time.Second
-	// margin is how long before the service can let the lease lapse the holder
-	// stops. It covers clocks that run unlike, a tenth over the lease, and the
-	// way of an order that was just written.
-	margin = 2 * time.Second
-	// renewAfter is the age at which the lease is renewed before use.
-	renewAfter = leaseTime / 3
-	// keepFor is how long an idle holder keeps the lease. A change of holder
-	// costs a wait for targets that ignore numbers.
-	keepFor = time.Minute
+	// leaseDuration is also the time for which no order is sent after the holder has died. It
+	// is many times longer than renewals usually fail, and short compared with the work that
+	// an order causes at its target.
+	leaseDuration = 10 * time.Second
+	// safetyMargin is how long before the lease may expire at the service the holder stops
+	// sending. It covers a clock drift of a tenth of the lease and the time that an order
+	// written last takes to arrive.
+	safetyMargin = 2 * time.Second
+	// renewAfter is the time since the last renewal from which the lease is renewed again.
+	renewAfter = leaseDuration / 3
+	// idleTimeout is how long an idle holder keeps the lease. After a change of holder, orders
+	// to targets that ignore fencing numbers may have to wait.
+	idleTimeout = time.Minute
 )
 
-// holder is the value that the lease protects.
-type holder struct {
+// holderRecord is the value at holderKey. It is written under the lease and removed with it.
+type holderRecord struct {
 	Name string `json:"name"`
-	// Nonce tells two lives of one daemon apart, to settle a lost answer.
+	// Nonce is unique to each attempt to become the holder, so that a daemon recognizes its
+	// own write after the response to it was lost.
 	Nonce string `json:"nonce"`
 }
 
-// fence is the counter of holders.
-type fence struct {
+// fenceRecord is the value at fenceKey. It outlives the leases.
+type fenceRecord struct {
 	Number uint64 `json:"number"`
-	// Holder had the number; Released is true if it ended its tenure in order,
-	// with nothing under way.
-	Holder   string `json:"holder"`
-	Released bool   `json:"released,omitempty"`
+	// Holder is the name of the daemon that took the number.
+	Holder string `json:"holder"`
+	// Released is true if that daemon released the lease with no order in flight.
+	Released bool `json:"released,omitempty"`
 }
 
-// tenure is a time as holder of the lease.
-type tenure struct {
-	lease fireflypath.LeaseID
-	fence uint64
-	// revision is that of the fence's key.
-	revision uint64
-	// until is when this daemon must have stopped, by its monotonic clock,
-	// counted from before the call that granted or renewed the lease.
-	until   time.Time
-	renewed time.Time
-	// settled is when targets that ignore numbers may be sent orders.
-	settled time.Time
-	used    time.Time
+// heldLease is the state of the lease while this daemon holds it.
+type heldLease struct {
+	id            fireflypath.LeaseID
+	fencingNumber uint64
+	// fenceRevision is the revision of fenceKey after the number was taken.
+	fenceRevision uint64
+	// validUntil is when this daemon must stop sending, by its monotonic clock. It is
+	// computed from the time before the call that granted or renewed the lease.
+	validUntil time.Time
+	renewedAt  time.Time
+	// unfencedAfter is the time from which orders may be sent to targets that ignore fencing
+	// numbers.
+	unfencedAfter time.Time
+	lastUsed      time.Time
 }
 
-// errHeld means that another daemon holds the lease.
-type errHeld struct{ by string }
+// heldError means that another daemon holds the lease.
+type heldError struct{ holder string }
 
-func (e errHeld) Error() string { return "orders are sent by daemon " + e.by }
+func (e heldError) Error() string { return "orders are sent by daemon " + e.holder }
 
-// acquire makes this daemon the holder, or returns errHeld.
-func (o *Issuer) acquire(ctx context.Context) (*tenure, error) {
-	began := o.clock.Now()
-	id, err := o.store.Grant(ctx, leaseTime)
+// acquire makes this daemon the holder. It returns heldError if another daemon holds the
+// lease.
+func (o *Issuer) acquire(ctx context.Context) (*heldLease, error) {
+	start := o.clock.Now()
+	id, err := o.store.Grant(ctx, leaseDuration)
 	if err != nil {
 		return nil, errors.Wrap(err, "lease for orders")
 	}
-	mine := holder{Name: o.name, Nonce: o.nonce()}
-	if err := o.claim(ctx, mine, id); err != nil {
-		_ = o.store.Revoke(ctx, id) // it lapses anyway
+	own := holderRecord{Name: o.name, Nonce: o.newNonce()}
+	if err := o.writeHolder(ctx, own, id); err != nil {
+		_ = o.store.Revoke(ctx, id) // on failure it expires
 		return nil, err
 	}
-	t := &tenure{lease: id, until: began.Add(leaseTime - margin), renewed: began, used: o.clock.Now()}
-	if err := o.number(ctx, t); err != nil {
+	lease := &heldLease{
+		id: id, validUntil: start.Add(leaseDuration - safetyMargin), renewedAt: start, lastUsed: o.clock.Now(),
+	}
+	if err := o.takeFencingNumber(ctx, lease); err != nil {
 		_ = o.store.Revoke(ctx, id)
 		return nil, err
 	}
-	if !o.clock.Now().Before(t.until) {
-		// The service was slow, or this process stood still meanwhile. Another
-		// holder may have the lease by now.
+	if !o.clock.Now().Before(lease.validUntil) {
+		// The service was slow, or this process was paused. Another daemon may hold the
+		// lease by now.
 		return nil, errors.Wrap(fireflypath.ErrLapsed, "lease for orders was granted too long ago")
 	}
-	return t, nil
+	return lease, nil
 }
 
-// claim writes the holder's record unless there is one.
-func (o *Issuer) claim(ctx context.Context, mine holder, id fireflypath.LeaseID) error {
-	b, err := json.Marshal(mine)
+// writeHolder writes the holder record unless another daemon's exists.
+func (o *Issuer) writeHolder(ctx context.Context, own holderRecord, id fireflypath.LeaseID) error {
+	b, err := json.Marshal(own)
 	if err != nil {
 		return errors.Wrap(err, "encode the holder")
 	}
@@ -101,79 +107,80 @@
 	if !errors.IsAny(err, fireflypath.ErrConflict, fireflypath.ErrUnknown) {
 		return errors.Wrap(err, "write the holder")
 	}
-	e, gerr := o.store.Get(ctx, holderKey)
-	if gerr != nil {
-		return errors.Wrap(gerr, "read the holder")
+	e, getErr := o.store.Get(ctx, holderKey)
+	if getErr != nil {
+		return errors.Wrap(getErr, "read the holder")
 	}
-	var other holder
+	var other holderRecord
 	if err := json.Unmarshal(e.Value, &other); err != nil {
 		return errors.Wrap(err, "decode the holder")
 	}
-	if other == mine {
+	if other == own {
 		return nil
 	}
-	return errHeld{by: other.Name}
+	return heldError{holder: other.Name}
 }
 
-// number takes the next fencing number while holding the lease, so that later
-// holders have higher ones.
-func (o *Issuer) number(ctx context.Context, t *tenure) error {
+// takeFencingNumber increments the fencing number. It is called while the lease is held, so
+// that each holder has a higher number than those before it.
+func (o *Issuer) takeFencingNumber(ctx context.Context, lease *heldLease) error {
 	e, err := o.store.Get(ctx, fenceKey)
 	if err != nil && !errors.Is(err, fireflypath.ErrNotFound) {
 		return errors.Wrap(err, "read the fencing number")
 	}
-	var last fence
+	var last fenceRecord
 	if err == nil {
 		if err := json.Unmarshal(e.Value, &last); err != nil {
 			return errors.Wrap(err, "decode the fencing number")
 		}
 	}
-	t.fence = last.Number + 1
-	if err := o.writeFence(ctx, t, fence{Number: t.fence, Holder: o.name}, e.Revision); err != nil {
+	lease.fencingNumber = last.Number + 1
+	if err := o.writeFence(ctx, lease, fenceRecord{Number: lease.fencingNumber, Holder: o.name}, e.Revision); err != nil {
 		return err
 	}
-	t.settled = o.clock.Now()
+	lease.unfencedAfter = o.clock.Now()
 	if last.Number > 0 && !last.Released {
-		// The holder before did not end in order. An order that it was about to
-		// send when it was paused may still come; a target that heeds numbers
-		// refuses it, for the others it is waited for.
-		t.settled = t.settled.Add(leaseTime)
+		// The previous holder did not release the lease. If it was paused just before it
+		// sent an order, that order may still arrive. A target that checks fencing numbers
+		// refuses it; for the others, wait until it can no longer be sent.
+		lease.unfencedAfter = lease.unfencedAfter.Add(leaseDuration)
 	}
 	return nil
 }
 
-func (o *Issuer) writeFence(ctx context.Context, t *tenure, f fence, revision uint64) error {
+// writeFence writes the fence record if it still has the given revision.
+func (o *Issuer) writeFence(ctx context.Context, lease *heldLease, f fenceRecord, revision uint64) error {
 	b, err := json.Marshal(f)
 	if err != nil {
 		return errors.Wrap(err, "encode the fencing number")
 	}
-	t.revision, err = o.store.Put(ctx, fenceKey, b, revision, 0)
+	lease.fenceRevision, err = o.store.Put(ctx, fenceKey, b, revision, 0)
 	return errors.Wrap(err, "write the fencing number")
 }
 
-// renew extends a tenure that is getting old.
-func (o *Issuer) renew(ctx context.Context, t *tenure) error {
-	began := o.clock.Now()
-	if !began.Before(t.until) {
+// renew renews the lease if the last renewal is at least renewAfter ago.
+func (o *Issuer) renew(ctx context.Context, lease *heldLease) error {
+	start := o.clock.Now()
+	if !start.Before(lease.validUntil) {
 		return fireflypath.ErrLapsed
 	}
-	if began.Sub(t.renewed) < renewAfter {
+	if start.Sub(lease.renewedAt) < renewAfter {
 		return nil
 	}
-	if err := o.store.Renew(ctx, t.lease); err != nil {
+	if err := o.store.Renew(ctx, lease.id); err != nil {
 		return errors.Wrap(err, "renew the lease for orders")
 	}
-	t.renewed, t.until = began, began.Add(leaseTime-margin)
+	lease.renewedAt, lease.validUntil = start, start.Add(leaseDuration-safetyMargin)
 	return nil
 }
 
-// release ends a tenure in order.
-func (o *Issuer) release(ctx context.Context, t *tenure) {
-	if !o.clock.Now().Before(t.until) {
-		return // another may hold it
-	}
-	f := fence{Number: t.fence, Holder: o.name, Released: true}
-	if err := o.writeFence(ctx, t, f, t.revision); err == nil {
-		_ = o.store.Revoke(ctx, t.lease) // it lapses anyway
+// release records that no order is in flight and revokes the lease.
+func (o *Issuer) release(ctx context.Context, lease *heldLease) {
+	if !o.clock.Now().Before(lease.validUntil) {
+		return // another daemon may hold it
+	}
+	f := fenceRecord{Number: lease.fencingNumber, Holder: o.name, Released: true}
+	if err := o.writeFence(ctx, lease, f, lease.fenceRevision); err == nil {
+		_ = o.store.Revoke(ctx, lease.id) // on failure it expires
 	}
 }
