--- a/internal/member/calls.go
+++ b/internal/member/calls.go
@@ -18,113 +18,116 @@
 	methodLeave = "leave"
 )
 
-// syncAsk carries the hashes of the asker's view.
-type syncAsk struct {
+// syncRequest contains the digests of the caller's view.
+type syncRequest struct {
 	Digests digests `json:"digests"`
 }
 
-// syncReply holds all that the answerer knows in the buckets that differ.
-type syncReply struct {
-	News []peer.MemberUpdate `json:"news"`
+// syncResponse contains the state of all members in the buckets whose digests differ.
+type syncResponse struct {
+	Updates []peer.MemberUpdate `json:"news"`
 }
 
-type probeAsk struct {
+type probeRequest struct {
 	Member fireflypath.Member `json:"member"`
 }
 
-type probeReply struct {
+type probeResponse struct {
 	Alive bool `json:"alive"`
 }
 
-type leaveAsk struct {
+type leaveRequest struct {
 	Member fireflypath.Member `json:"member"`
 }
 
-// passAtMost bounds the news of one comparison that are passed on at once. More
-// come to a daemon that just joined; the others know them already.
-const passAtMost = 16
+// maxForwardedUpdates limits the updates from a comparison that are forwarded to other peers.
+// A comparison returns more only to a daemon that has just joined, and its peers know those
+// already.
+const maxForwardedUpdates = 16
 
-// sync compares views with a peer and takes what differs from there.
-func (m *Membership) sync(ctx context.Context, o fireflypath.Member) {
+// syncWith compares views with a peer and applies the differences.
+func (m *Membership) syncWith(ctx context.Context, other fireflypath.Member) {
 	ctx, cancel := context.WithTimeout(ctx, 2*probeTimeout)
 	defer cancel()
-	var r syncReply
-	err := m.peers.Call(ctx, o, methodSync, syncAsk{Digests: m.view.Load().digests}, &r)
+	var resp syncResponse
+	err := m.peers.Call(ctx, other, methodSync, syncRequest{Digests: m.view.Load().digests}, &resp)
 	if err != nil {
 		return
 	}
-	m.count.synced.Inc(1)
-	m.spread("", r.News, len(r.News) <= passAtMost)
+	m.metrics.synced.Inc(1)
+	m.applyUpdates("", resp.Updates, len(resp.Updates) <= maxForwardedUpdates)
 }
 
-func (m *Membership) answerSync(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var ask syncAsk
-	if err := json.Unmarshal(params, &ask); err != nil {
+// handleSync returns the members in the buckets that differ from the caller's.
+func (m *Membership) handleSync(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var req syncRequest
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.Wrap(err, "decode sync")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	mine := m.view.Load().digests
-	var r syncReply
-	if ask.Digests[bucketOf(m.self.Name)] != mine[bucketOf(m.self.Name)] {
-		r.News = append(r.News, peer.MemberUpdate{State: peer.Alive, Member: m.self})
+	own := m.view.Load().digests
+	var resp syncResponse
+	if req.Digests[bucketOf(m.self.Name)] != own[bucketOf(m.self.Name)] {
+		resp.Updates = append(resp.Updates, peer.MemberUpdate{State: peer.Alive, Member: m.self})
 	}
 	now := m.clock.Now()
 	for name, e := range m.entries {
 		b := bucketOf(name)
-		old := !e.live() && now.Sub(e.since) > missingFor
-		if ask.Digests[b] != mine[b] && !old {
-			r.News = append(r.News, peer.MemberUpdate{State: e.state, Member: e.member})
+		expired := !e.live() && now.Sub(e.stateSince) > missingPeriod
+		if req.Digests[b] != own[b] && !expired {
+			resp.Updates = append(resp.Updates, peer.MemberUpdate{State: e.state, Member: e.member})
 		}
 	}
-	return r, nil
+	return resp, nil
 }
 
-// answerProbe says whether a daemon is reached from here.
-func (m *Membership) answerProbe(ctx context.Context, _ string, params json.RawMessage) (any, error) {
-	var ask probeAsk
-	if err := json.Unmarshal(params, &ask); err != nil {
+// handleProbe reports to the caller whether this daemon reaches another one.
+func (m *Membership) handleProbe(ctx context.Context, _ string, params json.RawMessage) (any, error) {
+	var req probeRequest
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.Wrap(err, "decode probe")
 	}
-	if at, ok := m.peers.LastReceived(ask.Member.Name); ok && m.clock.Since(at) < m.beat+m.beat/2 {
-		return probeReply{Alive: true}, nil
+	if at, ok := m.peers.LastReceived(req.Member.Name); ok && m.clock.Since(at) < m.heartbeatInterval+m.heartbeatInterval/2 {
+		return probeResponse{Alive: true}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout*3/4)
 	defer cancel()
-	found, err := m.peers.Connect(ctx, ask.Member.Peer)
-	return probeReply{Alive: err == nil && found.Name == ask.Member.Name}, nil
+	found, err := m.peers.Connect(ctx, req.Member.Peer)
+	return probeResponse{Alive: err == nil && found.Name == req.Member.Name}, nil
 }
 
-// Leave tells the neighbours that this daemon is gone for good, after its work
-// has ended, and removes its record.
+// Leave tells the neighbours that this daemon leaves the fleet. It must be called after the
+// work of the daemon has ended. Run removes the record from the store before it returns.
 func (m *Membership) Leave(ctx context.Context) {
 	m.mu.Lock()
-	m.gone = true
+	m.left = true
 	self := m.self
-	var tell []fireflypath.Member
+	var peers []fireflypath.Member
 	for _, n := range m.neighbours {
 		if e := m.entries[n]; e != nil && e.live() {
-			tell = append(tell, e.member)
+			peers = append(peers, e.member)
 		}
 	}
 	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	var wg conc.WaitGroup
-	for _, o := range tell {
+	for _, to := range peers {
 		wg.Go(func() {
-			var r struct{}
-			_ = m.peers.Call(ctx, o, methodLeave, leaveAsk{Member: self}, &r) // one that hears is enough
+			var resp struct{}
+			_ = m.peers.Call(ctx, to, methodLeave, leaveRequest{Member: self}, &resp) // one neighbour that receives it is enough
 		})
 	}
 	wg.Wait()
 }
 
-func (m *Membership) answerLeave(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var ask leaveAsk
-	if err := json.Unmarshal(params, &ask); err != nil {
+// handleLeave records that the caller leaves the fleet.
+func (m *Membership) handleLeave(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var req leaveRequest
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.Wrap(err, "decode leave")
 	}
-	m.spread("", []peer.MemberUpdate{{State: peer.Left, Member: ask.Member}}, true)
+	m.applyUpdates("", []peer.MemberUpdate{{State: peer.Left, Member: req.Member}}, true)
 	return struct{}{}, nil
 }
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -21,58 +21,58 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// daemon is the control part of one daemon on an in-memory network.
+// daemon is a daemon on an in-memory network, without the parts that handle requests.
 type daemon struct {
 	name    string
 	members *member.Membership
 	peers   *peer.Endpoint
 	configs *configuration.Registry
 	scope   tally.TestScope
-	clock   *pausable
+	clock   *pausableClock
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 }
 
-// fleet runs daemons in a synctest bubble and records what all of them see.
+// fleet runs daemons in a synctest bubble and checks invariants over their views.
 type fleet struct {
-	t       *testing.T
-	net     *testkit.Network
-	store   *testkit.MapStore
-	seeds   []string
-	daemons map[string]*daemon
-	starts  uint64
-	// always holds names that no daemon may ever lose from its view, once it
-	// has joined.
-	always map[string]bool
-	joined map[string]bool
-	last   map[string]uint64
+	t          *testing.T
+	net        *testkit.Network
+	store      *testkit.MapStore
+	seeds      []string
+	daemons    map[string]*daemon
+	startCount uint64
+	// mustStayLive holds the daemons that must be in the view of each daemon at all times
+	// once it has joined.
+	mustStayLive map[string]bool
+	joined       map[string]bool
+	generations  map[string]uint64
 }
 
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{
 		t: t, net: testkit.NewNetwork(), store: testkit.NewMapStore(clockwork.NewRealClock()),
-		daemons: map[string]*daemon{}, always: map[string]bool{}, joined: map[string]bool{}, last: map[string]uint64{},
+		daemons: map[string]*daemon{}, mustStayLive: map[string]bool{}, joined: map[string]bool{}, generations: map[string]uint64{},
 	}
 	for i := range n {
 		f.start(fmt.Sprint("d", i))
 	}
-	f.await(5*time.Second, "all daemons join", f.agree)
+	f.waitFor(5*time.Second, "all daemons join", f.converged)
 	return f
 }
 
-// pausable is a daemon's clock; it stands still while the daemon is paused.
-type pausable struct {
+// pausableClock is the clock of a daemon. It stops while the daemon is paused.
+type pausableClock struct {
 	*clockwork.FakeClock
 	mu     sync.Mutex
 	paused bool
 }
 
 func (f *fleet) start(name string) *daemon {
-	f.starts++
+	f.startCount++
 	d := &daemon{name: name, scope: tally.NewTestScope("", nil)}
-	d.clock = &pausable{FakeClock: clockwork.NewFakeClockAt(time.Now())}
+	d.clock = &pausableClock{FakeClock: clockwork.NewFakeClockAt(time.Now())}
 	self := fireflypath.Member{
-		Name: name, Domain: domain(name), Peer: name + ":1", Incarnation: 1000 * f.starts,
+		Name: name, Domain: domain(name), Peer: name + ":1", Incarnation: 1000 * f.startCount,
 	}
 	log := zap.NewNop()
 	d.members = member.New(self, f.store, f.seeds, time.Second, d.clock, d.scope, log)
@@ -95,48 +95,48 @@
 	return d
 }
 
-// run moves the clock with the bubble's time.
-func (p *pausable) run(ctx context.Context) {
+// run advances the clock with the time of the bubble.
+func (c *pausableClock) run(ctx context.Context) {
 	const tick = 50 * time.Millisecond
 	for ctx.Err() == nil {
 		time.Sleep(tick)
-		p.mu.Lock()
-		paused := p.paused
-		p.mu.Unlock()
+		c.mu.Lock()
+		paused := c.paused
+		c.mu.Unlock()
 		if !paused {
-			p.Advance(time.Since(p.Now()))
+			c.Advance(time.Since(c.Now()))
 		}
 	}
 }
 
 func (f *fleet) pause(name string) {
 	f.net.Pause(name)
-	f.daemons[name].clock.set(true)
+	f.daemons[name].clock.setPaused(true)
 }
 
 func (f *fleet) resume(name string) {
-	f.daemons[name].clock.set(false)
+	f.daemons[name].clock.setPaused(false)
 	f.net.Resume(name)
 }
 
-func (p *pausable) set(paused bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.paused = paused
+func (c *pausableClock) setPaused(paused bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.paused = paused
 }
 
 func domain(name string) string { return fmt.Sprint("zone", int(name[len(name)-1])%3) }
 
-// kill ends a daemon without a word.
+// kill stops a daemon without notice to the others.
 func (f *fleet) kill(name string) {
 	d := f.daemons[name]
 	delete(f.daemons, name)
 	f.net.Kill(name)
-	d.end()
+	d.stop()
 }
 
-func (d *daemon) end() {
-	d.clock.set(false)
+func (d *daemon) stop() {
+	d.clock.setPaused(false)
 	d.cancel()
 	d.peers.Close()
 	d.done.Wait()
@@ -144,11 +144,11 @@
 
 func (f *fleet) close() {
 	for _, d := range f.daemons {
-		d.end()
+		d.stop()
 	}
 }
 
-func view(d *daemon) string {
+func liveNames(d *daemon) string {
 	var names []string
 	for _, m := range d.members.Live() {
 		names = append(names, m.Name)
@@ -156,7 +156,7 @@
 	return strings.Join(names, " ")
 }
 
-func (f *fleet) names() string {
+func (f *fleet) runningNames() string {
 	var names []string
 	for n := range f.daemons {
 		names = append(names, n)
@@ -165,49 +165,50 @@
 	return strings.Join(names, " ")
 }
 
-// agree reports whether all daemons see exactly those that run.
-func (f *fleet) agree() bool {
-	want := f.names()
+// converged reports whether the view of each daemon contains exactly the running ones.
+func (f *fleet) converged() bool {
+	want := f.runningNames()
 	for _, d := range f.daemons {
-		if view(d) != want {
+		if liveNames(d) != want {
 			return false
 		}
 	}
 	return true
 }
 
-// sample checks the invariants over all daemons at one moment.
-func (f *fleet) sample() {
+// checkInvariants checks that no daemon has lost one that must stay live and that no
+// generation has decreased.
+func (f *fleet) checkInvariants() {
 	for n, d := range f.daemons {
 		live := map[string]bool{}
 		for _, m := range d.members.Live() {
 			live[m.Name] = true
 		}
 		f.joined[n] = f.joined[n] || len(live) >= len(f.daemons)
-		for a := range f.always {
-			if !live[a] && f.joined[n] {
-				f.t.Fatalf("%s lost %s, which was never out of reach of all", n, a)
+		for name := range f.mustStayLive {
+			if !live[name] && f.joined[n] {
+				f.t.Fatalf("%s lost %s from its view, although other daemons could reach it", n, name)
 			}
 		}
 		g := d.configs.Generation()
-		if g < f.last[n] {
-			f.t.Fatalf("%s fell from generation %d to %d", n, f.last[n], g)
+		if g < f.generations[n] {
+			f.t.Fatalf("%s went back from generation %d to %d", n, f.generations[n], g)
 		}
-		f.last[n] = g
+		f.generations[n] = g
 	}
 }
 
-// pass lets time go by and samples all the while.
-func (f *fleet) pass(d time.Duration) {
+// advance lets time pass and checks the invariants meanwhile.
+func (f *fleet) advance(d time.Duration) {
 	const every = 100 * time.Millisecond
 	for ; d > 0; d -= every {
 		time.Sleep(every)
-		f.sample()
+		f.checkInvariants()
 	}
 }
 
-// await lets time go by until cond holds, and fails after the limit.
-func (f *fleet) await(limit time.Duration, what string, cond func() bool) {
+// waitFor lets time pass until cond is true. It fails after the limit.
+func (f *fleet) waitFor(limit time.Duration, what string, cond func() bool) {
 	f.t.Helper()
 	const every = 50 * time.Millisecond
 	for d := time.Duration(0); d <= limit; d += every {
@@ -215,15 +216,15 @@
 			return
 		}
 		time.Sleep(every)
-		f.sample()
+		f.checkInvariants()
 	}
 	for n, d := range f.daemons {
-		f.t.Log(n, "sees", view(d), "generation", d.configs.Generation(), "connected", d.peers.Connected())
+		f.t.Log(n, "live", liveNames(d), "generation", d.configs.Generation(), "connected", d.peers.Connected())
 	}
-	f.t.Fatalf("not within %v: %s", limit, what)
+	f.t.Fatalf("not reached within %v: %s", limit, what)
 }
 
-// counter reads a counter of one daemon.
+// counter returns the value of a counter of a daemon.
 func counter(d *daemon, name string) int64 {
 	for _, c := range d.scope.Snapshot().Counters() {
 		if c.Name() == name {
--- a/internal/member/membership.go
+++ b/internal/member/membership.go
@@ -1,4 +1,8 @@
-// Package member keeps the list of daemons that are alive.
+// Package member maintains the list of live daemons in a fleet.
+//
+// Daemons exchange heartbeats with their neighbours and spread changes of the membership by
+// gossip, in the manner of the SWIM protocol: a daemon that falls silent is probed through
+// other daemons, then suspected, and declared dead unless it refutes the suspicion.
 package member
 
 import (
@@ -19,54 +23,61 @@
 )
 
 const (
-	// stepEvery is the resolution of all waits below.
-	stepEvery = 250 * time.Millisecond
-	// pauseGap is a gap between steps that means that this process stood still.
-	pauseGap = 1500 * time.Millisecond
-	// proofBeats is how many beats a neighbour may be unheard before others are
-	// asked; a silent connection is replaced before that.
-	proofBeats = 3
-	// suspectBeats is how long a suspect has to speak up: news and its answer
-	// cross a fleet of 370 in well under a second. Only its neighbours, who have
-	// missed its beats themselves, declare it dead then; the others hear of it,
-	// or do so after suspectFar times as long. If all did, one slow second of an
-	// overloaded fleet would be the death of most of it.
-	suspectBeats = 2
-	suspectFar   = 5
-	// missingFor is how long a dead daemon counts as missing, after which its
-	// part is taken over even by a minority; a failure domain that is cut off
-	// for a minute comes back before.
-	missingFor = 3 * time.Minute
-	// forgetAfter is when a dead daemon is forgotten, regions lose each other
-	// for an hour now and then (letter).
-	forgetAfter = 2 * time.Hour
-	// maxEntries bounds the list whatever peers say: ten fleets of the letter.
+	// stepInterval is how often the conditions below are checked.
+	stepInterval = 250 * time.Millisecond
+	// pauseThreshold is the time between two steps above which this process is assumed to
+	// have been paused.
+	pauseThreshold = 1500 * time.Millisecond
+	// heartbeatsBeforeProbe is the number of heartbeat intervals without a message after
+	// which a neighbour is probed through others. A silent connection is replaced before
+	// that.
+	heartbeatsBeforeProbe = 3
+	// suspicionHeartbeats is the number of heartbeat intervals in which a suspected daemon
+	// can refute the suspicion. The suspicion and the refutation cross a fleet of 370
+	// daemons in well under a second. After that time only the neighbours of the daemon,
+	// which missed its heartbeats themselves, declare it dead. The others receive their
+	// update, or declare it dead after remoteSuspicionFactor times as long. If all daemons
+	// did so at once, a single slow second of an overloaded fleet would make most of it
+	// count as dead.
+	suspicionHeartbeats   = 2
+	remoteSuspicionFactor = 5
+	// missingPeriod is how long a dead daemon counts as missing. After that, even a
+	// minority takes over its share. A failure domain that is cut off for a minute comes
+	// back before.
+	missingPeriod = 3 * time.Minute
+	// deadRetention is how long the entry of a dead daemon is kept. Regions occasionally
+	// lose contact with each other for an hour.
+	deadRetention = 2 * time.Hour
+	// maxEntries limits the entries that peers can add. The largest expected fleet, of 370
+	// daemons, needs less than a tenth of it.
 	maxEntries = 4096
-	// keptNews bounds the news kept for connections that have not sent them;
-	// what is lost that way is found by comparing views.
-	keptNews = 512
-	// newsPerBeat bounds one message.
-	newsPerBeat = 64
-	// dialFirst and dialMax are the pauses after failed dials.
-	dialFirst = 250 * time.Millisecond
-	dialMax   = 4 * time.Second
-	// helpers is how many daemons are asked about one that is unheard. One is
-	// enough to survive a bad link; three survive two bad helpers.
-	helpers = 3
-	// probeTimeout bounds one question to a helper.
+	// maxQueuedUpdates limits the queue of updates that have not been sent to all peers.
+	// If one is dropped, the comparison of views transfers the change.
+	maxQueuedUpdates = 512
+	// maxUpdatesPerHeartbeat limits the updates in one heartbeat.
+	maxUpdatesPerHeartbeat = 64
+	// minDialBackoff and maxDialBackoff are the first and the longest delay after a failed
+	// dial.
+	minDialBackoff = 250 * time.Millisecond
+	maxDialBackoff = 4 * time.Second
+	// probeHelpers is the number of daemons through which a silent one is probed. With one
+	// helper, a probe tolerates a broken network path from this daemon. With three, it also
+	// tolerates two helpers that fail.
+	probeHelpers = 3
+	// probeTimeout limits a request to a helper.
 	probeTimeout = time.Second
 )
 
-// Membership is the list of live daemons as this one knows it. It implements
+// Membership is this daemon's view of the live daemons. It implements
 // fireflypath.Members.
 type Membership struct {
-	store fireflypath.Store
-	seeds []string
-	beat  time.Duration
-	clock clockwork.Clock
-	log   *zap.Logger
-	count counters
-	peers *peer.Endpoint
+	store             fireflypath.Store
+	seeds             []string
+	heartbeatInterval time.Duration
+	clock             clockwork.Clock
+	log               *zap.Logger
+	metrics           metrics
+	peers             *peer.Endpoint
 
 	view   atomic.Pointer[view]
 	layout atomic.Pointer[cell.Layout]
@@ -75,52 +86,57 @@
 	mu   sync.Mutex
 	ctx  context.Context
 	self fireflypath.Member
-	// dirty is true while the view lacks a change; a mere suspicion is none.
-	dirty bool
-	// gone is true once this daemon has taken its leave.
-	gone    bool
+	// viewStale is true while the published view lacks a change of the entries. A suspicion
+	// does not change the view.
+	viewStale bool
+	// left is true once Leave was called.
+	left    bool
 	entries map[string]*entry
 	changed chan struct{}
-	// news are numbered from first; cursors says how far each peer was told.
-	news    []told
-	first   uint64
-	cursors map[string]uint64
-	// again holds news for one peer alone.
-	again map[string][]peer.MemberUpdate
-	// differs is since when a peer's view is another, synced when it was asked.
-	differs, synced map[string]time.Time
-	// told is the view last told to each peer, heard the one last heard.
-	told       map[string]toldView
-	heard      map[string]uint32
-	lastSync   time.Time
-	lastStep   time.Time
-	lastSearch time.Time
-	neighbours []string
-	// mates are the daemons of the same cell, ordered by hash.
-	mates []string
-	turn  int
+	// updates is the queue of updates, numbered from firstUpdate. cursors holds the number
+	// of the next update for each peer.
+	updates     []queuedUpdate
+	firstUpdate uint64
+	cursors     map[string]uint64
+	// directUpdates holds updates for a single peer.
+	directUpdates map[string][]peer.MemberUpdate
+	// differsSince is the time since which the view of a peer differs, syncedAt the time
+	// of the last comparison with it.
+	differsSince, syncedAt map[string]time.Time
+	// sentViews holds the view hash last sent to each peer, receivedViews the one last
+	// received.
+	sentViews     map[string]sentView
+	receivedViews map[string]uint32
+	lastSync      time.Time
+	lastStep      time.Time
+	lastSearch    time.Time
+	neighbours    []string
+	// cellMembers are the daemons of the same cell, ordered by hash.
+	cellMembers []string
+	// rotation varies the choice of probe helpers, seeds and dead daemons.
+	rotation int
 }
 
-type counters struct {
+// metrics are the counters and gauges of the membership.
+type metrics struct {
 	suspected, died, refuted, joined, left, synced, rescued, clashes tally.Counter
 	live                                                             tally.Gauge
 }
 
 var _ fireflypath.Members = (*Membership)(nil)
 
-// New makes the membership of the daemon self, whose incarnation the caller
-// sets to something that grows with each start, such as the time. A nil store
-// leaves the seeds to find peers; beat is the time between heartbeats.
-func New(self fireflypath.Member, store fireflypath.Store, seeds []string, beat time.Duration,
+// New returns the membership of the daemon self. Its incarnation must increase with each
+// start, as the time does. Without a store, peers are found only through the seeds.
+func New(self fireflypath.Member, store fireflypath.Store, seeds []string, heartbeatInterval time.Duration,
 	clock clockwork.Clock, scope tally.Scope, log *zap.Logger,
 ) *Membership {
-	if beat <= 0 {
-		beat = peer.DefaultHeartbeatInterval
+	if heartbeatInterval <= 0 {
+		heartbeatInterval = peer.DefaultHeartbeatInterval
 	}
 	scope = scope.SubScope("member")
 	m := &Membership{
-		store: store, seeds: seeds, beat: beat, clock: clock, log: log, self: self,
-		count: counters{
+		store: store, seeds: seeds, heartbeatInterval: heartbeatInterval, clock: clock, log: log, self: self,
+		metrics: metrics{
 			suspected: scope.Counter("suspected"), died: scope.Counter("died"),
 			refuted: scope.Counter("refuted"), joined: scope.Counter("joined"),
 			left: scope.Counter("left"), synced: scope.Counter("synced"),
@@ -129,58 +145,60 @@
 		},
 		ctx:     context.Background(),
 		entries: map[string]*entry{}, changed: make(chan struct{}), cursors: map[string]uint64{},
-		again: map[string][]peer.MemberUpdate{}, differs: map[string]time.Time{}, synced: map[string]time.Time{},
-		told: map[string]toldView{}, heard: map[string]uint32{},
+		directUpdates: map[string][]peer.MemberUpdate{}, differsSince: map[string]time.Time{}, syncedAt: map[string]time.Time{},
+		sentViews: map[string]sentView{}, receivedViews: map[string]uint32{},
 		lastStep: clock.Now(),
 	}
 	m.publish()
 	return m
 }
 
-// Attach connects the membership to the endpoint before it serves.
+// Attach registers the membership with an endpoint. It must be called before the endpoint
+// serves.
 func (m *Membership) Attach(e *peer.Endpoint) {
 	m.peers = e
-	e.OnConnect(m.met)
-	e.AddSource(m.tell)
-	e.AddSink(m.hear)
-	e.Handle(methodSync, m.answerSync)
-	e.Handle(methodProbe, m.answerProbe)
-	e.Handle(methodLeave, m.answerLeave)
+	e.OnConnect(m.handleConnect)
+	e.AddSource(m.fillHeartbeat)
+	e.AddSink(m.receiveHeartbeat)
+	e.Handle(methodSync, m.handleSync)
+	e.Handle(methodProbe, m.handleProbe)
+	e.Handle(methodLeave, m.handleLeave)
 }
 
-// Self is this daemon's own record.
+// Self returns the record of this daemon.
 func (m *Membership) Self() fireflypath.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// Live is the live daemons, ordered by name.
+// Live returns the live daemons, ordered by name.
 func (m *Membership) Live() []fireflypath.Member {
 	return m.view.Load().live
 }
 
-// Missing is the number of daemons that died lately without having left. A
-// daemon that misses most of the fleet is likely cut off itself.
+// Missing returns the number of daemons that died within the last three minutes without
+// having left. If most of the fleet is missing, this daemon is probably cut off itself.
 func (m *Membership) Missing() int {
 	return m.view.Load().missing
 }
 
-// Layout is the fleet's layout in cells.
+// Layout returns the assignment of the live daemons to cells.
 func (m *Membership) Layout() *cell.Layout {
 	return m.layout.Load()
 }
 
-// Changed is closed at the next change of Live.
+// Changed returns a channel that is closed at the next change of the view.
 func (m *Membership) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// publish makes the current entries visible. The caller holds mu, or is New.
+// publish replaces the view by one of the current entries. The caller holds mu, except in
+// New.
 func (m *Membership) publish() {
-	m.dirty = false
+	m.viewStale = false
 	now := m.clock.Now()
 	live := append(make([]fireflypath.Member, 0, len(m.entries)+1), m.self)
 	missing := 0
@@ -188,22 +206,22 @@
 		switch {
 		case e.live():
 			live = append(live, e.member)
-		case e.state == peer.Dead && now.Sub(e.since) < missingFor:
+		case e.state == peer.Dead && now.Sub(e.stateSince) < missingPeriod:
 			missing++
 		}
 	}
 	v := newView(live, missing)
 	old := m.view.Swap(v)
-	m.count.live.Update(float64(len(live)))
+	m.metrics.live.Update(float64(len(live)))
 	if old == nil || !slices.EqualFunc(old.live, v.live, sameName) {
 		names := make([]string, 0, len(live))
-		for _, o := range v.live {
-			names = append(names, o.Name)
+		for _, member := range v.live {
+			names = append(names, member.Name)
 		}
 		l := cell.New(names)
 		m.layout.Store(l)
 		m.neighbours = l.Neighbours(m.self.Name)
-		m.mates = l.Members(m.self.Name)
+		m.cellMembers = l.Members(m.self.Name)
 		if m.peers != nil {
 			m.peers.SetNeighbours(m.neighbours)
 		}
@@ -214,7 +232,7 @@
 
 func sameName(a, b fireflypath.Member) bool { return a.Name == b.Name }
 
-// SetGeneration puts the generation in force here into the own record.
+// SetGeneration sets the generation in force at this daemon.
 func (m *Membership) SetGeneration(g uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,8 +242,8 @@
 	}
 }
 
-// SetAddresses puts the addresses into the own record that are known only once
-// the daemon listens there.
+// SetAddresses sets the addresses of this daemon that are known only once it listens on
+// them.
 func (m *Membership) SetAddresses(caller, operator string) {
 	m.mu.Lock()
 	if m.self.Caller == caller && m.self.Operator == operator {
@@ -238,15 +256,15 @@
 	m.peers.Flush()
 }
 
-// announce tells all of a changed own record; only a new incarnation replaces
-// the old one. The caller holds mu.
+// announce sends the changed record of this daemon to all others, with a higher incarnation
+// so that it replaces the earlier record. The caller holds mu.
 func (m *Membership) announce() {
 	m.self.Incarnation++
-	m.add(peer.MemberUpdate{State: peer.Alive, Member: m.self})
+	m.broadcast(peer.MemberUpdate{State: peer.Alive, Member: m.self})
 	m.publish()
 }
 
-// SetLeaving tells the others that a planned stop began.
+// SetLeaving announces that a planned stop of this daemon has started.
 func (m *Membership) SetLeaving() {
 	m.mu.Lock()
 	m.self.Leaving = true
@@ -255,75 +273,76 @@
 	m.peers.Flush()
 }
 
-// merge takes news in; it returns whether they changed anything. The caller
-// holds mu and publishes.
-func (m *Membership) merge(n peer.MemberUpdate) bool {
+// merge applies an update to the entries and reports whether it had an effect. The caller
+// holds mu and publishes the view.
+func (m *Membership) merge(u peer.MemberUpdate) bool {
 	now := m.clock.Now()
-	if n.Member.Name == m.self.Name {
-		return m.refute(n)
+	if u.Member.Name == m.self.Name {
+		return m.refute(u)
 	}
-	if n.Member.Name == "" || rank(n.State) < 0 {
+	if u.Member.Name == "" || precedence(u.State) < 0 {
 		return false
 	}
-	e, ok := m.entries[n.Member.Name]
+	e, ok := m.entries[u.Member.Name]
 	if !ok {
 		if len(m.entries) >= maxEntries {
 			return false
 		}
 		e = &entry{}
-		m.entries[n.Member.Name] = e
-	} else if !e.supersedes(n) {
+		m.entries[u.Member.Name] = e
+	} else if !e.supersedes(u) {
 		return false
 	}
-	was := ok && e.live()
-	if n.Member.Incarnation != e.member.Incarnation {
-		// Another incarnation begins with a clean record, also at the old address.
-		e.fails, e.next = 0, time.Time{}
-		generation := max(e.member.Generation, n.Member.Generation)
-		e.member = n.Member
+	wasLive := ok && e.live()
+	if u.Member.Incarnation != e.member.Incarnation {
+		// A new incarnation starts without dial failures, even at the same address.
+		e.dialFailures, e.nextDial = 0, time.Time{}
+		generation := max(e.member.Generation, u.Member.Generation)
+		e.member = u.Member
 		e.member.Generation = generation
-		e.proof = now
+		e.lastAlive = now
 	}
-	e.state, e.since = n.State, now
-	m.dirty = m.dirty || was != e.live() || e.live() && n.State == peer.Alive
-	m.report(e, was)
+	e.state, e.stateSince = u.State, now
+	m.viewStale = m.viewStale || wasLive != e.live() || e.live() && u.State == peer.Alive
+	m.reportChange(e, wasLive)
 	return true
 }
 
-// report counts and logs a change of state.
-func (m *Membership) report(e *entry, was bool) {
+// reportChange counts and logs a change of the state of a member.
+func (m *Membership) reportChange(e *entry, wasLive bool) {
 	switch {
 	case e.state == peer.Suspect:
-		m.count.suspected.Inc(1)
+		m.metrics.suspected.Inc(1)
 		return
-	case e.state == peer.Dead && was:
-		m.count.died.Inc(1)
-	case e.state == peer.Left && was:
-		m.count.left.Inc(1)
-	case e.state == peer.Alive && !was:
-		m.count.joined.Inc(1)
+	case e.state == peer.Dead && wasLive:
+		m.metrics.died.Inc(1)
+	case e.state == peer.Left && wasLive:
+		m.metrics.left.Inc(1)
+	case e.state == peer.Alive && !wasLive:
+		m.metrics.joined.Inc(1)
 	default:
 		return
 	}
-	m.log.Info("member changed", zap.String("name", e.member.Name),
+	m.log.Info("member state changed", zap.String("name", e.member.Name),
 		zap.Stringer("state", e.state), zap.Uint64("incarnation", e.member.Incarnation))
 }
 
-// refute answers news that this daemon is not alive by a higher incarnation. A
-// daemon that was paused, or restarted with a clock set back, comes back so.
-func (m *Membership) refute(n peer.MemberUpdate) bool {
-	have := m.self.Incarnation
-	if m.gone || n.Member.Incarnation < have || n.Member.Incarnation == have && n.State == peer.Alive {
+// refute answers an update that this daemon is not alive, or that another incarnation of it
+// is, by announcing a higher incarnation. This is how a daemon returns that was paused, or
+// that was restarted after its clock was set back.
+func (m *Membership) refute(u peer.MemberUpdate) bool {
+	own := m.self.Incarnation
+	if m.left || u.Member.Incarnation < own || u.Member.Incarnation == own && u.State == peer.Alive {
 		return false
 	}
-	if n.State == peer.Alive && n.Member.Peer != m.self.Peer {
-		// Two daemons run under one name; nothing but an operator can mend that.
-		m.count.clashes.Inc(1)
-		m.log.Warn("another daemon uses this name", zap.String("peer", n.Member.Peer))
+	if u.State == peer.Alive && u.Member.Peer != m.self.Peer {
+		// Two daemons run with the same name. Only an operator can resolve this.
+		m.metrics.clashes.Inc(1)
+		m.log.Warn("another daemon uses this name", zap.String("peer", u.Member.Peer))
 	}
-	m.self.Incarnation = n.Member.Incarnation + 1
-	m.dirty = true
-	m.count.refuted.Inc(1)
-	m.add(peer.MemberUpdate{State: peer.Alive, Member: m.self})
+	m.self.Incarnation = u.Member.Incarnation + 1
+	m.viewStale = true
+	m.metrics.refuted.Inc(1)
+	m.broadcast(peer.MemberUpdate{State: peer.Alive, Member: m.self})
 	return true
 }
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -11,67 +11,70 @@
 )
 
 const (
-	// recordPrefix is where daemons leave their records for others to find.
+	// recordPrefix is the prefix of the keys of the daemons' records in the store.
 	recordPrefix = "members/"
-	// renewLeast is the time between two renewals in a small fleet, and
-	// renewEach what each daemon adds to it: the whole fleet then makes at most
-	// four calls a second, whatever its size.
-	renewLeast = 5 * time.Second
-	renewEach  = 250 * time.Millisecond
-	// registerAfter is how long a daemon that starts waits before it writes its
-	// record: its addresses are known by then, so that it is written once, and in a
-	// fleet that starts at once most others can be found by the first reading.
-	registerAfter = 400 * time.Millisecond
-	// ttlRenewals is the lease in renewals; two may fail.
-	ttlRenewals = 3
-	// leastTTL is the shortest lease. A daemon that starts knows of no other and
-	// would take the lease of a small fleet, only to need another one a second
-	// later. What a dead daemon leaves costs the others one dial each.
-	leastTTL = time.Minute
-	// listRenewals is how many renewals pass between two readings of the list.
-	listRenewals = 4
+	// minRenewInterval is the time between two renewals of a lease in a small fleet. In a
+	// large one it is renewIntervalPerDaemon times the number of daemons, so that the
+	// whole fleet makes at most four calls a second at any size.
+	minRenewInterval       = 5 * time.Second
+	renewIntervalPerDaemon = 250 * time.Millisecond
+	// registerDelay is how long a daemon waits after its start before it writes its
+	// record. By then its addresses are known, so that it writes the record only once.
+	// If the whole fleet starts at the same time, the first read of the records finds
+	// most others.
+	registerDelay = 400 * time.Millisecond
+	// renewalsPerTTL is the TTL of a lease in renewal intervals. Two renewals in a row
+	// may fail.
+	renewalsPerTTL = 3
+	// minTTL is the minimum TTL of a lease. A daemon knows no others when it starts, and
+	// with the TTL for a small fleet it would need a second lease a second later. The
+	// record that a dead daemon leaves until then costs each of the others one dial.
+	minTTL = time.Minute
+	// renewalsPerDiscovery is the number of renewals between two reads of the records.
+	renewalsPerDiscovery = 4
 )
 
-// record is this daemon's leased record. The record is only for finding peers:
-// who is alive is decided by heartbeats, since the service has outages.
+// record is the record of this daemon in the store, which expires with its lease. Records are
+// only used to find peers. Heartbeats decide which daemons are alive, since the store has
+// outages.
 type record struct {
 	lease fireflypath.LeaseID
-	// written is the member as it stands in the service.
+	// written is the member as last written to the store.
 	written fireflypath.Member
-	// ttl is that of the lease.
+	// ttl is the TTL of the lease.
 	ttl time.Duration
 }
 
-// register keeps the record up to date and looks for peers, until ctx ends.
+// register keeps the record up to date and looks for peers until ctx is cancelled.
 func (m *Membership) register(ctx context.Context) {
 	if m.store == nil {
 		return
 	}
-	m.pause(ctx, registerAfter)
-	var r record
-	for n := 0; ; n++ {
-		err := m.renew(ctx, &r)
+	m.sleep(ctx, registerDelay)
+	var rec record
+	for renewals := 0; ; renewals++ {
+		err := m.renew(ctx, &rec)
 		alone := len(m.Live()) == 1
-		if n%listRenewals == 0 || alone {
+		if renewals%renewalsPerDiscovery == 0 || alone {
 			m.discover(ctx)
 		}
-		wait := m.renewAfter()
+		wait := m.renewInterval()
 		if err != nil || alone {
-			wait = min(wait, renewLeast)
+			wait = min(wait, minRenewInterval)
 		}
-		if alone && err == nil && n < listRenewals {
+		if alone && err == nil && renewals < renewalsPerDiscovery {
 			wait = time.Second
 		}
-		m.pause(ctx, wait)
+		m.sleep(ctx, wait)
 		if ctx.Err() != nil {
-			m.unregister(&r)
+			m.unregister(&rec)
 			return
 		}
 	}
 }
 
-// pause waits, or until ctx ends.
-func (m *Membership) pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx is cancelled.
+func (m *Membership) sleep(ctx context.Context, d time.Duration) {
 	t := m.clock.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -80,97 +83,100 @@
 	}
 }
 
-func (m *Membership) renewAfter() time.Duration {
-	return max(renewLeast, time.Duration(len(m.Live()))*renewEach)
+// renewInterval returns the time between two renewals at the current size of the fleet.
+func (m *Membership) renewInterval() time.Duration {
+	return max(minRenewInterval, time.Duration(len(m.Live()))*renewIntervalPerDaemon)
 }
 
-// renew extends the lease, or makes another and writes the record under it.
-func (m *Membership) renew(ctx context.Context, r *record) error {
-	ttl := max(ttlRenewals*m.renewAfter(), leastTTL)
+// renew extends the lease and writes the record if it has changed. If there is no lease, or
+// its TTL is too short for the size of the fleet, it writes the record under a new one.
+func (m *Membership) renew(ctx context.Context, rec *record) error {
+	ttl := max(renewalsPerTTL*m.renewInterval(), minTTL)
 	self := m.Self()
 	self.Generation = 0
-	if r.lease != 0 && ttl <= 2*r.ttl {
-		err := m.store.Renew(ctx, r.lease)
+	if rec.lease != 0 && ttl <= 2*rec.ttl {
+		err := m.store.Renew(ctx, rec.lease)
 		switch {
 		case errors.Is(err, fireflypath.ErrLapsed):
-		case err != nil || r.written == self:
+		case err != nil || rec.written == self:
 			return err
 		default:
-			return m.write(ctx, r, self)
+			return m.writeRecord(ctx, rec, self)
 		}
 	}
 	id, err := m.store.Grant(ctx, ttl)
 	if err != nil {
 		return errors.Wrap(err, "lease for the member record")
 	}
-	*r = record{lease: id, ttl: ttl}
-	return m.write(ctx, r, self)
+	*rec = record{lease: id, ttl: ttl}
+	return m.writeRecord(ctx, rec, self)
 }
 
-// write stores the record under its lease.
-func (m *Membership) write(ctx context.Context, r *record, self fireflypath.Member) error {
+// writeRecord writes the record to the store under its lease.
+func (m *Membership) writeRecord(ctx context.Context, rec *record, self fireflypath.Member) error {
 	b, err := json.Marshal(self)
 	if err != nil {
 		return errors.Wrap(err, "encode the member record")
 	}
-	// The old record may still stand, under a lease of this daemon's earlier
-	// life; the newer one replaces it whatever its revision.
-	if _, err := m.store.Put(ctx, recordPrefix+self.Name, b, fireflypath.AnyRevision, r.lease); err != nil {
+	// A record of an earlier run of this daemon may still exist under another lease.
+	// It is replaced regardless of its revision.
+	if _, err := m.store.Put(ctx, recordPrefix+self.Name, b, fireflypath.AnyRevision, rec.lease); err != nil {
 		return errors.Wrap(err, "write the member record")
 	}
-	r.written = self
+	rec.written = self
 	return nil
 }
 
-// unregister removes the record after a planned stop.
-func (m *Membership) unregister(r *record) {
-	if r.lease == 0 || !m.Self().Leaving {
+// unregister removes the record on a planned stop.
+func (m *Membership) unregister(rec *record) {
+	if rec.lease == 0 || !m.Self().Leaving {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = m.store.Revoke(ctx, r.lease) // the lease lapses anyway
+	_ = m.store.Revoke(ctx, rec.lease) // on failure, the lease expires
 }
 
-// dialsAtOnce bounds the daemons dialed after one reading of the list; a daemon
-// that reaches one of them learns of the others from it.
-const dialsAtOnce = 4
+// maxDiscoveryDials limits the daemons dialed after one read of the records. A daemon that
+// connects to one of them learns about the others from it.
+const maxDiscoveryDials = 4
 
-// discover reads the records and connects to daemons that are not known.
+// discover reads the records and connects to unknown daemons.
 func (m *Membership) discover(ctx context.Context) {
-	es, err := m.list(ctx)
+	entries, err := m.listRecords(ctx)
 	if err != nil {
 		return
 	}
-	n := 0
-	for _, e := range es {
-		var o fireflypath.Member
-		if json.Unmarshal(e.Value, &o) != nil || n >= dialsAtOnce || m.knows(o) {
+	dials := 0
+	for _, e := range entries {
+		var other fireflypath.Member
+		if json.Unmarshal(e.Value, &other) != nil || dials >= maxDiscoveryDials || m.knows(other) {
 			continue
 		}
-		n++
+		dials++
 		m.wg.Go(func() {
-			_, _ = m.peers.Connect(ctx, o.Peer) // met takes in who answers
+			_, _ = m.peers.Connect(ctx, other.Peer) // handleConnect adds the daemon
 		})
 	}
 }
 
-// list reads the records. For a daemon that knows others, those of some seconds ago
-// are enough: it looks for daemons of which they have not heard.
-func (m *Membership) list(ctx context.Context) ([]fireflypath.Entry, error) {
+// listRecords returns the records of all daemons. If this daemon knows others, records that
+// are a few seconds old are enough: it only looks for daemons that the others do not know
+// yet.
+func (m *Membership) listRecords(ctx context.Context) ([]fireflypath.Entry, error) {
 	if s, ok := m.store.(fireflypath.StaleLister); ok && len(m.Live()) > 1 {
 		return s.ListStale(ctx, recordPrefix)
 	}
 	return m.store.List(ctx, recordPrefix)
 }
 
-// knows reports whether a record tells nothing new.
-func (m *Membership) knows(o fireflypath.Member) bool {
+// knows reports whether a record contains nothing new.
+func (m *Membership) knows(other fireflypath.Member) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if o.Name == m.self.Name || o.Peer == "" {
+	if other.Name == m.self.Name || other.Peer == "" {
 		return true
 	}
-	e, ok := m.entries[o.Name]
-	return ok && (e.live() || e.member.Incarnation >= o.Incarnation)
+	e, ok := m.entries[other.Name]
+	return ok && (e.live() || e.member.Incarnation >= other.Incarnation)
 }
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -11,49 +11,53 @@
 	"github.com/fireflypath/fireflypath/internal/peer"
 )
 
-// entry is what this daemon knows of another one.
+// entry is the state of another daemon as known to this one.
 type entry struct {
 	member fireflypath.Member
 	state  peer.State
-	// since is when the state was learned here.
-	since time.Time
-	// proof is when the daemon was last known to be alive, first-hand or by a helper.
-	proof time.Time
-	// dialing and probing are true while one is under way.
+	// stateSince is when this daemon learned the state.
+	stateSince time.Time
+	// lastAlive is when the daemon was last known to be alive, from a message or a helper.
+	lastAlive time.Time
+	// dialing and probing are true while a dial or a probe is in progress.
 	dialing, probing bool
-	// next is the earliest time of another dial, fails the number in a row.
-	next  time.Time
-	fails int
+	// nextDial is the earliest time of the next dial, dialFailures the number of
+	// consecutive failures.
+	nextDial     time.Time
+	dialFailures int
 }
 
-// live reports a daemon that counts as a member; a suspect still does.
+// live reports whether the daemon counts as a member. A suspected one does.
 func (e *entry) live() bool {
 	return e.state == peer.Alive || e.state == peer.Suspect
 }
 
-// rank orders the states of one incarnation: the later word wins.
-func rank(s peer.State) int {
+// precedence orders the states of one incarnation. Of two updates, the one with the higher
+// precedence applies. It is -1 for an unknown state.
+func precedence(s peer.State) int {
 	return slices.Index([]peer.State{peer.Alive, peer.Suspect, peer.Dead, peer.Left}, s)
 }
 
-// supersedes reports whether news says more than the entry.
-func (e *entry) supersedes(n peer.MemberUpdate) bool {
-	if n.Member.Incarnation != e.member.Incarnation {
-		return n.Member.Incarnation > e.member.Incarnation
+// supersedes reports whether an update replaces the state of the entry.
+func (e *entry) supersedes(u peer.MemberUpdate) bool {
+	if u.Member.Incarnation != e.member.Incarnation {
+		return u.Member.Incarnation > e.member.Incarnation
 	}
-	return rank(n.State) > rank(e.state)
+	return precedence(u.State) > precedence(e.state)
 }
 
-// buckets is the number of parts in which two views are compared.
-const buckets = 16
+// digestBuckets is the number of parts into which members are divided to compare two views.
+const digestBuckets = 16
 
-// digests hashes the live members of each bucket; equal views have equal digests.
-type digests [buckets]uint64
+// digests holds a hash of the live members of each bucket. Equal views have equal digests.
+type digests [digestBuckets]uint64
 
+// bucketOf returns the bucket of a member.
 func bucketOf(name string) int {
-	return int(xxhash.Sum64String(name) % buckets)
+	return int(xxhash.Sum64String(name) % digestBuckets)
 }
 
+// add includes a member in the hash of its bucket.
 func (d *digests) add(m fireflypath.Member) {
 	var b [8]byte
 	for i := range b {
@@ -62,10 +66,10 @@
 	d[bucketOf(m.Name)] ^= xxhash.Sum64String(m.Name + "/" + string(b[:]))
 }
 
-// sum joins the buckets to the one number that beats carry. It is short, since
-// it is sent a dozen times a second; two views that differ and agree in it are
-// told apart at the next change.
-func (d *digests) sum() uint32 {
+// hash combines the digests into the view hash of heartbeats. It has only 32 bits because it
+// is sent about twelve times a second. If two different views have the same hash, the
+// difference shows after the next change.
+func (d *digests) hash() uint32 {
 	var v uint64
 	for i, b := range d {
 		v ^= b + uint64(i)*b
@@ -73,21 +77,22 @@
 	return uint32(v ^ v>>32)
 }
 
-// view is a published state of the membership. It is never changed.
+// view is an immutable snapshot of the membership.
 type view struct {
 	live    []fireflypath.Member
 	digests digests
-	sum     uint32
-	// missing is the number of daemons that died lately and did not leave.
+	hash    uint32
+	// missing is the number of daemons that died within missingPeriod.
 	missing int
 }
 
-func newView(ms []fireflypath.Member, missing int) *view {
-	slices.SortFunc(ms, func(a, b fireflypath.Member) int { return strings.Compare(a.Name, b.Name) })
-	v := &view{live: ms, missing: missing}
-	for _, m := range ms {
+// newView returns a view of the given members, which it sorts by name.
+func newView(members []fireflypath.Member, missing int) *view {
+	slices.SortFunc(members, func(a, b fireflypath.Member) int { return strings.Compare(a.Name, b.Name) })
+	v := &view{live: members, missing: missing}
+	for _, m := range members {
 		v.digests.add(m)
 	}
-	v.sum = v.digests.sum()
+	v.hash = v.digests.hash()
 	return v
 }
--- a/internal/member/view_test.go
+++ b/internal/member/view_test.go
@@ -13,46 +13,47 @@
 	"github.com/fireflypath/fireflypath/internal/peer"
 )
 
-// Beats leave a view out that did not change. One of two connections to a peer
-// ends with the beat under way that told the newest view. The peer must learn
-// it from a later beat, or both would see different fleets for good, and an
-// operator would read two answers.
-func TestViewIsToldWhenItChangesAndNowAndThen(t *testing.T) {
+// Heartbeats leave out a view hash that did not change. One of two connections to a peer may
+// end with the heartbeat in transit that contains the latest hash. Unless a later heartbeat
+// repeats it, the views of the two daemons could differ for good, and an operator would get
+// different results from them.
+func TestViewHashIsSentOnChangeAndPeriodically(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	start := func(name string) *Membership {
+	newMembership := func(name string) *Membership {
 		self := fireflypath.Member{Name: name, Incarnation: 1}
 		return New(self, nil, nil, time.Second, clock, tally.NoopScope, zap.NewNop())
 	}
-	a, b := start("a"), start("b")
-	beat := func(arrives bool) uint32 {
-		var m peer.Heartbeat
-		a.tell("b", &m)
+	a, b := newMembership("a"), newMembership("b")
+	sendHeartbeat := func(arrives bool) uint32 {
+		var hb peer.Heartbeat
+		a.fillHeartbeat("b", &hb)
 		if arrives {
-			b.hear("a", &m)
+			b.receiveHeartbeat("a", &hb)
 		}
-		return m.ViewHash
+		return hb.ViewHash
 	}
-	sum := a.view.Load().sum
-	is.Equal(beat(false), sum) // lost
-	for range viewEvery - 1 {
-		is.Equal(beat(true), uint32(0))
+	hash := a.view.Load().hash
+	is.Equal(sendHeartbeat(false), hash) // lost
+	for range heartbeatsPerView - 1 {
+		is.Equal(sendHeartbeat(true), uint32(0))
 	}
-	is.Equal(beat(true), sum)
-	is.Equal(b.heard["a"], sum)
-	is.Equal(beat(true), uint32(0))
+	is.Equal(sendHeartbeat(true), hash)
+	is.Equal(b.receivedViews["a"], hash)
+	is.Equal(sendHeartbeat(true), uint32(0))
 
 	a.mu.Lock()
 	a.merge(peer.MemberUpdate{State: peer.Alive, Member: fireflypath.Member{Name: "c", Incarnation: 1}})
 	a.publish()
 	a.mu.Unlock()
-	is.True(a.view.Load().sum != sum)
-	is.Equal(beat(true), a.view.Load().sum)
-	_, differs := b.differs["a"]
+	is.True(a.view.Load().hash != hash)
+	is.Equal(sendHeartbeat(true), a.view.Load().hash)
+	_, differs := b.differsSince["a"]
 	is.True(differs)
-	// A view that is not told again still counts when this daemon's own changes.
-	b.heard["a"] = b.view.Load().sum
-	is.Equal(beat(true), uint32(0))
-	_, differs = b.differs["a"]
+	// The last view hash received counts when the own view changes, although the peer does
+	// not send it again.
+	b.receivedViews["a"] = b.view.Load().hash
+	is.Equal(sendHeartbeat(true), uint32(0))
+	_, differs = b.differsSince["a"]
 	is.True(!differs)
 }
