--- a/internal/daemon/targets.go
+++ b/internal/daemon/targets.go
@@ -70,13 +70,13 @@
 // keeps away from it by its own failures.
 func (d *Daemon) sawDead(target string) {
 	if d.board != nil {
-		d.board.Dead(target, "takes no connection")
+		d.board.ReportDead(target, "takes no connection")
 	}
 }
 
 func (d *Daemon) sawAnswer(target string) {
 	if d.board != nil {
-		d.board.Answers(target)
+		d.board.ReportAlive(target)
 	}
 }
 
@@ -84,7 +84,7 @@
 	if d.board == nil {
 		return nil
 	}
-	return d.board.Suspects()
+	return d.board.SuspectedDead()
 }
 
 // polling reads the state of targets and hosts.
@@ -108,15 +108,15 @@
 			fireflypath.KindEngine:  d.engine,
 			fireflypath.KindService: d.service,
 		},
-		Hosts:    d.deps.Hosts,
-		Serves:   d.pools.Serves,
-		Holds:    d.pools.Holds,
-		Mates:    d.readers,
-		Observe:  d.pools.Observe,
-		Evidence: d.evidence,
-		Dead:     d.sawDead,
-		Answers:  d.sawAnswer,
-		Suspects: d.suspects,
+		Hosts:         d.deps.Hosts,
+		Serves:        d.pools.Serves,
+		ActiveTargets: d.pools.ActiveTargets,
+		Readers:       d.readers,
+		Observe:       d.pools.Observe,
+		Evidence:      d.evidence,
+		Unreachable:   d.sawDead,
+		Reachable:     d.sawAnswer,
+		Suspects:      d.suspects,
 	})
 	d.work.Go(func() { p.Run(d.ctx) })
 	return nil
--- a/internal/route/pool/open_test.go
+++ b/internal/route/pool/open_test.go
@@ -15,9 +15,9 @@
 	"github.com/fireflypath/fireflypath/internal/route/request"
 )
 
-// An operator asks for a request that has not ended. It is listed as waiting
-// until it has a target, then as running there, and not at all after its end.
-func TestOpenFollowsARequest(t *testing.T) {
+// A request that has not ended is listed as waiting until it has a target, then
+// as dispatched to that target, and no longer after its end.
+func TestOpenRequestsShowsStateUntilEnd(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	p := pool.New("chat", clock, sched.New(sched.Config{Pool: fireflypath.Pool{Name: "chat"}}), nil)
@@ -31,18 +31,18 @@
 	go func() { done <- p.Wait(t.Context(), r) }()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	for len(p.Open(all, nil)) == 0 && ctx.Err() == nil {
-		runtime.Gosched() // the offer is on its way
+	for len(p.OpenRequests(all, nil)) == 0 && ctx.Err() == nil {
+		runtime.Gosched() // until the request is queued
 	}
-	is.Equal(p.Open(all, nil)[0].State, "waiting")
+	is.Equal(p.OpenRequests(all, nil)[0].State, "waiting")
 	p.SetTargets([]fireflypath.Target{{Name: "e1", Pool: "chat", Addr: "127.0.0.1:1", Domain: "a"}})
 	is.NoErr(<-done)
-	got := p.Open(all, nil)
+	got := p.OpenRequests(all, nil)
 	is.Equal(len(got), 1)
 	is.Equal(got[0].State, "dispatched")
 	is.Equal(got[0].Target, "e1")
 	is.Equal(got[0].Generation, uint64(3))
-	is.Equal(len(p.Open(func(w *fireflypath.Work) bool { return w.ID == "d1.Y" }, nil)), 0)
-	p.Tell(r, fireflypath.EventDone, -1)
-	is.Equal(len(p.Open(all, nil)), 0)
+	is.Equal(len(p.OpenRequests(func(w *fireflypath.Work) bool { return w.ID == "d1.Y" }, nil)), 0)
+	p.Notify(r, fireflypath.EventDone, -1)
+	is.Equal(len(p.OpenRequests(all, nil)), 0)
 }
--- a/internal/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -1,4 +1,4 @@
-// Package pools keeps one pool for each that the configuration names.
+// Package pools manages the pools that the configuration defines.
 package pools
 
 import (
@@ -14,51 +14,54 @@
 	"github.com/fireflypath/fireflypath/internal/route/pool"
 )
 
-// maxRank is the lowest tier's rank at most (fireflypath.Tier).
+// maxRank is the highest rank that a tier may have (fireflypath.Tier).
 const maxRank = 15
 
 // Pools implements fireflypath.Cluster.
 type Pools struct {
-	clock  clockwork.Clock
-	relief fireflypath.Relief
-	sched  func(fireflypath.Pool) fireflypath.Scheduler
-	// made is told of each new pool and its scheduler; nil if nobody wants to know.
-	made func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)
-	// bytes is the memory of waiting requests, limit its bound.
-	bytes atomic.Int64
-	limit int64
+	clock        clockwork.Clock
+	relief       fireflypath.Relief
+	newScheduler func(fireflypath.Pool) fireflypath.Scheduler
+	// onCreate is called with each new pool and its scheduler; it may be nil.
+	onCreate func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)
+	// waitingBytes is the memory used by waiting requests, at most maxWaitingBytes.
+	waitingBytes    atomic.Int64
+	maxWaitingBytes int64
 
 	// shares holds the last fireflypath.Share of each pool, by its name.
 	shares sync.Map
-	// sharing is held while a share is put in force, so that a pool which is
-	// made meanwhile does not keep an older one.
-	sharing sync.Mutex
-	// begin gives the share of a new pool; nil for a daemon without peers.
-	begin atomic.Pointer[func(string) fireflypath.Share]
-
-	mu      sync.Mutex
-	applied *fireflypath.Config
-	stopped *fireflypath.Refusal
-	byName  atomic.Pointer[map[string]*pool.Pool]
-	// home maps a target to its pool.
-	home atomic.Pointer[map[string]*pool.Pool]
+	// shareMu is held while a share is applied, so that a pool created at the same
+	// time does not keep an older one.
+	shareMu sync.Mutex
+	// initialShare returns the share of a new pool; nil for a daemon without peers.
+	initialShare atomic.Pointer[func(string) fireflypath.Share]
+
+	mu         sync.Mutex
+	applied    *fireflypath.Config
+	stopReason *fireflypath.Refusal
+	byName     atomic.Pointer[map[string]*pool.Pool]
+	// byTarget maps the name of a target to its pool.
+	byTarget atomic.Pointer[map[string]*pool.Pool]
 }
 
-// New returns Pools without any; sched makes the scheduler of a pool.
-func New(clock clockwork.Clock, relief fireflypath.Relief, sched func(fireflypath.Pool) fireflypath.Scheduler) *Pools {
-	p := &Pools{clock: clock, relief: relief, sched: sched, limit: math.MaxInt64}
+// New returns an empty Pools; newScheduler creates the scheduler of a pool.
+func New(
+	clock clockwork.Clock, relief fireflypath.Relief, newScheduler func(fireflypath.Pool) fireflypath.Scheduler,
+) *Pools {
+	p := &Pools{clock: clock, relief: relief, newScheduler: newScheduler, maxWaitingBytes: math.MaxInt64}
 	p.byName.Store(&map[string]*pool.Pool{})
-	p.home.Store(&map[string]*pool.Pool{})
+	p.byTarget.Store(&map[string]*pool.Pool{})
 	return p
 }
 
-// OnMade has each new pool told of, with its scheduler. It is called before the first
-// configuration is applied.
-func (p *Pools) OnMade(made func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)) {
-	p.made = made
+// OnCreate sets a function that is called with each new pool and its scheduler.
+// It must be called before the first configuration is applied.
+func (p *Pools) OnCreate(f func(fireflypath.Pool, *pool.Pool, fireflypath.Scheduler)) {
+	p.onCreate = f
 }
 
-// Follow applies each configuration until the context ends.
+// Follow applies the current configuration and each newer one until the context
+// is done.
 func (p *Pools) Follow(ctx context.Context, configs fireflypath.Configs) {
 	for {
 		cfg := configs.Current()
@@ -71,8 +74,8 @@
 	}
 }
 
-// Apply makes, changes and ends pools. A lower generation than the one applied
-// is ignored.
+// Apply creates, updates and closes pools as the configuration requires. It
+// ignores a generation lower than the applied one.
 func (p *Pools) Apply(cfg *fireflypath.Config) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,26 +88,26 @@
 	for _, c := range cfg.Pools {
 		next[c.Name] = old[c.Name]
 		if next[c.Name] == nil {
-			next[c.Name] = p.make(c)
+			next[c.Name] = p.create(c)
 		}
-		next[c.Name].SetPool(c, lowest(cfg))
+		next[c.Name].SetPool(c, lowestRank(cfg))
 	}
-	p.assign(cfg, next)
+	p.assignTargets(cfg, next)
 	p.byName.Store(&next)
 	for name, n := range next {
 		if old[name] == nil {
-			p.share(name, n)
+			p.setInitialShare(name, n)
 		}
 	}
-	for name, gone := range old {
+	for name, removed := range old {
 		if next[name] == nil {
-			gone.Close(fireflypath.Refusal{Code: fireflypath.ReasonNoPool, Detail: "the pool was removed"})
+			removed.Close(fireflypath.Refusal{Code: fireflypath.ReasonNoPool, Detail: "the pool was removed"})
 		}
 	}
 }
 
-// lowest is the rank of the lowest tier.
-func lowest(cfg *fireflypath.Config) int {
+// lowestRank returns the rank of the lowest tier.
+func lowestRank(cfg *fireflypath.Config) int {
 	n := 0
 	for _, t := range cfg.Tiers {
 		n = max(n, t.Rank)
@@ -112,55 +115,56 @@
 	return n
 }
 
-func (p *Pools) make(c fireflypath.Pool) *pool.Pool {
-	sched := p.sched(c)
-	n := pool.New(c.Name, p.clock, sched, p.relief)
-	n.Count(&p.bytes)
-	p.share(c.Name, n)
-	if p.made != nil {
-		p.made(c, n, sched)
+func (p *Pools) create(c fireflypath.Pool) *pool.Pool {
+	scheduler := p.newScheduler(c)
+	n := pool.New(c.Name, p.clock, scheduler, p.relief)
+	n.CountBytes(&p.waitingBytes)
+	p.setInitialShare(c.Name, n)
+	if p.onCreate != nil {
+		p.onCreate(c, n, scheduler)
 	}
-	if p.stopped != nil {
-		n.Close(*p.stopped)
+	if p.stopReason != nil {
+		n.Close(*p.stopReason)
 	}
 	return n
 }
 
-// Begin sets where the share of a new pool comes from.
-func (p *Pools) Begin(share func(pool string) fireflypath.Share) {
-	p.begin.Store(&share)
+// SetInitialShare sets the function that returns the share of a new pool.
+func (p *Pools) SetInitialShare(share func(pool string) fireflypath.Share) {
+	p.initialShare.Store(&share)
 }
 
-// share gives a new pool its share. It is called before the pool gets requests,
-// and again once ApplyShare finds the pool: one that came between is not lost.
-func (p *Pools) share(name string, n *pool.Pool) {
-	begin := p.begin.Load()
-	if begin == nil {
+// setInitialShare sets the share of a new pool. It is called before the pool
+// receives requests, and again once ApplyShare can find the pool, so that a share
+// applied in between is not lost.
+func (p *Pools) setInitialShare(name string, n *pool.Pool) {
+	initial := p.initialShare.Load()
+	if initial == nil {
 		return
 	}
-	p.sharing.Lock()
-	defer p.sharing.Unlock()
-	n.SetShare((*begin)(name))
+	p.shareMu.Lock()
+	defer p.shareMu.Unlock()
+	n.SetShare((*initial)(name))
 }
 
-func (p *Pools) assign(cfg *fireflypath.Config, pools map[string]*pool.Pool) {
+func (p *Pools) assignTargets(cfg *fireflypath.Config, pools map[string]*pool.Pool) {
 	targets := make(map[string][]fireflypath.Target, len(pools))
-	home := make(map[string]*pool.Pool, len(cfg.Targets))
+	byTarget := make(map[string]*pool.Pool, len(cfg.Targets))
 	for _, t := range cfg.Targets {
 		targets[t.Pool] = append(targets[t.Pool], t)
-		home[t.Name] = pools[t.Pool]
+		byTarget[t.Name] = pools[t.Pool]
 	}
 	for name, n := range pools {
 		n.SetTargets(targets[name])
 	}
-	p.home.Store(&home)
+	p.byTarget.Store(&byTarget)
 }
 
-// Pool is the pool of the name under the configuration, or nil.
+// Pool returns the named pool of the configuration, or nil.
 //
-// A request can hold a configuration that Follow has not come to yet. Without
-// applying it here the request would be refused for want of a pool that the
-// operator was told is in force.
+// A request can carry a configuration that Follow has not applied yet. It is
+// applied here, because the request would otherwise be refused for a missing pool
+// although the operator was told that the pool is in effect.
 func (p *Pools) Pool(cfg *fireflypath.Config, name string) *pool.Pool {
 	if n := (*p.byName.Load())[name]; n != nil {
 		return n
@@ -169,58 +173,59 @@
 	return (*p.byName.Load())[name]
 }
 
-// Bound limits the bytes of all waiting requests. It is called before the
-// first request.
-func (p *Pools) Bound(bytes int) {
-	p.limit = int64(bytes)
+// SetMaxWaitingBytes limits the memory used by all waiting requests. It must be
+// called before the first request.
+func (p *Pools) SetMaxWaitingBytes(bytes int) {
+	p.maxWaitingBytes = int64(bytes)
 }
 
-// Reserve counts a request that is about to wait. It reports false if there is
-// no memory for it, after lower work of any pool has given way.
+// ReserveBytes adds the bytes of a request that is about to wait. It returns false
+// if they exceed the limit even after waiting requests of lower tiers have been
+// refused in all pools.
 //
-// The bound is over all pools, so the newcomer can be of a higher tier than
-// what waits in another pool. Refusing it there would shed a higher tier while
-// a lower one holds work.
-func (p *Pools) Reserve(w *fireflypath.Work) bool {
+// The limit covers all pools, so the new request can be of a higher tier than
+// requests waiting in another pool. Refusing it would shed a higher tier while a
+// lower one still waits.
+func (p *Pools) ReserveBytes(w *fireflypath.Work) bool {
 	n := int64(w.Bytes)
-	if p.bytes.Add(n) <= p.limit || p.displace(w.Rank) {
+	if p.waitingBytes.Add(n) <= p.maxWaitingBytes || p.displaceLowerTiers(w.Rank) {
 		return true
 	}
-	p.bytes.Add(-n)
+	p.waitingBytes.Add(-n)
 	return false
 }
 
-// displace refuses waiting work of lower tiers, the lowest first, until the
-// bound is met.
-func (p *Pools) displace(rank int) bool {
+// displaceLowerTiers refuses waiting requests of tiers below the rank, the lowest
+// first, until the limit is met. It returns false if the limit is still exceeded.
+func (p *Pools) displaceLowerTiers(rank int) bool {
 	for below := maxRank - 1; below >= rank; below-- {
 		for _, n := range *p.byName.Load() {
-			for p.bytes.Load() > p.limit && n.Relieve(below, 1) > 0 {
+			for p.waitingBytes.Load() > p.maxWaitingBytes && n.Relieve(below, 1) > 0 {
 			}
 		}
 	}
-	return p.bytes.Load() <= p.limit
+	return p.waitingBytes.Load() <= p.maxWaitingBytes
 }
 
-// Observe passes an event to the pool of its target.
+// Observe passes an event to the pool that its target belongs to.
 func (p *Pools) Observe(e fireflypath.Event) {
-	if n := (*p.home.Load())[e.Target]; n != nil {
+	if n := (*p.byTarget.Load())[e.Target]; n != nil {
 		n.Observe(e)
 	}
 }
 
-// Stop refuses all that waits in any pool and whatever comes later.
-func (p *Pools) Stop(why fireflypath.Refusal) {
+// Stop refuses all waiting and all later requests in every pool.
+func (p *Pools) Stop(reason fireflypath.Refusal) {
 	p.mu.Lock()
-	p.stopped = &why
+	p.stopReason = &reason
 	all := maps.Clone(*p.byName.Load())
 	p.mu.Unlock()
 	for _, n := range all {
-		n.Close(why)
+		n.Close(reason)
 	}
 }
 
-// Views is what this daemon knows of all targets.
+// Views returns the schedulers' views of all targets.
 func (p *Pools) Views() []fireflypath.TargetView {
 	var out []fireflypath.TargetView
 	for _, n := range *p.byName.Load() {
@@ -229,8 +234,8 @@
 	return out
 }
 
-// Holds names the targets at which this daemon has work.
-func (p *Pools) Holds() map[string]bool {
+// ActiveTargets returns the names of the targets that run requests of this daemon.
+func (p *Pools) ActiveTargets() map[string]bool {
 	out := map[string]bool{}
 	for _, v := range p.Views() {
 		if v.Requests > 0 {
@@ -240,27 +245,26 @@
 	return out
 }
 
-// Open is what is known of the requests that wait or run now and that the filter
-// lets through.
-func (p *Pools) Open(match func(*fireflypath.Work) bool) []fireflypath.Record {
+// OpenRequests returns a record of each waiting or running request that matches.
+func (p *Pools) OpenRequests(match func(*fireflypath.Work) bool) []fireflypath.Record {
 	var out []fireflypath.Record
 	for _, n := range *p.byName.Load() {
-		out = n.Open(match, out)
+		out = n.OpenRequests(match, out)
 	}
 	return out
 }
 
-// Version changes whenever what Report tells may have changed.
+// Version changes whenever the result of Report may have changed.
 func (p *Pools) Version() uint64 {
 	all := *p.byName.Load()
 	n := uint64(len(all))
-	for _, one := range all {
-		n += one.Moves()
+	for _, each := range all {
+		n += each.Version()
 	}
 	return n
 }
 
-// Report is what this daemon has in flight and waiting.
+// Report returns this daemon's in-flight and waiting work in all pools.
 func (p *Pools) Report() fireflypath.Mate {
 	m := fireflypath.NewMate("")
 	for _, n := range *p.byName.Load() {
@@ -269,14 +273,14 @@
 	return m
 }
 
-// UpdatePeers takes in what the other daemons have in flight and waiting.
-func (p *Pools) UpdatePeers(mates []fireflypath.Mate) {
+// UpdatePeers applies the reported in-flight and waiting work of the other daemons.
+func (p *Pools) UpdatePeers(peers []fireflypath.Mate) {
 	for _, n := range *p.byName.Load() {
-		n.Hear(mates)
+		n.UpdatePeers(peers)
 	}
 }
 
-// Demands summarises all pools.
+// Demands returns a summary of the load of each pool.
 func (p *Pools) Demands() []fireflypath.Demand {
 	all := *p.byName.Load()
 	out := make([]fireflypath.Demand, 0, len(all))
@@ -286,7 +290,8 @@
 	return out
 }
 
-// Relieve gives up waiting work of lower tiers.
+// Relieve refuses waiting requests of lower tiers in the named pool and returns
+// the tokens freed.
 func (p *Pools) Relieve(name string, rank, tokens int) int {
 	if n := (*p.byName.Load())[name]; n != nil {
 		return n.Relieve(rank, tokens)
@@ -294,19 +299,20 @@
 	return 0
 }
 
-// ApplyShare puts a share in force.
+// ApplyShare applies this daemon's share of the windows of a pool's targets.
 func (p *Pools) ApplyShare(name string, s fireflypath.Share) {
-	p.sharing.Lock()
-	defer p.sharing.Unlock()
+	p.shareMu.Lock()
+	defer p.shareMu.Unlock()
 	p.shares.Store(name, s)
 	if n := (*p.byName.Load())[name]; n != nil {
 		n.SetShare(s)
 	}
 }
 
-// Serves reports whether this daemon may send work to the target. At the size
-// of the letter a daemon serves a part of the targets; asking all 2,700 for
-// their load each second would take many times what control may cost.
+// Serves reports whether this daemon may send requests to the target. In a large
+// fleet a daemon serves only some of the targets: polling the load of all 2,700
+// targets each second would exceed the bandwidth allowed for control traffic many
+// times over.
 func (p *Pools) Serves(t fireflypath.Target) bool {
 	v, ok := p.shares.Load(t.Pool)
 	if !ok {
@@ -319,12 +325,12 @@
 	return s.Default > 0
 }
 
-// TargetLeaving ends new work to the target.
-func (p *Pools) TargetLeaving(target, why string) {
+// TargetLeaving stops the dispatch of new requests to the target.
+func (p *Pools) TargetLeaving(target, reason string) {
 	p.Observe(fireflypath.Event{Kind: fireflypath.EventLeaving, Target: target, Cached: -1})
 }
 
-// TargetBack allows new work to the target.
+// TargetBack allows the dispatch of new requests to the target again.
 func (p *Pools) TargetBack(target string) {
 	p.Observe(fireflypath.Event{Kind: fireflypath.EventBack, Target: target, Cached: -1})
 }
--- a/internal/route/relay/whole.go
+++ b/internal/route/relay/assemble.go
@@ -10,7 +10,7 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// event is what is read of a streamed completion.
+// event is one event of a streamed completion; fields that are not used are omitted.
 type event struct {
 	ID      string `json:"id"`
 	Model   string `json:"model"`
@@ -24,7 +24,7 @@
 	} `json:"choices"`
 }
 
-// completion is a whole answer, as the completions API has it.
+// completion is a complete answer in the format of the completions API.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -52,23 +52,23 @@
 	Total      int `json:"total_tokens"`
 }
 
-// assembly collects the events of one answer.
-type assembly struct {
+// assembler accumulates the events of one answer.
+type assembler struct {
 	text   []byte
 	last   event
 	finish *string
 }
 
 var (
-	fieldData = []byte("data:")
-	dataDone  = []byte("[DONE]")
+	dataPrefix = []byte("data:")
+	doneMarker = []byte("[DONE]")
 )
 
-func (a *assembly) add(data []byte) error {
+func (a *assembler) addEvents(data []byte) error {
 	for line := range bytes.Lines(data) {
-		v, ok := bytes.CutPrefix(line, fieldData)
+		v, ok := bytes.CutPrefix(line, dataPrefix)
 		v = bytes.TrimSpace(v)
-		if !ok || bytes.Equal(v, dataDone) {
+		if !ok || bytes.Equal(v, doneMarker) {
 			continue
 		}
 		var e event
@@ -84,17 +84,18 @@
 			}
 		}
 	}
-	if len(a.text) > maxWhole {
+	if len(a.text) > maxAssembled {
 		return errTooLong
 	}
 	return nil
 }
 
-// assemble makes one JSON answer of the events.
+// assemble combines the events of a streamed completion into one JSON answer, for
+// a caller that did not ask for a stream.
 func (l *Relay) assemble(f *follower, c fireflypath.Chunk, err error) error {
-	var a assembly
+	var a assembler
 	for err == nil {
-		if err = a.add(c.Data); err == nil {
+		if err = a.addEvents(c.Data); err == nil {
 			c, err = f.next()
 		}
 	}
@@ -105,25 +106,25 @@
 	if err != nil {
 		return l.fail(f, err)
 	}
-	f.r.Reply.Header = map[string]string{"Content-Type": "application/json"}
-	f.r.Reply.Body = body
-	l.whole(f)
+	f.request.Reply.Header = map[string]string{"Content-Type": "application/json"}
+	f.request.Reply.Body = body
+	l.complete(f)
 	return nil
 }
 
-func (a *assembly) completion(f *follower) completion {
-	r := f.r
+func (a *assembler) completion(f *follower) completion {
+	r := f.request
 	text := string(a.text)
-	ch := choice{Finish: a.finish}
+	answer := choice{Finish: a.finish}
 	object := "text_completion"
 	if r.Inbound.Path == "/v1/chat/completions" {
 		object = "chat.completion"
-		ch.Message = &message{Role: "assistant", Content: text}
+		answer.Message = &message{Role: "assistant", Content: text}
 	} else {
-		ch.Text = &text
+		answer.Text = &text
 	}
 	return completion{
-		ID: r.Work.ID, Object: object, Created: a.last.Created, Model: r.Work.Model, Choices: []choice{ch},
+		ID: r.Work.ID, Object: object, Created: a.last.Created, Model: r.Work.Model, Choices: []choice{answer},
 		Usage: usage{Prompt: r.Work.Cost.Prompt, Completion: r.Tokens, Total: r.Work.Cost.Prompt + r.Tokens},
 	}
 }
--- a/internal/route/relay/follower.go
+++ b/internal/route/relay/follower.go
@@ -14,49 +14,49 @@
 )
 
 const (
-	// maxBroken bounds resumes in a row that fail at once. With the pauses
-	// below they last about 1.5 s, longer than a target's network takes to
-	// come back from a moved route, and far shorter than a restart: a
-	// restarted target no longer holds the answer.
-	maxBroken  = 5
-	firstPause = 50 * time.Millisecond
-	// maxSilent bounds resumes in a row that bring nothing for the silence
-	// limit. A target may queue work that long, so it is generous; it ends
-	// the wait for one that accepts connections and does nothing else.
-	maxSilent = 30
-	// cancelTime bounds telling a target that its work is no longer wanted.
-	cancelTime = 2 * time.Second
+	// maxFailures bounds consecutive resumes that fail immediately. With the pauses
+	// between them they last about 1.5 s, which is longer than a target's network
+	// needs to recover from a moved route and far shorter than a restart. A
+	// restarted target no longer has the answer.
+	maxFailures = 5
+	basePause   = 50 * time.Millisecond
+	// maxTimeouts bounds consecutive resumes that receive nothing until the read
+	// timeout. It is high because a target may queue a request for that long; it
+	// ends the wait for a target that only accepts connections.
+	maxTimeouts = 30
+	// cancelTimeout bounds the request that cancels work at a target.
+	cancelTimeout = 2 * time.Second
 )
 
-// follower reads one answer over as many connections as it takes.
+// follower reads one answer and resumes it on a new connection as often as needed.
 //
-// An open connection can break or go silent while the target still works on
-// the answer. The caller would wait for ever or read half an answer; a resume
-// behind the last event on a new connection costs no second run.
+// A connection can break or go silent while the target still works on the answer.
+// The caller would wait forever or read an incomplete answer. Resuming after the
+// last event on a new connection does not run the request a second time.
 type follower struct {
-	ctx    context.Context
-	clock  clockwork.Clock
-	r      *request.Request
-	answer fireflypath.Answer
-	offset int
-	broken int
-	silent int
-	begun  bool
-	told   bool
-	closed bool
+	ctx           context.Context
+	clock         clockwork.Clock
+	request       *request.Request
+	answer        fireflypath.Answer
+	offset        int
+	failures      int
+	timeouts      int
+	started       bool
+	firstReported bool
+	closed        bool
 }
 
 func newFollower(ctx context.Context, clock clockwork.Clock, r *request.Request) *follower {
 	if !r.Work.Idempotent {
 		ctx = context.WithoutCancel(ctx)
 	}
-	return &follower{ctx: ctx, clock: clock, r: r, answer: r.Answer}
+	return &follower{ctx: ctx, clock: clock, request: r, answer: r.Answer}
 }
 
-// begin returns the first piece, after which there is a head.
-func (f *follower) begin() (fireflypath.Chunk, error) {
+// start returns the first chunk. The answer's head is available afterwards.
+func (f *follower) start() (fireflypath.Chunk, error) {
 	if f.answer == nil {
-		if err := f.resume(f.r.Broken); err != nil {
+		if err := f.resume(f.request.AnswerErr); err != nil {
 			return fireflypath.Chunk{}, err
 		}
 	}
@@ -67,17 +67,17 @@
 	return f.answer.Head()
 }
 
-func (f *follower) cached() int {
+func (f *follower) cachedTokens() int {
 	if f.answer == nil {
 		return -1
 	}
 	return f.answer.Head().Cached
 }
 
-// next returns the next piece, or io.EOF after the whole answer.
+// next returns the next chunk, or io.EOF after the complete answer.
 func (f *follower) next() (fireflypath.Chunk, error) {
-	if f.begun && !f.told && !f.ready() {
-		f.tell()
+	if f.started && !f.firstReported && !f.ready() {
+		f.reportFirstToken()
 	}
 	for {
 		c, err := f.answer.Next(f.ctx)
@@ -94,7 +94,7 @@
 	}
 }
 
-// ready reports whether next returns without waiting.
+// ready reports whether next returns without blocking.
 func (f *follower) ready() bool {
 	r, ok := f.answer.(interface{ Ready() bool })
 	return ok && r.Ready()
@@ -102,67 +102,69 @@
 
 func (f *follower) progress(c fireflypath.Chunk) {
 	f.offset = c.Offset
-	f.r.Tokens += c.Tokens
-	f.broken = 0
-	f.silent = 0
-	if f.begun {
+	f.request.Tokens += c.Tokens
+	f.failures = 0
+	f.timeouts = 0
+	if f.started {
 		return
 	}
-	f.begun = true
-	f.r.Draft.First(f.clock.Now())
+	f.started = true
+	f.request.Draft.First(f.clock.Now())
 }
 
-// tell reports the first token, when the first piece is on its way to the
-// caller. An answer that came all at once is only reported as done.
-func (f *follower) tell() {
-	f.told = true
-	f.r.Owner.Tell(f.r, fireflypath.EventFirst, f.cached())
+// reportFirstToken reports the first token once the first chunk is on its way to
+// the caller. An answer that arrives all at once is only reported as done.
+func (f *follower) reportFirstToken() {
+	f.firstReported = true
+	f.request.Owner.Notify(f.request, fireflypath.EventFirst, f.cachedTokens())
 }
 
-// resume asks for the rest until a connection answers, or returns why not.
+// resume requests the rest of the answer until a connection answers, or returns an
+// error if it gives up.
 func (f *follower) resume(cause error) error {
 	for {
 		if f.ctx.Err() != nil {
 			return errors.Wrap(f.ctx.Err(), "caller left")
 		}
-		if !f.count(cause) {
+		if !f.allowResume(cause) {
 			return cause
 		}
-		a, err := f.r.Backend.Resume(f.ctx, f.r.Target, &f.r.Call, f.offset)
+		a, err := f.request.Backend.Resume(f.ctx, f.request.Target, &f.request.Call, f.offset)
 		if errors.Is(err, fireflypath.ErrGone) {
 			return errors.Wrap(cause, err.Error())
 		}
-		f.r.Draft.Resumed()
+		f.request.Draft.Resumed()
 		if err == nil {
-			f.replace(a)
+			f.setAnswer(a)
 			return nil
 		}
 		cause = err
 	}
 }
 
-// count pauses before a resume and reports whether there may be one more.
-func (f *follower) count(cause error) bool {
+// allowResume counts the failure that requires a resume and pauses before the next
+// one. It returns false if there were too many in a row.
+func (f *follower) allowResume(cause error) bool {
 	var t net.Error
 	if errors.As(cause, &t) && t.Timeout() && !errors.Is(cause, fireflypath.ErrUnsent) {
-		f.silent++
-		return f.silent <= maxSilent
+		f.timeouts++
+		return f.timeouts <= maxTimeouts
 	}
-	f.broken++
-	if f.broken > maxBroken {
+	f.failures++
+	if f.failures > maxFailures {
 		return false
 	}
-	if f.broken == 1 {
+	if f.failures == 1 {
 		return true
 	}
 	select {
-	case <-f.clock.After(firstPause << f.broken):
+	case <-f.clock.After(basePause << f.failures):
 	case <-f.ctx.Done():
 	}
 	return true
 }
 
-func (f *follower) replace(a fireflypath.Answer) {
+func (f *follower) setAnswer(a fireflypath.Answer) {
 	if f.answer != nil {
 		_ = f.answer.Close()
 	}
@@ -179,10 +181,10 @@
 	}
 }
 
-// abandon ends the answer of a caller that left. The target is told to stop
-// only if the work may be cut; other work runs to its end, unread.
-func (f *follower) abandon() {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(f.ctx), cancelTime)
+// cancelTarget asks the target to stop work whose caller left. It is used only for
+// work that may be cancelled; other work runs to its end.
+func (f *follower) cancelTarget() {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(f.ctx), cancelTimeout)
 	defer cancel()
-	_ = f.r.Backend.Cancel(ctx, f.r.Target, f.r.Work.ID)
+	_ = f.request.Backend.Cancel(ctx, f.request.Target, f.request.Work.ID)
 }
