--- a/internal/route/pool/relief.go
+++ b/internal/route/pool/relief.go
@@ -12,7 +12,7 @@
 
 // requestRelief asks peers to shed requests of lower tiers while the request
 // keeps waiting. It is refused once no daemon holds waiting requests of lower
-// tiers. A request past its deadline gains nothing from freed room, so its peers
+// tiers. A request past its deadline gains nothing from freed capacity, so its peers
 // are asked again until they free none.
 func (p *Pool) requestRelief(s fireflypath.Shed) {
 	lowestRank := len(p.scheduler.Demand(p.clock.Now()).Requests) - 1
