--- a/internal/patch/patch_test.go
+++ b/internal/patch/patch_test.go
@@ -14,7 +14,7 @@
 
 const megabyte = 1 << 20
 
-func TestApplyGivesTheValueBack(t *testing.T) {
+func TestApplyReversesMake(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(r, "base")
 		value := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(r, "value")
@@ -35,12 +35,11 @@
 	})
 }
 
-// Two configurations of the largest size differ in their middle. The patch is as
-// small as the difference, also where it has to look back over the whole base and
-// the teams' keys are random.
+// Two configurations of the largest size differ in the middle. The patch must be as small as
+// the difference, even if it refers to the whole base and the teams have random keys.
 func TestPatchOfTheLargestValueIsSmall(t *testing.T) {
 	is := is.New(t)
-	base := teams(6000)
+	base := randomTeams(6000)
 	value := bytes.Clone(base)
 	copy(value[len(value)/2:], "another")
 	p, err := patch.Make(base, value)
@@ -51,8 +50,8 @@
 	is.True(bytes.Equal(got, value))
 }
 
-// teams are some with random keys, about 170 bytes each.
-func teams(n int) []byte {
+// randomTeams returns teams with random keys, about 170 bytes each.
+func randomTeams(n int) []byte {
 	r := rand.New(rand.NewSource(7))
 	var b bytes.Buffer
 	for range n {
@@ -62,11 +61,11 @@
 	return b.Bytes()
 }
 
-// Two daemons take different values for the base. The one that applies the patch
-// must notice: a configuration that nobody wrote would be in force.
-func TestAnotherBaseIsNoticed(t *testing.T) {
+// Two daemons use different values as the base. The one that applies the patch must detect
+// that, or a configuration that nobody wrote would be in force.
+func TestApplyFailsWithDifferentBase(t *testing.T) {
 	is := is.New(t)
-	base := teams(500)
+	base := randomTeams(500)
 	value := append(bytes.Clone(base), "another"...)
 	p, err := patch.Make(base, value)
 	is.NoErr(err)
@@ -78,9 +77,9 @@
 	is.True(err != nil)
 }
 
-// A patch of some hundred bytes may claim any size; memory is taken up to the
-// limit only.
-func TestPatchAboveTheLimitIsRefused(t *testing.T) {
+// A patch of a few hundred bytes may claim any size. Memory must be allocated up to the limit
+// only.
+func TestApplyFailsAboveMaxSize(t *testing.T) {
 	is := is.New(t)
 	p, err := patch.Make(nil, make([]byte, 16*megabyte))
 	is.NoErr(err)
