--- a/internal/relief/rounds.go
+++ b/internal/relief/rounds.go
@@ -1,4 +1,4 @@
-// Package relief asks the other daemons to give up lower waiting work.
+// Package relief asks the other daemons to give up waiting work of lower tiers.
 package relief
 
 import (
@@ -21,33 +21,33 @@
 
 const (
 	method = "relieve"
-	// askTimeout bounds one question; a peer that is slower is asked again. The
-	// work it gave up by then stays given up, which harms no higher tier.
-	askTimeout = time.Second
-	// askAgain is the pause before a peer that failed is asked again. It is
-	// out of the membership after a few seconds, or it answers.
-	askAgain = 200 * time.Millisecond
-	// linger is how long a round that has freed something waits for the rest.
-	linger = 100 * time.Millisecond
+	// callTimeout is the timeout of a call. A slower peer is called again. The work that it
+	// gave up already stays given up, which does not harm a higher tier.
+	callTimeout = time.Second
+	// retryInterval is the pause before a peer is called again after a failure. Such a peer
+	// either answers or leaves the membership within a few seconds.
+	retryInterval = 200 * time.Millisecond
+	// gracePeriod is how long a round in which tokens were freed waits for more responses.
+	gracePeriod = 100 * time.Millisecond
 )
 
-// Caller asks one daemon.
+// Caller calls a method of another daemon.
 type Caller interface {
 	Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error
 }
 
-// Windows hands parts of windows over together with the work given up. It may
-// be nil.
+// Windows transfers fractions of the concurrency windows together with the work given up. It
+// may be nil.
 type Windows interface {
-	// LendForRelief gives a part of a pool's windows for tokens of work of a rank.
+	// LendForRelief lends the fraction of a pool's windows that tokens of a rank need.
 	LendForRelief(pool string, rank, tokens int) float64
-	// Borrow uses such a part, asked for at that time.
-	Borrow(pool string, asked time.Time, part float64)
+	// Borrow uses a fraction that was asked for at askedAt.
+	Borrow(pool string, askedAt time.Time, fraction float64)
 }
 
-// Rounds implements fireflypath.Relief: one round in flight per pool, in which
-// each live peer is asked once for all requests that wait for relief, so that
-// overload does not multiply messages.
+// Rounds implements fireflypath.Relief. It runs one round at a time per pool. In a round, each
+// live peer is called once for all waiting requests, so that the number of messages does not
+// grow with the overload.
 type Rounds struct {
 	members fireflypath.Members
 	self    string
@@ -55,20 +55,20 @@
 	cluster func() fireflypath.Cluster
 	windows Windows
 	clock   clockwork.Clock
-	count   counters
+	metrics metrics
 
 	mu    sync.Mutex
 	pools map[string]*queue
 }
 
-type counters struct {
+type metrics struct {
 	rounds, asked, joined, freed, none, unanswered tally.Counter
 }
 
-// queue is one pool's rounds.
+// queue holds the state of a pool's rounds.
 type queue struct {
 	running bool
-	// next are the requests that wait for the next round.
+	// next holds the requests for the next round.
 	next []*waiter
 }
 
@@ -77,33 +77,33 @@
 	ctx    context.Context
 	rank   int
 	tokens int
-	done   chan int
+	result chan int
 }
 
-// need is what the requests of one rank want.
+// need is the number of tokens that the requests of one rank need.
 type need struct {
 	Rank   int `json:"rank"`
 	Tokens int `json:"tokens"`
 }
 
-// question is sent to each peer.
-type question struct {
+// reliefRequest asks a peer to give up work.
+type reliefRequest struct {
 	Pool string `json:"pool"`
-	// Needs are ordered by rank, the highest tier first.
+	// Needs is ordered by rank, the highest tier first.
 	Needs []need `json:"needs"`
 }
 
-// answer says what the peer freed, by the question's needs.
-type answer struct {
+// reliefResponse holds the tokens that the peer freed for each need of the request.
+type reliefResponse struct {
 	Freed []int `json:"freed"`
-	// Part of the pool's windows goes with it.
-	Part float64 `json:"part,omitempty"`
+	// Fraction is the fraction of the pool's windows that is lent with the tokens.
+	Fraction float64 `json:"part,omitempty"`
 }
 
 var _ fireflypath.Relief = (*Rounds)(nil)
 
-// New makes the rounds of the daemon self. cluster gives this daemon's own
-// route, which answers peers; windows may be nil.
+// New returns the rounds of the daemon self. cluster returns this daemon's own route, which
+// serves the requests of peers. windows may be nil.
 func New(self string, members fireflypath.Members, caller Caller, cluster func() fireflypath.Cluster,
 	windows Windows, clock clockwork.Clock, scope tally.Scope,
 ) *Rounds {
@@ -111,18 +111,18 @@
 	return &Rounds{
 		members: members, self: self, caller: caller, cluster: cluster, windows: windows, clock: clock,
 		pools: map[string]*queue{},
-		count: counters{
+		metrics: metrics{
 			rounds: scope.Counter("rounds"), asked: scope.Counter("asked"), joined: scope.Counter("joined"),
 			freed: scope.Counter("freed"), none: scope.Counter("none"), unanswered: scope.Counter("unanswered"),
 		},
 	}
 }
 
-// Ask joins the pool's next round. It returns 0 without an error only after
-// every live peer, asked after this call began, said that it holds no lower
-// waiting work. If the context ends first, it returns the context's error.
+// Ask joins the pool's next round. It returns 0 without an error only if every live peer
+// answered, after this call began, that it holds no waiting work of lower tiers. If the
+// context ends first, it returns the context's error.
 func (r *Rounds) Ask(ctx context.Context, pool string, rank, tokens int) (int, error) {
-	w := &waiter{ctx: ctx, rank: rank, tokens: max(1, tokens), done: make(chan int, 1)}
+	w := &waiter{ctx: ctx, rank: rank, tokens: max(1, tokens), result: make(chan int, 1)}
 	r.mu.Lock()
 	q := r.pools[pool]
 	if q == nil {
@@ -131,23 +131,23 @@
 	}
 	q.next = append(q.next, w)
 	if q.running {
-		r.count.joined.Inc(1)
+		r.metrics.joined.Inc(1)
 	} else {
 		q.running = true
-		go r.run(pool, q)
+		go r.runRounds(pool, q)
 	}
 	r.mu.Unlock()
 	select {
-	case got := <-w.done:
-		return got, nil
+	case granted := <-w.result:
+		return granted, nil
 	case <-ctx.Done():
-		r.count.unanswered.Inc(1)
+		r.metrics.unanswered.Inc(1)
 		return 0, errors.Wrapf(ctx.Err(), "relief for pool %s", pool)
 	}
 }
 
-// run makes rounds until nobody waits for one.
-func (r *Rounds) run(pool string, q *queue) {
+// runRounds runs rounds until no request is waiting for one.
+func (r *Rounds) runRounds(pool string, q *queue) {
 	for {
 		r.mu.Lock()
 		batch := q.next
@@ -159,22 +159,22 @@
 			return
 		}
 		r.mu.Unlock()
-		rest := r.round(pool, batch)
+		unserved := r.runRound(pool, batch)
 		r.mu.Lock()
-		q.next = append(rest, q.next...)
+		q.next = append(unserved, q.next...)
 		r.mu.Unlock()
 	}
 }
 
-// wanted lasts as long as one of the waiters wants an answer.
-func wanted(batch []*waiter) (context.Context, context.CancelFunc) {
+// contextOfAny returns a context that ends when the contexts of all waiters have ended.
+func contextOfAny(batch []*waiter) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var left atomic.Int64
-	left.Store(int64(len(batch)))
+	var remaining atomic.Int64
+	remaining.Store(int64(len(batch)))
 	stops := make([]func() bool, 0, len(batch))
 	for _, w := range batch {
 		stops = append(stops, context.AfterFunc(w.ctx, func() {
-			if left.Add(-1) == 0 {
+			if remaining.Add(-1) == 0 {
 				cancel()
 			}
 		}))
@@ -187,42 +187,42 @@
 	}
 }
 
-// round asks all peers for a batch and hands out what they free. It returns the
-// waiters that got nothing although not every peer has answered.
-func (r *Rounds) round(pool string, batch []*waiter) []*waiter {
-	r.count.rounds.Inc(1)
-	ctx, cancel := wanted(batch)
+// runRound calls all peers for a batch and distributes the tokens that they free. It returns
+// the waiters that got nothing although not every peer has answered.
+func (r *Rounds) runRound(pool string, batch []*waiter) []*waiter {
+	r.metrics.rounds.Inc(1)
+	ctx, cancel := contextOfAny(batch)
 	defer cancel()
-	needs := join(batch)
-	freed, complete := r.askAll(ctx, question{Pool: pool, Needs: needs})
-	// Work that is past its time wants all that anybody holds. Served first, it
-	// would take what was given up for requests that can still run, and those
-	// would hear "none" and be refused.
+	needs := sumByRank(batch)
+	freed, complete := r.askPeers(ctx, reliefRequest{Pool: pool, Needs: needs})
+	// Expired work asks for all tokens that peers can free. If it were served first, it
+	// would take the tokens freed for requests that can still run, and those would be told
+	// that there are none and be refused.
 	slices.SortStableFunc(batch, func(a, b *waiter) int { return cmp.Compare(a.tokens, b.tokens) })
-	var rest []*waiter
+	var unserved []*waiter
 	for _, w := range batch {
 		if w.ctx.Err() != nil {
 			continue // Ask has returned
 		}
-		got := 0
+		granted := 0
 		for i, n := range needs {
 			if n.Rank == w.rank {
-				got = min(freed[i], w.tokens)
-				freed[i] -= got
+				granted = min(freed[i], w.tokens)
+				freed[i] -= granted
 			}
 		}
-		if got == 0 && !complete {
-			rest = append(rest, w)
+		if granted == 0 && !complete {
+			unserved = append(unserved, w)
 			continue
 		}
-		w.done <- got
+		w.result <- granted
 	}
-	return rest
+	return unserved
 }
 
-// join sums the batch by rank, the highest tier first.
-func join(batch []*waiter) []need {
-	const ranks = 16 // settings allow ranks from 0 to 15
+// sumByRank sums the tokens of the batch by rank, the highest tier first.
+func sumByRank(batch []*waiter) []need {
+	const ranks = 16 // the settings allow ranks from 0 to 15
 	var sums [ranks]int
 	for _, w := range batch {
 		sums[min(ranks-1, max(0, w.rank))] += w.tokens
@@ -236,63 +236,63 @@
 	return out
 }
 
-// reply is what one peer said.
-type reply struct {
+// peerResponse is the response of one peer.
+type peerResponse struct {
 	peer  incarnation
 	freed []int
 }
 
-// incarnation names one life of a peer: one that came back may hold work again.
+// incarnation identifies one process of a peer. A restarted peer may hold work again.
 type incarnation struct {
 	name   string
 	number uint64
 }
 
-// askAll asks every live peer until each has answered or is gone; it reports
-// whether that is so. It ends early, with what was freed, once that is enough
-// or the rest is slow.
+// askPeers calls every live peer until each has answered or left the membership, and reports
+// whether that happened. It returns earlier, with the tokens freed so far, once those suffice
+// or the grace period ends.
 //
-// A peer that does not answer may hold lower work, so that shedding now could
-// shed a higher tier first. It is asked again until it answers or the
-// membership drops it; the requests wait meanwhile, at most to their deadlines.
-func (r *Rounds) askAll(ctx context.Context, q question) ([]int, bool) {
+// A peer that does not answer may hold work of lower tiers, so that shedding now could shed a
+// higher tier first. It is called again until it answers or leaves the membership. Meanwhile,
+// the requests wait, at most until their deadlines.
+func (r *Rounds) askPeers(ctx context.Context, q reliefRequest) ([]int, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
 	total := make([]int, len(q.Needs))
 	answered, asked := map[incarnation]bool{}, map[incarnation]bool{}
-	replies := make(chan reply)
-	look := r.clock.NewTicker(askAgain)
-	defer look.Stop()
-	var enough <-chan time.Time
+	responses := make(chan peerResponse)
+	ticker := r.clock.NewTicker(retryInterval)
+	defer ticker.Stop()
+	var grace <-chan time.Time
 	for {
-		open := 0
+		unanswered := 0
 		for _, m := range r.members.Live() {
-			k := incarnation{m.Name, m.Incarnation}
-			if m.Name == r.self || answered[k] {
+			id := incarnation{m.Name, m.Incarnation}
+			if m.Name == r.self || answered[id] {
 				continue
 			}
-			open++
-			if !asked[k] {
-				asked[k] = true
-				wg.Go(func() { r.ask(ctx, m, q, replies) })
+			unanswered++
+			if !asked[id] {
+				asked[id] = true
+				wg.Go(func() { r.askUntilAnswered(ctx, m, q, responses) })
 			}
 		}
-		if open == 0 || covered(q.Needs, total) {
-			return total, open == 0
+		if unanswered == 0 || isCovered(q.Needs, total) {
+			return total, unanswered == 0
 		}
 		select {
-		case a := <-replies:
+		case a := <-responses:
 			answered[a.peer] = true
 			for i, n := range a.freed {
 				total[i] += n
-				if n > 0 && enough == nil {
-					enough = r.clock.After(linger)
+				if n > 0 && grace == nil {
+					grace = r.clock.After(gracePeriod)
 				}
 			}
-		case <-look.Chan(): // peers that left the membership no longer count
-		case <-enough:
+		case <-ticker.Chan(): // peers may have left the membership
+		case <-grace:
 			return total, false
 		case <-ctx.Done():
 			return total, false
@@ -300,44 +300,44 @@
 	}
 }
 
-// ask puts the question to one peer until it answers. If an answer is lost, the
-// peer gives up more work than was asked for; no higher tier is harmed by that.
-func (r *Rounds) ask(ctx context.Context, m fireflypath.Member, q question, replies chan<- reply) {
+// askUntilAnswered calls one peer until it answers. If a response is lost, the peer gives up
+// more work than requested, which does not harm a higher tier.
+func (r *Rounds) askUntilAnswered(ctx context.Context, m fireflypath.Member, q reliefRequest, responses chan<- peerResponse) {
 	for ctx.Err() == nil {
 		a, err := r.askOnce(ctx, m, q)
 		if err == nil {
 			select {
-			case replies <- reply{peer: incarnation{m.Name, m.Incarnation}, freed: a.Freed}:
+			case responses <- peerResponse{peer: incarnation{m.Name, m.Incarnation}, freed: a.Freed}:
 			case <-ctx.Done():
 			}
 			return
 		}
 		select {
-		case <-r.clock.After(askAgain):
+		case <-r.clock.After(retryInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func (r *Rounds) askOnce(ctx context.Context, m fireflypath.Member, q question) (answer, error) {
-	r.count.asked.Inc(1)
-	asked := r.clock.Now()
-	ctx, cancel := clockwork.WithTimeout(ctx, r.clock, askTimeout)
+func (r *Rounds) askOnce(ctx context.Context, m fireflypath.Member, q reliefRequest) (reliefResponse, error) {
+	r.metrics.asked.Inc(1)
+	askedAt := r.clock.Now()
+	ctx, cancel := clockwork.WithTimeout(ctx, r.clock, callTimeout)
 	defer cancel()
-	var a answer
+	var a reliefResponse
 	if err := r.caller.Call(ctx, m, method, q, &a); err != nil {
 		return a, err
 	}
 	if len(a.Freed) != len(q.Needs) {
-		return a, errors.Newf("answer of %s does not fit the question", m.Name)
+		return a, errors.Newf("response of %s does not match the request", m.Name)
 	}
-	if r.windows != nil && a.Part > 0 {
-		r.windows.Borrow(q.Pool, asked, a.Part)
+	if r.windows != nil && a.Fraction > 0 {
+		r.windows.Borrow(q.Pool, askedAt, a.Fraction)
 	}
 	return a, nil
 }
 
-func covered(needs []need, total []int) bool {
+func isCovered(needs []need, total []int) bool {
 	for i, n := range needs {
 		if total[i] < n.Tokens {
 			return false
@@ -346,13 +346,13 @@
 	return true
 }
 
-// Register registers the answer to peers' questions.
+// Register registers the handler for the requests of peers.
 func (r *Rounds) Register(e *peer.Endpoint) {
-	e.Handle(method, r.answer)
+	e.Handle(method, r.handleRelieve)
 }
 
-func (r *Rounds) answer(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var q question
+func (r *Rounds) handleRelieve(_ context.Context, _ string, params json.RawMessage) (any, error) {
+	var q reliefRequest
 	if err := json.Unmarshal(params, &q); err != nil {
 		return nil, errors.Wrap(err, "decode the question for relief")
 	}
@@ -360,16 +360,16 @@
 	if c == nil {
 		return nil, errors.New("daemon is starting")
 	}
-	a := answer{Freed: make([]int, len(q.Needs))}
+	a := reliefResponse{Freed: make([]int, len(q.Needs))}
 	for i, n := range q.Needs {
 		a.Freed[i] = max(0, c.Relieve(q.Pool, n.Rank, n.Tokens))
 		if a.Freed[i] == 0 {
-			r.count.none.Inc(1)
+			r.metrics.none.Inc(1)
 			continue
 		}
-		r.count.freed.Inc(int64(a.Freed[i]))
+		r.metrics.freed.Inc(int64(a.Freed[i]))
 		if r.windows != nil {
-			a.Part += r.windows.LendForRelief(q.Pool, n.Rank, a.Freed[i])
+			a.Fraction += r.windows.LendForRelief(q.Pool, n.Rank, a.Freed[i])
 		}
 	}
 	return a, nil
