--- a/internal/claim/claims.go
+++ b/internal/claim/claims.go
@@ -1,4 +1,8 @@
-// Package claim keeps idempotency keys in the platform's store, so that work that may not be repeated runs at most once.
+// Package claim claims idempotency keys in the platform's key-value service, so that work that
+// must not be repeated runs at most once.
+//
+// The claims are spread over a fixed number of documents. A daemon batches the operations on a
+// document and writes it by compare-and-swap.
 package claim
 
 import (
@@ -17,100 +21,100 @@
 )
 
 const (
-	// Retention is how long a key stays claimed after its dispatch. Callers
-	// retry within minutes; the shards hold 800,000 claims, which is an hour of
-	// 220 a second.
+	// Retention is how long a key stays claimed. Callers retry within minutes. The documents
+	// hold 800,000 claims, which is an hour at 220 claims a second.
 	Retention = time.Hour
-	// shards is the number of documents. One compare-and-swap writes a whole
-	// one, so few make large writes and many leave little to group: with 64, a
-	// burst of 200 claims is 64 writes at most, within the several hundred a
-	// second that the service takes.
-	shards = 64
-	// Prefix is where the documents are.
-	Prefix = "claims/"
-
-	firstPause = 20 * time.Millisecond
-	// lastPause bounds the calls to a service that is down to one a second and shard.
-	lastPause = time.Second
-	// callTime bounds one call to the store.
-	callTime = 2 * time.Second
+	// shardCount is the number of documents. Each compare-and-swap writes a whole document, so
+	// that fewer documents make larger writes, and more documents make smaller batches. With
+	// 64, a burst of 200 claims takes at most 64 writes. The service takes several hundred
+	// writes a second.
+	shardCount = 64
+	// keyPrefix is the prefix of the documents' keys in the store.
+	keyPrefix = "claims/"
+
+	minBackoff = 20 * time.Millisecond
+	// maxBackoff limits the calls to a service that is down to about one a second for each
+	// document.
+	maxBackoff = time.Second
+	// callTimeout bounds the read and the write of one batch.
+	callTimeout = 2 * time.Second
 )
 
-// Errors of claims. All but ErrHeld leave the key free for this caller.
+// Errors of Claims.Claim. After them, unlike after a HeldError, the key remains available to
+// the caller.
 var (
-	// ErrUnavailable means that the claim could not be settled in time.
+	// ErrUnavailable means that the store did not confirm the claim in time.
 	ErrUnavailable = errors.New("key could not be claimed in time")
-	// ErrFull means that the key's shard holds as many claims as fit.
+	// ErrFull means that the document of the key has no room for another claim.
 	ErrFull = errors.New("no room for another claim")
 )
 
 // HeldError means that another request holds the key.
 type HeldError struct {
-	// Holder is that request's id.
+	// Holder is the ID of that request.
 	Holder string
 }
 
-// Error names the holder.
+// Error implements error.
 func (e *HeldError) Error() string {
 	return "key is held by request " + e.Holder
 }
 
-// Claims claims keys for one daemon. Claims that come while a write of their
-// shard is under way go into the next one together.
+// Claims claims keys for one daemon. Operations that arrive while a batch of their document is
+// in progress form the next batch.
 type Claims struct {
 	store fireflypath.Store
 	clock clockwork.Clock
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   conc.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines conc.WaitGroup
 
 	mu     sync.Mutex
 	closed bool
-	shards [shards]shard
+	shards [shardCount]shard
 }
 
-// New returns Claims in the store.
+// New returns Claims that are kept in the store.
 func New(store fireflypath.Store, clock clockwork.Clock) *Claims {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Claims{store: store, clock: clock, ctx: ctx, cancel: cancel}
 }
 
-// Claim takes the team's key for the request id. A nil error means that it is
-// held for that request, confirmed by the store. It waits while the store is
-// down, until the deadline or the end of the context.
-func (c *Claims) Claim(ctx context.Context, team, key, id string, deadline time.Time) error {
-	o := &op{hash: hash(team, key), nonce: id, done: make(chan error, 1)}
-	c.submit(o)
+// Claim claims the team's key for a request. It returns nil once the store has confirmed that
+// the request holds the key. While the store is unavailable it retries until the deadline or
+// the end of the context.
+func (c *Claims) Claim(ctx context.Context, team, key, requestID string, deadline time.Time) error {
+	o := &operation{keyHash: hashKey(team, key), requestID: requestID, result: make(chan error, 1)}
+	c.enqueue(o)
 	timer := c.clock.NewTimer(deadline.Sub(c.clock.Now()))
 	defer timer.Stop()
 	var err error
 	select {
-	case err = <-o.done:
+	case err = <-o.result:
 		return err
 	case <-timer.Chan():
 		err = ErrUnavailable
 	case <-ctx.Done():
 		err = errors.Mark(ctx.Err(), ErrUnavailable)
 	}
-	if o.fate.CompareAndSwap(open, abandoned) {
+	if o.state.CompareAndSwap(statePending, stateAbandoned) {
 		return err
 	}
-	return <-o.done
+	return <-o.result
 }
 
-// Release frees the key if the request holds it. It returns at once; the
-// store is told as soon as it answers.
-func (c *Claims) Release(team, key, id string) {
-	c.submit(&op{hash: hash(team, key), nonce: id, release: true, done: make(chan error, 1)})
+// Release releases the key if the request holds it. It does not wait for the store.
+func (c *Claims) Release(team, key, requestID string) {
+	c.enqueue(&operation{keyHash: hashKey(team, key), requestID: requestID, release: true, result: make(chan error, 1)})
 }
 
-// Abort ends the wait of all claims that the store has not confirmed.
+// Abort fails all claims that the store has not confirmed.
 func (c *Claims) Abort() {
 	c.cancel()
 }
 
-// Close waits for what is under way until the context ends.
+// Close rejects new operations and waits for the pending ones until the context ends.
 func (c *Claims) Close(ctx context.Context) {
 	c.mu.Lock()
 	c.closed = true
@@ -118,89 +122,92 @@
 	defer c.cancel()
 	stop := context.AfterFunc(ctx, c.cancel)
 	defer stop()
-	c.work.Wait()
+	c.goroutines.Wait()
 }
 
-// The fates of an op.
+// States of an operation.
 const (
-	open uint32 = iota
-	settled
-	abandoned
+	statePending uint32 = iota
+	stateCompleted
+	stateAbandoned
 )
 
-// op is a claim or a release on its way to the store.
+// operation is a claim or a release that the store has not confirmed.
 //
-// A claim that its request gave up on may have reached the store, or may yet:
-// a write whose answer is lost can take effect. Left there, it would refuse
-// the caller's retry of a request that never ran. So it turns into a release,
-// unless no write was tried.
-type op struct {
-	hash    string
-	nonce   string
-	release bool
-	// fate is changed once, by the request or by the commit.
-	fate atomic.Uint32
-	// written is true once a write with the claim was tried.
-	written bool
-	// done gets one result.
-	done chan error
+// A claim whose request has stopped waiting may be in the store, because a write whose
+// response is lost can take effect. If it stayed there, a retry by the caller would be refused
+// although the request never ran. An abandoned claim is therefore processed as a release,
+// unless no write was attempted.
+type operation struct {
+	keyHash   string
+	requestID string
+	release   bool
+	// state changes once: to completed by the goroutine that commits, or to abandoned by the
+	// request.
+	state atomic.Uint32
+	// writeAttempted is true once a write of a batch with the operation was attempted.
+	writeAttempted bool
+	// result receives the result of a completed operation.
+	result chan error
 }
 
-// undo reports whether the claim is to be taken back.
-func (o *op) undo() bool {
-	return o.release || o.fate.Load() == abandoned
+// isRelease reports whether the operation is a release or an abandoned claim.
+func (o *operation) isRelease() bool {
+	return o.release || o.state.Load() == stateAbandoned
 }
 
-// settle hands the result over. It reports false if the request has given up
-// on a claim that is now held.
-func (o *op) settle(result error) bool {
-	if o.fate.CompareAndSwap(open, settled) {
-		o.done <- result
+// complete delivers the result. It reports false if the request has abandoned the operation.
+func (o *operation) complete(result error) bool {
+	if o.state.CompareAndSwap(statePending, stateCompleted) {
+		o.result <- result
 		return true
 	}
 	return false
 }
 
-func (c *Claims) submit(o *op) {
-	n := int(xxhash.Sum64String(o.hash) % shards)
+// enqueue adds the operation to the queue of its document and starts a goroutine to commit it
+// if none is running.
+func (c *Claims) enqueue(o *operation) {
+	n := int(xxhash.Sum64String(o.keyHash) % shardCount)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		o.done <- ErrUnavailable
+		o.result <- ErrUnavailable
 		return
 	}
 	s := &c.shards[n]
 	s.pending = append(s.pending, o)
-	if !s.busy {
-		s.busy = true
-		c.work.Go(func() { c.commit(n) })
+	if !s.committing {
+		s.committing = true
+		c.goroutines.Go(func() { c.commitBatches(n) })
 	}
 }
 
-// take moves what is pending to the batch. It reports false, and lets the next
-// submit start a new commit, if there is nothing to do.
-func (c *Claims) take(n int, batch []*op) ([]*op, bool) {
+// nextBatch appends the pending operations to the batch and removes abandoned claims that were
+// never written. It reports false if the batch is empty; the next operation then starts a new
+// goroutine.
+func (c *Claims) nextBatch(n int, batch []*operation) ([]*operation, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := &c.shards[n]
-	batch = slices.DeleteFunc(append(batch, s.pending...), func(o *op) bool {
-		return o.fate.Load() == abandoned && !o.written
+	batch = slices.DeleteFunc(append(batch, s.pending...), func(o *operation) bool {
+		return o.state.Load() == stateAbandoned && !o.writeAttempted
 	})
 	s.pending = nil
-	s.trying = len(batch)
+	s.inFlight = len(batch)
 	if len(batch) == 0 {
-		s.busy = false
+		s.committing = false
 	}
 	return batch, len(batch) > 0
 }
 
-// Pending is the number of claims and releases that the store has not confirmed.
+// Pending returns the number of claims and releases that the store has not confirmed.
 func (c *Claims) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := 0
 	for i := range c.shards {
-		sum += len(c.shards[i].pending) + c.shards[i].trying
+		sum += len(c.shards[i].pending) + c.shards[i].inFlight
 	}
 	return sum
 }
--- a/internal/claim/claims_test.go
+++ b/internal/claim/claims_test.go
@@ -18,133 +18,135 @@
 	"github.com/fireflypath/fireflypath/internal/claim/memory"
 )
 
-// store counts writes and fails as told.
-type store struct {
+// faultyStore counts writes and injects faults.
+type faultyStore struct {
 	*memory.Store
-	puts atomic.Int32
-	// lost is the number of writes whose answer is lost, down refuses all calls.
-	lost atomic.Int32
+	writes atomic.Int32
+	// lostResponses is the number of further writes that take effect but return
+	// fireflypath.ErrUnknown.
+	lostResponses atomic.Int32
+	// down makes reads fail.
 	down atomic.Bool
 }
 
-func (s *store) Get(ctx context.Context, key string) (fireflypath.Entry, error) {
+func (s *faultyStore) Get(ctx context.Context, key string) (fireflypath.Entry, error) {
 	if s.down.Load() {
 		return fireflypath.Entry{}, fireflypath.ErrUnavailable
 	}
 	return s.Store.Get(ctx, key)
 }
 
-func (s *store) Put(ctx context.Context, key string, v []byte, rev uint64, l fireflypath.LeaseID) (uint64, error) {
-	s.puts.Add(1)
+func (s *faultyStore) Put(ctx context.Context, key string, v []byte, rev uint64, l fireflypath.LeaseID) (uint64, error) {
+	s.writes.Add(1)
 	n, err := s.Store.Put(ctx, key, v, rev, l)
-	if err == nil && s.lost.Add(-1) >= 0 {
+	if err == nil && s.lostResponses.Add(-1) >= 0 {
 		return 0, fireflypath.ErrUnknown
 	}
 	return n, err
 }
 
-func newStore() *store {
-	return &store{Store: memory.New()}
+func newStore() *faultyStore {
+	return &faultyStore{Store: memory.New()}
 }
 
-const soon = 10 * time.Second
+const claimTimeout = 10 * time.Second
 
-func open(t *testing.T, s fireflypath.Store, clock clockwork.Clock) *claim.Claims {
+func newClaims(t *testing.T, s fireflypath.Store, clock clockwork.Clock) *claim.Claims {
 	c := claim.New(s, clock)
 	t.Cleanup(func() { c.Close(t.Context()) })
 	return c
 }
 
-// A caller loses its daemon and retries at another one, or two of its programs
-// send the same delivery at once. If both were dispatched, the packet would be
-// delivered twice.
-func TestOneHolder(t *testing.T) {
+// Requests with the same key reach several daemons at once, for example because a caller
+// retries at another daemon. Only one may get the key; otherwise the work would run twice.
+func TestOnlyOneRequestClaimsKey(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	clock := clockwork.NewRealClock()
-	var won atomic.Int32
+	var claimed atomic.Int32
 	var wg sync.WaitGroup
 	for n := range 8 {
-		c := open(t, s, clock)
+		c := newClaims(t, s, clock)
 		wg.Go(func() {
-			err := c.Claim(t.Context(), "team", "key", fmt.Sprintf("d%d.1", n), clock.Now().Add(soon))
+			err := c.Claim(t.Context(), "team", "key", fmt.Sprintf("d%d.1", n), clock.Now().Add(claimTimeout))
 			var held *claim.HeldError
 			if err == nil {
-				won.Add(1)
+				claimed.Add(1)
 			} else if !errors.As(err, &held) {
 				t.Error(err)
 			}
 		})
 	}
 	wg.Wait()
-	is.Equal(won.Load(), int32(1))
-	is.NoErr(open(t, s, clock).Claim(t.Context(), "other", "key", "d.2", clock.Now().Add(soon))) // keys belong to teams
+	is.Equal(claimed.Load(), int32(1))
+	// Another team can claim the same key.
+	is.NoErr(newClaims(t, s, clock).Claim(t.Context(), "other", "key", "d.2", clock.Now().Add(claimTimeout)))
 }
 
-// The store writes a claim and the connection breaks before its answer. Taken
-// for a failure, the caller would be refused by its own claim on every retry.
-func TestLostAnswerIsSettled(t *testing.T) {
+// The store writes a claim, but its response is lost. The request must get the key. If this
+// were treated as a failure, the caller's retries would be refused because of its own claim.
+func TestResponseToWriteLost(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
-	s.lost.Store(1)
+	s.lostResponses.Store(1)
 	clock := clockwork.NewRealClock()
-	c := open(t, s, clock)
-	is.NoErr(c.Claim(t.Context(), "team", "key", "d.1", clock.Now().Add(soon)))
-	is.Equal(s.puts.Load(), int32(1))
+	c := newClaims(t, s, clock)
+	is.NoErr(c.Claim(t.Context(), "team", "key", "d.1", clock.Now().Add(claimTimeout)))
+	is.Equal(s.writes.Load(), int32(1))
 }
 
-// The store is down for longer than a request may wait. The request is refused
-// as not run; its claim may still be on its way, and would block the caller's
-// retry, so it is taken back when the store answers again.
+// The store is down until the deadline of a request, which is then refused as not run. Once
+// the store is available again, the request's claim must not be in it, because it would block
+// the caller's retry.
 func TestStoreDown(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	s.down.Store(true)
 	clock := clockwork.NewRealClock()
-	c := open(t, s, clock)
+	c := newClaims(t, s, clock)
 	err := c.Claim(t.Context(), "team", "key", "d.1", clock.Now().Add(30*time.Millisecond))
 	is.True(errors.Is(err, claim.ErrUnavailable))
 	s.down.Store(false)
-	is.NoErr(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(soon)))
+	is.NoErr(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(claimTimeout)))
 }
 
 func TestRelease(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
-	c := open(t, newStore(), clock)
-	is.NoErr(c.Claim(t.Context(), "team", "key", "d.1", clock.Now().Add(soon)))
+	c := newClaims(t, newStore(), clock)
+	is.NoErr(c.Claim(t.Context(), "team", "key", "d.1", clock.Now().Add(claimTimeout)))
 	c.Release("team", "key", "d.9") // not the holder
 	var held *claim.HeldError
-	is.True(errors.As(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(soon)), &held))
+	is.True(errors.As(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(claimTimeout)), &held))
 	is.Equal(held.Holder, "d.1")
 	c.Release("team", "key", "d.1")
-	is.NoErr(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(soon)))
+	is.NoErr(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(claimTimeout)))
 }
 
 func TestRetention(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	c := open(t, newStore(), clock)
-	is.NoErr(c.Claim(t.Context(), "team", "key", "d.1", clock.Now().Add(soon)))
+	c := newClaims(t, newStore(), clock)
+	is.NoErr(c.Claim(t.Context(), "team", "key", "d.1", clock.Now().Add(claimTimeout)))
 	clock.Advance(claim.Retention)
-	is.True(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(soon)) != nil)
+	is.True(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(claimTimeout)) != nil)
 	clock.Advance(time.Second)
-	is.NoErr(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(soon)))
+	is.NoErr(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(claimTimeout)))
 }
 
-// A burst of deliveries comes in at once. The service takes several hundred
-// writes a second for the whole fleet; a write for each claim would use them up.
-func TestBurstIsGrouped(t *testing.T) {
+// A burst of claims arrives at once. The service takes several hundred writes a second for the
+// whole fleet, so that the claims must be written in batches.
+func TestBurstIsBatched(t *testing.T) {
 	is := is.New(t)
 	s := newStore()
 	s.down.Store(true)
 	clock := clockwork.NewRealClock()
-	c := open(t, s, clock)
+	c := newClaims(t, s, clock)
 	var wg sync.WaitGroup
 	const burst = 1000
 	for n := range burst {
 		wg.Go(func() {
-			if err := c.Claim(t.Context(), "team", fmt.Sprint(n), fmt.Sprintf("d.%d", n), clock.Now().Add(soon)); err != nil {
+			if err := c.Claim(t.Context(), "team", fmt.Sprint(n), fmt.Sprintf("d.%d", n), clock.Now().Add(claimTimeout)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -154,7 +156,7 @@
 	}
 	s.down.Store(false)
 	wg.Wait()
-	// One write of each of the 64 documents for what was being tried when the
-	// store came back, and one for what came meanwhile.
-	is.True(s.puts.Load() <= 128)
+	// For each of the 64 documents, one write of the batch that was in progress when the store
+	// became available, and one of the operations that arrived meanwhile.
+	is.True(s.writes.Load() <= 128)
 }
--- a/internal/claim/memory/memory.go
+++ b/internal/claim/memory/memory.go
@@ -1,4 +1,5 @@
-// Package memory holds the claims of a daemon that runs alone, without a platform service.
+// Package memory provides an in-memory store for the claims of a daemon that runs without the
+// platform's key-value service.
 package memory
 
 import (
@@ -8,7 +9,8 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Store keeps values in this process; only Get and Put do anything.
+// Store is an in-memory fireflypath.Store. It implements only Get and Put, which are all that
+// package claim uses; other methods panic.
 type Store struct {
 	fireflypath.Store
 	mu     sync.Mutex
@@ -20,7 +22,7 @@
 	return &Store{values: map[string]fireflypath.Entry{}}
 }
 
-// Get reads a key.
+// Get returns the entry of a key, or fireflypath.ErrNotFound.
 func (s *Store) Get(_ context.Context, key string) (fireflypath.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,7 +33,8 @@
 	return e, nil
 }
 
-// Put writes if the revision is the one given.
+// Put writes a value if the key has the given revision, and returns the new revision. It
+// ignores the lease.
 func (s *Store) Put(_ context.Context, key string, value []byte, revision uint64, _ fireflypath.LeaseID) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/claim/shard.go
+++ b/internal/claim/shard.go
@@ -15,80 +15,80 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// shard is one document's queue at this daemon.
+// shard is the queue of operations on one document.
 type shard struct {
-	pending []*op
-	// trying is the size of the batch under way.
-	trying int
-	// busy is true while a goroutine commits.
-	busy bool
+	pending []*operation
+	// inFlight is the number of operations in the current batch.
+	inFlight int
+	// committing is true while a goroutine commits batches of the shard.
+	committing bool
 }
 
-// document is a shard's value in the store.
+// document is the value of a shard in the store.
 type document struct {
 	Claims []entry `json:"claims"`
 }
 
 // entry is one claim.
 type entry struct {
-	// Hash stands for team and key.
-	Hash string `json:"h"`
-	// Nonce is the id of the request that holds the key.
-	Nonce string `json:"n"`
-	// At is when it was claimed, in Unix seconds.
-	At int64 `json:"t"`
+	// KeyHash identifies the team and the key.
+	KeyHash string `json:"h"`
+	// RequestID is the ID of the request that holds the key.
+	RequestID string `json:"n"`
+	// ClaimedAt is the time of the claim, in Unix seconds.
+	ClaimedAt int64 `json:"t"`
 }
 
-// hash shortens team and key to 128 bits: two keys out of a million meet with
-// a chance of 10^-27, and the document holds no caller's words.
-func hash(team, key string) string {
+// hashKey hashes team and key to 128 bits. The probability that any two of a million keys
+// collide is about 10^-27, and the store holds no text from callers.
+func hashKey(team, key string) string {
 	sum := sha256.Sum256([]byte(team + "\x00" + key))
 	return base64.RawURLEncoding.EncodeToString(sum[:16])
 }
 
-func name(n int) string {
-	return fmt.Sprintf("%s%02d", Prefix, n)
+func documentKey(n int) string {
+	return fmt.Sprintf("%s%02d", keyPrefix, n)
 }
 
-// commit writes batches until nothing is pending.
-func (c *Claims) commit(n int) {
-	var batch []*op
-	pause := firstPause
+// commitBatches commits batches until no operation is pending.
+func (c *Claims) commitBatches(n int) {
+	var batch []*operation
+	backoff := minBackoff
 	for {
-		var any bool
-		if batch, any = c.take(n, batch); !any {
+		var ok bool
+		if batch, ok = c.nextBatch(n, batch); !ok {
 			return
 		}
-		left, err := c.attempt(n, batch)
+		abandoned, err := c.commitBatch(n, batch)
 		if err == nil {
-			batch = left
-			pause = firstPause
+			batch = abandoned
+			backoff = minBackoff
 			continue
 		}
-		if c.wait(pause) != nil {
-			c.give(n, batch)
+		if c.backOff(backoff) != nil {
+			c.failPending(n, batch)
 			return
 		}
 		if !errors.Is(err, fireflypath.ErrConflict) {
-			pause = min(2*pause, lastPause)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-// give ends a commit that cannot go on.
-func (c *Claims) give(n int, batch []*op) {
-	batch, _ = c.take(n, batch)
+// failPending fails the batch and the pending operations after Abort or Close.
+func (c *Claims) failPending(n int, batch []*operation) {
+	batch, _ = c.nextBatch(n, batch)
 	c.mu.Lock()
-	c.shards[n].busy = false
+	c.shards[n].committing = false
 	c.mu.Unlock()
 	for _, o := range batch {
-		o.settle(ErrUnavailable)
+		o.complete(ErrUnavailable)
 	}
 }
 
-// wait pauses for a random part of d, so that daemons that met at one document
-// do not meet again.
-func (c *Claims) wait(d time.Duration) error {
+// backOff waits for a random time between d/2 and d, so that daemons that conflicted on a
+// document don't retry at the same time.
+func (c *Claims) backOff(d time.Duration) error {
 	select {
 	case <-c.clock.After(d/2 + rand.N(d/2)):
 		return nil
@@ -97,16 +97,18 @@
 	}
 }
 
-// attempt reads the document, and writes it if the batch changes it.
+// commitBatch reads the document, applies the batch and writes the document if it changed. It
+// returns the claims that were abandoned meanwhile and are now held; they must be released.
 //
-// A write's answer can be lost although the write took effect. The next
-// attempt reads the document again: a claim with the request's own nonce is
-// there if it did, and the write's revision is outdated if it did not.
-func (c *Claims) attempt(n int, batch []*op) (left []*op, err error) {
-	ctx, cancel := context.WithTimeout(c.ctx, callTime)
+// The response to a write can be lost although the write took effect. The next attempt then
+// reads the document again. If the write took effect, the claim is there with the ID of its
+// own request. If it is still in flight, it will fail because the next write changes the
+// revision.
+func (c *Claims) commitBatch(n int, batch []*operation) (abandoned []*operation, err error) {
+	ctx, cancel := context.WithTimeout(c.ctx, callTimeout)
 	defer cancel()
 	var doc document
-	e, err := c.store.Get(ctx, name(n))
+	e, err := c.store.Get(ctx, documentKey(n))
 	switch {
 	case errors.Is(err, fireflypath.ErrNotFound):
 	case err != nil:
@@ -119,92 +121,95 @@
 	results, changed := doc.apply(batch, c.clock.Now())
 	if changed {
 		for _, o := range batch {
-			o.written = true
+			o.writeAttempted = true
 		}
-		if err := c.put(ctx, n, &doc, e.Revision); err != nil {
+		if err := c.writeDocument(ctx, n, &doc, e.Revision); err != nil {
 			return nil, errors.Wrap(err, "write claims")
 		}
 	}
 	for i, o := range batch {
-		if !o.settle(results[i]) && doc.holds(o) {
-			left = append(left, o)
+		if !o.complete(results[i]) && doc.contains(o) {
+			abandoned = append(abandoned, o)
 		}
 	}
-	return left, nil
+	return abandoned, nil
 }
 
-// holds reports whether the claim is in the document.
-func (d *document) holds(o *op) bool {
+// contains reports whether the claim is in the document.
+func (d *document) contains(o *operation) bool {
 	return slices.ContainsFunc(d.Claims, func(e entry) bool {
-		return e.Hash == o.hash && e.Nonce == o.nonce
+		return e.KeyHash == o.keyHash && e.RequestID == o.requestID
 	})
 }
 
-func (c *Claims) put(ctx context.Context, n int, doc *document, revision uint64) error {
+func (c *Claims) writeDocument(ctx context.Context, n int, doc *document, revision uint64) error {
 	value, err := json.Marshal(doc)
 	if err != nil {
 		return err
 	}
-	_, err = c.store.Put(ctx, name(n), value, revision, 0)
+	_, err = c.store.Put(ctx, documentKey(n), value, revision, 0)
 	return err
 }
 
-// maxEntries fit into one value: an entry is at most 22 bytes of hash, 59 of
-// nonce (a daemon's name of 32 and a ULID), 10 of time and 24 of JSON.
+// maxEntries is the number of entries that fit into one value of the store. An entry has at
+// most 22 bytes of hash, 59 of request ID (32 of the daemon's name and a ULID), 10 of time and
+// 24 of JSON syntax.
 const maxEntries = fireflypath.MaxValue/(22+59+10+24) - 1
 
-// apply runs the batch on the document in its order.
-func (d *document) apply(batch []*op, now time.Time) (results []error, changed bool) {
+// apply applies the operations of the batch to the document in order. It returns their results
+// and whether the document changed.
+func (d *document) apply(batch []*operation, now time.Time) (results []error, changed bool) {
 	changed = d.expire(now)
 	index := make(map[string]int, len(d.Claims))
 	for i, e := range d.Claims {
-		index[e.Hash] = i
+		index[e.KeyHash] = i
 	}
 	results = make([]error, len(batch))
-	gone := map[int]bool{}
+	released := map[int]bool{}
 	for i, o := range batch {
-		at, found := index[o.hash]
-		found = found && !gone[at]
-		undo := o.undo()
+		pos, found := index[o.keyHash]
+		found = found && !released[pos]
+		release := o.isRelease()
 		switch {
-		case undo && found && d.Claims[at].Nonce == o.nonce:
-			gone[at] = true
+		case release && found && d.Claims[pos].RequestID == o.requestID:
+			released[pos] = true
 			changed = true
-		case undo:
-		case found && d.Claims[at].Nonce == o.nonce:
+		case release:
+		case found && d.Claims[pos].RequestID == o.requestID:
 		case found:
-			results[i] = &HeldError{Holder: d.Claims[at].Nonce}
+			results[i] = &HeldError{Holder: d.Claims[pos].RequestID}
 		case len(d.Claims) >= maxEntries:
 			results[i] = ErrFull
 		default:
-			index[o.hash] = len(d.Claims)
-			d.Claims = append(d.Claims, entry{Hash: o.hash, Nonce: o.nonce, At: now.Unix()})
+			index[o.keyHash] = len(d.Claims)
+			d.Claims = append(d.Claims, entry{KeyHash: o.keyHash, RequestID: o.requestID, ClaimedAt: now.Unix()})
 			changed = true
 		}
 	}
-	d.drop(gone)
+	d.remove(released)
 	return results, changed
 }
 
-// expire drops old claims. They are in the order in which they were made, but
-// for the skew between daemons' clocks.
+// expire removes claims older than Retention. The claims are ordered by time except for the
+// clock skew between daemons.
 func (d *document) expire(now time.Time) bool {
 	oldest := now.Add(-Retention).Unix()
 	n := 0
-	for n < len(d.Claims) && d.Claims[n].At < oldest {
+	for n < len(d.Claims) && d.Claims[n].ClaimedAt < oldest {
 		n++
 	}
 	d.Claims = d.Claims[n:]
 	return n > 0
 }
 
-func (d *document) drop(gone map[int]bool) {
-	if len(gone) == 0 {
+// remove removes the claims at the given positions.
+func (d *document) remove(released map[int]bool) {
+	if len(released) == 0 {
 		return
 	}
 	kept := d.Claims[:0]
 	for i, e := range d.Claims {
-		if !gone[i] {
+		if !released[i] {
 			kept = append(kept, e)
 		}
 	}
