--- a/cluster.go
+++ b/cluster.go
@@ -19,9 +19,9 @@
 type Change struct {
 	// ID is the command's id: a change with an id already in the trail is not done again.
 	ID string
-	// Who is the operator's name, Words the command as given.
-	Who   string
-	Words string
+	// Operator is the operator's name, Words the command as given.
+	Operator string
+	Command  string
 	// Base is the generation the command was written against; 0 means any.
 	Base uint64
 	// Apply returns the next configuration; it may be called several times and
@@ -34,8 +34,8 @@
 	ID string `json:"id"`
 	// Generation is in force if the change was accepted.
 	Generation uint64 `json:"generation"`
-	// Lost names the change that was committed first, for a refused one.
-	Lost string `json:"lost,omitempty"`
+	// ConflictingID names the change that was committed first, for a refused one.
+	ConflictingID string `json:"lost,omitempty"`
 	// Repeated is true if the id had been committed before.
 	Repeated bool `json:"repeated,omitempty"`
 }
@@ -43,20 +43,20 @@
 // Committer makes changes. ErrUnknown means that the id must be asked for later.
 type Committer interface {
 	Commit(ctx context.Context, c Change) (Commit, error)
-	// Settle looks an id up in the trail, or ErrNotFound if it was not done.
-	Settle(ctx context.Context, id string) (Commit, error)
+	// FindCommit looks an id up in the trail, or ErrNotFound if it was not done.
+	FindCommit(ctx context.Context, id string) (Commit, error)
 	// Trail reads the audit trail, newest first, at most n lines.
 	Trail(ctx context.Context, n int) ([]AuditLine, error)
-	// Note appends a line without a change: orders and refused changes.
-	Note(ctx context.Context, l AuditLine) error
+	// AppendAudit appends a line without a change: orders and refused changes.
+	AppendAudit(ctx context.Context, l AuditLine) error
 }
 
 // AuditLine is one line of the trail.
 type AuditLine struct {
-	ID    string    `json:"id"`
-	At    time.Time `json:"at"`
-	Who   string    `json:"who"`
-	Words string    `json:"words"`
+	ID       string    `json:"id"`
+	At       time.Time `json:"at"`
+	Operator string    `json:"who"`
+	Command  string    `json:"words"`
 	// From and To are generations; they are equal for orders and refusals.
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
@@ -111,7 +111,7 @@
 	Relieve(pool string, rank, tokens int) int
 	// ApplyShare puts this daemon's new part of a pool's windows in force.
 	ApplyShare(pool string, s Share)
-	// TargetLeaving and TargetBack spread first-hand evidence.
+	// TargetLeaving and TargetStaying spread first-hand evidence.
 	TargetLeaving(target, why string)
-	TargetBack(target string)
+	TargetStaying(target string)
 }
--- a/config.go
+++ b/config.go
@@ -142,25 +142,25 @@
 	return t.Name + "@" + strconv.FormatUint(t.Incarnation, 10)
 }
 
-// RuleAct is what a rule does with the work it matches.
-type RuleAct string
+// RuleAction is what a rule does with the work it matches.
+type RuleAction string
 
 const (
 	// RuleAdmit lets the work in and ends the list.
-	RuleAdmit RuleAct = "admit"
+	RuleAdmit RuleAction = "admit"
 	// RuleRefuse refuses the work as not run.
-	RuleRefuse RuleAct = "refuse"
+	RuleRefuse RuleAction = "refuse"
 	// RuleLimit refuses what goes above Limit tokens a second.
-	RuleLimit RuleAct = "limit"
+	RuleLimit RuleAction = "limit"
 )
 
 // Rule is an operator's rule for admission; empty fields match everything.
 type Rule struct {
-	Name string  `json:"name" validate:"required,max=64"`
-	Act  RuleAct `json:"act" validate:"oneof=admit refuse limit"`
-	Team string  `json:"team,omitempty"`
-	Tier string  `json:"tier,omitempty"`
-	Pool string  `json:"pool,omitempty"`
+	Name string     `json:"name" validate:"required,max=64"`
+	Act  RuleAction `json:"act" validate:"oneof=admit refuse limit"`
+	Team string     `json:"team,omitempty"`
+	Tier string     `json:"tier,omitempty"`
+	Pool string     `json:"pool,omitempty"`
 	// Above matches work of more estimated tokens than this.
 	Above int `json:"above,omitempty" validate:"min=0"`
 	// Limit is in estimated tokens a second over all daemons.
--- a/dispatch.go
+++ b/dispatch.go
@@ -18,7 +18,7 @@
 	// Goal is the time until the answer should begin, Leaves that until the caller
 	// leaves if it has not (0: at the deadline), Deadline that until it has no worth.
 	Goal     Micros `json:"g,omitempty"`
-	Leaves   Micros `json:"l,omitempty"`
+	Patience Micros `json:"l,omitempty"`
 	Deadline Micros `json:"d,omitempty"`
 	// Gap is the longest pause between events that the caller bears; 0 is any.
 	Gap Micros `json:"a,omitempty"`
@@ -26,8 +26,8 @@
 	Avoid []string `json:"v,omitempty"`
 }
 
-// Flight is work that is at a target already when a daemon turns to a dispatcher.
-type Flight struct {
+// InFlightWork is work that is at a target already when a daemon turns to a dispatcher.
+type InFlightWork struct {
 	Offer
 	// Target is the identity of the target.
 	Target string `json:"t"`
@@ -38,34 +38,34 @@
 
 // Progress is an event of work that the dispatcher placed or was told of.
 type Progress struct {
-	Number uint64    `json:"n"`
-	Kind   EventKind `json:"k,omitempty"`
-	Tokens int       `json:"t,omitempty"`
-	Left   bool      `json:"l,omitempty"`
+	Number     uint64    `json:"n"`
+	Kind       EventKind `json:"k,omitempty"`
+	Tokens     int       `json:"t,omitempty"`
+	CallerLeft bool      `json:"l,omitempty"`
 }
 
-// News is what a daemon tells the dispatcher of one pool, in the order of the fields.
-type News struct {
-	Flights   []Flight   `json:"f,omitempty"`
-	Offers    []Offer    `json:"o,omitempty"`
-	Progress  []Progress `json:"p,omitempty"`
-	Withdrawn []uint64   `json:"w,omitempty"`
+// DispatchUpdate is what a daemon tells the dispatcher of one pool, in the order of the fields.
+type DispatchUpdate struct {
+	InFlight  []InFlightWork `json:"f,omitempty"`
+	Offers    []Offer        `json:"o,omitempty"`
+	Progress  []Progress     `json:"p,omitempty"`
+	Withdrawn []uint64       `json:"w,omitempty"`
 }
 
 // Empty is true if there is nothing to tell.
-func (n *News) Empty() bool {
-	return len(n.Flights)+len(n.Offers)+len(n.Progress)+len(n.Withdrawn) == 0
+func (n *DispatchUpdate) Empty() bool {
+	return len(n.InFlight)+len(n.Offers)+len(n.Progress)+len(n.Withdrawn) == 0
 }
 
-// Turn is a dispatcher's decision about one piece of work: a target, or a refusal.
-type Turn struct {
+// Decision is a dispatcher's decision about one piece of work: a target, or a refusal.
+type Decision struct {
 	Number uint64 `json:"n"`
 	// Target is the identity of the target; empty for a refusal.
 	Target string `json:"t,omitempty"`
-	// Ahead is how much prompt, in tokens, stood before the work at the target, and
+	// PromptAhead is how much prompt, in tokens, stood before the work at the target, and
 	// First when its answer was expected to begin.
-	Ahead int    `json:"a,omitempty"`
-	First Micros `json:"f,omitempty"`
+	PromptAhead int    `json:"a,omitempty"`
+	TimeToFirst Micros `json:"f,omitempty"`
 	// Reason, Detail and Retry are those of a refusal.
 	Reason Reason `json:"r,omitempty"`
 	Detail string `json:"d,omitempty"`
--- a/internal/command/compile.go
+++ b/internal/command/compile.go
@@ -132,7 +132,7 @@
 
 func (c *compiler) rule(s *rule) {
 	var ch changes[fireflypath.Rule]
-	c.string(s.Act, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Act = fireflypath.RuleAct(v) }) })
+	c.string(s.Act, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Act = fireflypath.RuleAction(v) }) })
 	c.string(s.Team, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Team = v }) })
 	c.string(s.Tier, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Tier = v }) })
 	c.string(s.Pool, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Pool = v }) })
--- a/internal/configuration/commit.go
+++ b/internal/configuration/commit.go
@@ -44,7 +44,7 @@
 	if r.store == nil {
 		return fireflypath.Commit{ID: c.ID}, ErrNoStore
 	}
-	if c.ID == "" || len(c.Words) > maxCommandBytes {
+	if c.ID == "" || len(c.Command) > maxCommandBytes {
 		return fireflypath.Commit{ID: c.ID}, errors.Wrapf(ErrRefused, "no id, or above %d bytes", maxCommandBytes)
 	}
 	r.metrics.commits.Inc(1)
@@ -87,8 +87,8 @@
 	}
 	if c.Base != 0 && c.Base != m.Generation {
 		r.metrics.conflicts.Inc(1)
-		result.Lost = m.changeAfter(c.Base)
-		return result, errors.Wrapf(ErrSuperseded, "change %s is in force as generation %d", result.Lost, m.Generation)
+		result.ConflictingID = m.changeAfter(c.Base)
+		return result, errors.Wrapf(ErrSuperseded, "change %s is in force as generation %d", result.ConflictingID, m.Generation)
 	}
 	s, err := r.applyChange(c, m)
 	if err != nil {
@@ -157,7 +157,7 @@
 	}
 	m := &manifest{generationIndex: generationIndex{Generation: 1, Change: "initial", Lists: l}}
 	line := fireflypath.AuditLine{
-		ID: "initial", At: r.clock.Now().UTC(), Who: r.name, Words: "initial", To: 1, Result: "done",
+		ID: "initial", At: r.clock.Now().UTC(), Operator: r.name, Command: "initial", To: 1, Result: "done",
 	}
 	if err := r.appendLine(ctx, m, line); err != nil {
 		return err
@@ -206,7 +206,7 @@
 	}
 	next := &manifest{generationIndex: s.index, Tail: m.Tail, Trail: m.Trail}
 	line := fireflypath.AuditLine{
-		ID: c.ID, At: started.UTC(), Who: c.Who, Words: c.Words,
+		ID: c.ID, At: started.UTC(), Operator: c.Operator, Command: c.Command,
 		From: m.Generation, To: s.index.Generation, Result: "done",
 	}
 	if err := r.appendLine(ctx, next, line); err != nil {
@@ -228,8 +228,8 @@
 	return err
 }
 
-// Settle looks up a change by its ID in the trail, or returns fireflypath.ErrNotFound.
-func (r *Registry) Settle(ctx context.Context, id string) (fireflypath.Commit, error) {
+// FindCommit looks up a change by its ID in the trail, or returns fireflypath.ErrNotFound.
+func (r *Registry) FindCommit(ctx context.Context, id string) (fireflypath.Commit, error) {
 	result := fireflypath.Commit{ID: id}
 	if r.store == nil {
 		return result, ErrNoStore
@@ -248,8 +248,8 @@
 	return recordedCommit(result, l), nil
 }
 
-// Note appends a line to the trail without changing the configuration.
-func (r *Registry) Note(ctx context.Context, l fireflypath.AuditLine) error {
+// AppendAudit appends a line to the trail without changing the configuration.
+func (r *Registry) AppendAudit(ctx context.Context, l fireflypath.AuditLine) error {
 	if r.store == nil {
 		return ErrNoStore
 	}
--- a/internal/configuration/commit_test.go
+++ b/internal/configuration/commit_test.go
@@ -30,7 +30,7 @@
 // addTeam returns a change that adds a team named like the change's ID.
 func addTeam(id string, base uint64) fireflypath.Change {
 	return fireflypath.Change{
-		ID: id, Who: "ana", Words: "add team " + id, Base: base,
+		ID: id, Operator: "ana", Command: "add team " + id, Base: base,
 		Apply: func(old *fireflypath.Config) (*fireflypath.Config, error) {
 			next := *old
 			next.Teams = append(old.Teams[:len(old.Teams):len(old.Teams)], fireflypath.Team{Name: id})
@@ -154,10 +154,10 @@
 		is.True(errors.Is(err, fireflypath.ErrUnknown))
 		is.Equal(teams(r.Current()), "") // the outcome is unknown, so the change is not activated
 		store.SetFault(nil)
-		done, err := r.Settle(t.Context(), "a")
+		done, err := r.FindCommit(t.Context(), "a")
 		is.NoErr(err)
 		is.Equal(done.Generation, uint64(2))
-		_, err = r.Settle(t.Context(), "never")
+		_, err = r.FindCommit(t.Context(), "never")
 		is.True(errors.Is(err, fireflypath.ErrNotFound))
 	})
 }
@@ -176,7 +176,7 @@
 		is.NoErr(err)
 		done, err := r2.Commit(t.Context(), addTeam("b", 1))
 		is.True(errors.Is(err, fireflypath.ErrConflict))
-		is.Equal(done.Lost, "a")
+		is.Equal(done.ConflictingID, "a")
 		is.Equal(teams(r2.Current()), "a ") // the committed change is in force there too
 	})
 }
--- a/internal/configuration/registry_test.go
+++ b/internal/configuration/registry_test.go
@@ -205,14 +205,14 @@
 	r := newRegistry("d1", store)
 	const n = 300
 	for i := range n {
-		is.NoErr(r.Note(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), Words: "order"}))
+		is.NoErr(r.AppendAudit(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), Command: "order"}))
 	}
 	lines, err := newRegistry("d2", store).Trail(t.Context(), 1000)
 	is.NoErr(err)
 	is.Equal(len(lines), n+1)
 	is.Equal(lines[0].ID, "n299")
 	is.Equal(lines[n].ID, "initial")
-	_, err = r.Settle(t.Context(), "n3")
+	_, err = r.FindCommit(t.Context(), "n3")
 	is.NoErr(err)
 	e, err := store.Get(t.Context(), manifestKey)
 	is.NoErr(err)
--- a/internal/configuration/retention_test.go
+++ b/internal/configuration/retention_test.go
@@ -17,14 +17,14 @@
 	r.SetRetention(500)
 	const n = 800
 	for i := range n {
-		is.NoErr(r.Note(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), Words: "order"}))
+		is.NoErr(r.AppendAudit(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), Command: "order"}))
 	}
 	lines, err := r.Trail(t.Context(), 2*n)
 	is.NoErr(err)
 	is.True(len(lines) >= 500)
 	is.True(len(lines) <= 500+maxTailLines+linesPerPage)
 	is.Equal(lines[0].ID, "n799")
-	_, err = r.Settle(t.Context(), "n500")
+	_, err = r.FindCommit(t.Context(), "n500")
 	is.NoErr(err)
 	r.SetRetention(1)
 	is.Equal(r.retainedPages, maxLookupPages) // an id must stay known for as long as it may be repeated
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -138,7 +138,7 @@
 	}
 	r.mu.Unlock()
 	line := fireflypath.AuditLine{
-		ID: s.index.Change + "/restored", At: r.clock.Now().UTC(), Who: r.name, Words: "restore",
+		ID: s.index.Change + "/restored", At: r.clock.Now().UTC(), Operator: r.name, Command: "restore",
 		From: from, To: s.index.Generation, Result: "done",
 	}
 	if m.findInTail(line.ID) == nil {
--- a/internal/daemon/fault_test.go
+++ b/internal/daemon/fault_test.go
@@ -388,7 +388,7 @@
 	for r.t.Context().Err() == nil {
 		for _, d := range r.Demands() {
 			sum := 0
-			for _, k := range d.Requests {
+			for _, k := range d.WaitingRequests {
 				sum += k
 			}
 			if d.Pool == "engines" && sum == 1 {
--- a/internal/daemon/gatedmembers.go
+++ b/internal/daemon/gatedmembers.go
@@ -73,11 +73,11 @@
 	mine, mates := layout.AssignedTargets(d.cfg.Name, names)
 	mixed := len(mates) > len(layout.Members(d.cfg.Name))
 	if len(mine) == 0 || len(mine) == len(names) {
-		return fireflypath.Share{Default: 1, Mixed: mixed}
+		return fireflypath.Share{Default: 1, UnknownSenders: mixed}
 	}
-	s := fireflypath.Share{Part: make(map[string]float64, len(mine)), Mixed: mixed}
+	s := fireflypath.Share{Fractions: make(map[string]float64, len(mine)), UnknownSenders: mixed}
 	for _, name := range mine {
-		s.Part[name] = 1
+		s.Fractions[name] = 1
 	}
 	return s
 }
@@ -106,14 +106,14 @@
 }
 
 // Report implements usage.Pools.
-func (h heard) Report() fireflypath.Mate {
+func (h heard) Report() fireflypath.PeerLoad {
 	m := h.Pools.Report()
-	m.Apart = m.Apart || h.dispatch.HasPartialView()
+	m.PartialView = m.PartialView || h.dispatch.HasPartialView()
 	return m
 }
 
 // UpdatePeers implements usage.Pools.
-func (h heard) UpdatePeers(mates []fireflypath.Mate) {
+func (h heard) UpdatePeers(mates []fireflypath.PeerLoad) {
 	h.Pools.UpdatePeers(mates)
 	h.dispatch.UpdatePeers(mates)
 }
--- a/internal/daemon/targets.go
+++ b/internal/daemon/targets.go
@@ -60,7 +60,7 @@
 
 func (d *Daemon) heardBack(target string) {
 	d.deps.Log.Info("target is back", zap.String("target", target))
-	d.pools.TargetBack(target)
+	d.pools.TargetStaying(target)
 	if d.deps.Back != nil {
 		d.deps.Back(target)
 	}
--- a/internal/decide/dispatcher/dispatcher.go
+++ b/internal/decide/dispatcher/dispatcher.go
@@ -29,7 +29,7 @@
 	AddInFlight(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
 	// UpdatePeers sets the in-flight work of daemons that schedule for
 	// themselves.
-	UpdatePeers(now time.Time, peers []fireflypath.Mate)
+	UpdatePeers(now time.Time, peers []fireflypath.PeerLoad)
 }
 
 // Dispatcher schedules the work of one pool for several daemons. It is not safe
@@ -67,7 +67,7 @@
 type session struct {
 	id        uint64
 	entries   map[uint64]*entry
-	decisions []fireflypath.Turn
+	decisions []fireflypath.Decision
 }
 
 // entry is one request of a session.
@@ -140,15 +140,15 @@
 }
 
 // Apply processes a message of a daemon that has a session.
-func (d *Dispatcher) Apply(now time.Time, daemon string, news *fireflypath.News) {
+func (d *Dispatcher) Apply(now time.Time, daemon string, news *fireflypath.DispatchUpdate) {
 	s := d.sessions[daemon]
 	if s == nil {
 		return
 	}
-	for i := range news.Flights {
-		f := &news.Flights[i]
+	for i := range news.InFlight {
+		f := &news.InFlight[i]
 		e := d.addEntry(now, daemon, s, &f.Offer)
-		e.work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
+		e.work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched)
 		d.scheduler.AddInFlight(now, &e.work, f.Target, now.Add(-f.Sent.Std()), f.Began)
 	}
 	for i := range news.Progress {
@@ -173,10 +173,10 @@
 	e.work = fireflypath.Work{
 		ID: daemon + "." + strconv.FormatUint(o.Number, 10), Rank: o.Rank, Pool: d.pool, Weight: 1,
 		Arrived: now.Add(-o.Waited.Std()), Deadline: now.Add(o.Deadline.Std()), Goal: now.Add(o.Goal.Std()),
-		Cost: fireflypath.Cost{Prompt: o.Prompt, Output: o.Output}, Output: o.Expected, Gap: o.Gap.Std(), Avoid: o.Avoid,
+		Cost: fireflypath.Cost{Prompt: o.Prompt, Output: o.Output}, ExpectedOutput: o.Expected, Gap: o.Gap.Std(), Avoid: o.Avoid,
 	}
-	if o.Leaves > 0 {
-		e.work.Leaves = now.Add(o.Leaves.Std())
+	if o.Patience > 0 {
+		e.work.PatienceEnds = now.Add(o.Patience.Std())
 	}
 	s.entries[o.Number] = e
 	d.entries[&e.work] = e
@@ -190,10 +190,10 @@
 		return
 	}
 	if p.Kind == fireflypath.EventUnsent {
-		e.work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWaiting)
+		e.work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateWaiting)
 	}
 	d.scheduler.Observe(now, fireflypath.Event{
-		Kind: p.Kind, Work: &e.work, Tokens: p.Tokens, Left: p.Left, Cached: -1,
+		Kind: p.Kind, Work: &e.work, Tokens: p.Tokens, CallerLeft: p.CallerLeft, Cached: -1,
 	})
 	if p.Kind != fireflypath.EventUnsent && p.Kind != fireflypath.EventFirst {
 		d.removeEntry(e)
@@ -204,7 +204,7 @@
 // in flight.
 func (d *Dispatcher) withdraw(now time.Time, e *entry) {
 	if !d.scheduler.Withdraw(now, &e.work) {
-		d.scheduler.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Work: &e.work, Left: true, Cached: -1})
+		d.scheduler.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Work: &e.work, CallerLeft: true, Cached: -1})
 	}
 	d.removeEntry(e)
 }
@@ -221,10 +221,10 @@
 		if e == nil {
 			continue
 		}
-		e.work.Life.Move(fireflypath.StateWaiting, fireflypath.StateShed)
+		e.work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateShed)
 		d.scheduler.Withdraw(now, s.Work)
 		d.removeEntry(e)
-		e.session.decisions = append(e.session.decisions, fireflypath.Turn{
+		e.session.decisions = append(e.session.decisions, fireflypath.Decision{
 			Number: e.number, Reason: s.Reason, Detail: s.Detail, Retry: fireflypath.MicrosOf(s.RetryAfter),
 		})
 	}
@@ -248,9 +248,9 @@
 		if e == nil {
 			continue
 		}
-		e.work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
-		e.session.decisions = append(e.session.decisions, fireflypath.Turn{
-			Number: e.number, Target: d.identities[d.placement.Target], Ahead: d.placement.Line, First: fireflypath.MicrosOf(d.placement.First),
+		e.work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched)
+		e.session.decisions = append(e.session.decisions, fireflypath.Decision{
+			Number: e.number, Target: d.identities[d.placement.Target], PromptAhead: d.placement.PromptAhead, TimeToFirst: fireflypath.MicrosOf(d.placement.TimeToFirst),
 		})
 	}
 }
@@ -287,7 +287,7 @@
 }
 
 // TakeDecisions returns and clears the decisions not yet sent to a daemon.
-func (d *Dispatcher) TakeDecisions(daemon string) []fireflypath.Turn {
+func (d *Dispatcher) TakeDecisions(daemon string) []fireflypath.Decision {
 	s := d.sessions[daemon]
 	if s == nil {
 		return nil
@@ -315,11 +315,11 @@
 
 // UpdatePeers updates the in-flight work of daemons without a session. The work
 // of those with a session is known already.
-func (d *Dispatcher) UpdatePeers(now time.Time, peers []fireflypath.Mate) {
-	others := make([]fireflypath.Mate, 0, len(peers))
+func (d *Dispatcher) UpdatePeers(now time.Time, peers []fireflypath.PeerLoad) {
+	others := make([]fireflypath.PeerLoad, 0, len(peers))
 	for _, m := range peers {
 		if d.sessions[m.Name] == nil {
-			m.Waits = nil // a standalone daemon orders its own queue
+			m.WaitingRanks = nil // a standalone daemon orders its own queue
 			others = append(others, m)
 		}
 	}
--- a/internal/decide/dispatcher/dispatcher_test.go
+++ b/internal/decide/dispatcher/dispatcher_test.go
@@ -32,15 +32,15 @@
 func newOffer(n uint64, rank int) fireflypath.Offer {
 	return fireflypath.Offer{
 		Number: n, Rank: rank, Prompt: 500, Output: 100, Expected: 100,
-		Goal: fireflypath.MicrosOf(time.Second), Leaves: fireflypath.MicrosOf(4 * time.Second),
+		Goal: fireflypath.MicrosOf(time.Second), Patience: fireflypath.MicrosOf(4 * time.Second),
 		Deadline: fireflypath.MicrosOf(12 * time.Second),
 	}
 }
 
 // offerBurst offers n requests of a rank, numbered from first, and returns the
 // decisions.
-func offerBurst(d *dispatcher.Dispatcher, now time.Time, daemon string, first, n, rank int) []fireflypath.Turn {
-	var news fireflypath.News
+func offerBurst(d *dispatcher.Dispatcher, now time.Time, daemon string, first, n, rank int) []fireflypath.Decision {
+	var news fireflypath.DispatchUpdate
 	for i := range n {
 		news.Offers = append(news.Offers, newOffer(uint64(first+i), rank))
 	}
@@ -48,8 +48,8 @@
 	return d.TakeDecisions(daemon)
 }
 
-func completion(n uint64) *fireflypath.News {
-	return &fireflypath.News{Progress: []fireflypath.Progress{{Number: n, Kind: fireflypath.EventDone, Tokens: 30}}}
+func completion(n uint64) *fireflypath.DispatchUpdate {
+	return &fireflypath.DispatchUpdate{Progress: []fireflypath.Progress{{Number: n, Kind: fireflypath.EventDone, Tokens: 30}}}
 }
 
 // Two daemons have requests for a pool whose slots are all taken by lower-tier
@@ -88,7 +88,7 @@
 	later := startTime.Add(200 * time.Millisecond)
 	is.True(!d.Wake(startTime).After(later))
 	// By now the daemon reports two requests itself; the third has ended.
-	d.UpdatePeers(later, []fireflypath.Mate{{Name: "a", Flights: map[string]int{"t0@5": 2}}})
+	d.UpdatePeers(later, []fireflypath.PeerLoad{{Name: "a", InFlight: map[string]int{"t0@5": 2}}})
 	d.Tick(later)
 	is.Equal(len(d.TakeDecisions("b")), 1)
 }
@@ -100,7 +100,7 @@
 	d := newDispatcher(1)
 	d.OpenSession(startTime, "a", 1)
 	is.Equal(len(offerBurst(d, startTime, "a", 1, 4, 1)), 3)
-	d.Apply(startTime, "a", &fireflypath.News{Withdrawn: []uint64{2}})
+	d.Apply(startTime, "a", &fireflypath.DispatchUpdate{Withdrawn: []uint64{2}})
 	is.Equal(d.TakeDecisions("a")[0].Number, uint64(4))
 }
 
@@ -109,15 +109,15 @@
 func TestWorkPlacedElsewhereCounts(t *testing.T) {
 	is := is.New(t)
 	d := newDispatcher(1)
-	d.UpdatePeers(startTime, []fireflypath.Mate{
-		{Name: "alone", Flights: map[string]int{"t0@5": 1}},
-		{Name: "a", Flights: map[string]int{"t0@5": 1}},
+	d.UpdatePeers(startTime, []fireflypath.PeerLoad{
+		{Name: "alone", InFlight: map[string]int{"t0@5": 1}},
+		{Name: "a", InFlight: map[string]int{"t0@5": 1}},
 	})
 	d.OpenSession(startTime, "a", 1)
-	d.Apply(startTime, "a", &fireflypath.News{Flights: []fireflypath.Flight{{Offer: newOffer(1, 1), Target: "t0@5"}}})
-	d.UpdatePeers(startTime, []fireflypath.Mate{
-		{Name: "alone", Flights: map[string]int{"t0@5": 1}},
-		{Name: "a", Flights: map[string]int{"t0@5": 1}}, // also reported in the session, counted once
+	d.Apply(startTime, "a", &fireflypath.DispatchUpdate{InFlight: []fireflypath.InFlightWork{{Offer: newOffer(1, 1), Target: "t0@5"}}})
+	d.UpdatePeers(startTime, []fireflypath.PeerLoad{
+		{Name: "alone", InFlight: map[string]int{"t0@5": 1}},
+		{Name: "a", InFlight: map[string]int{"t0@5": 1}}, // also reported in the session, counted once
 	})
 	is.Equal(len(offerBurst(d, startTime, "a", 2, 5, 1)), 1)
 	d.Apply(startTime, "a", completion(1))
@@ -133,7 +133,7 @@
 	d.OpenSession(startTime, "a", 1)
 	first := offerBurst(d, startTime, "a", 1, 1, 1)
 	is.Equal(len(first), 1)
-	d.Apply(startTime, "a", &fireflypath.News{Progress: []fireflypath.Progress{{Number: 1, Kind: fireflypath.EventUnsent}}})
+	d.Apply(startTime, "a", &fireflypath.DispatchUpdate{Progress: []fireflypath.Progress{{Number: 1, Kind: fireflypath.EventUnsent}}})
 	second := d.TakeDecisions("a")
 	is.Equal(len(second), 1)
 	is.True(second[0].Target != first[0].Target)
--- a/internal/decide/remote/expire.go
+++ b/internal/decide/remote/expire.go
@@ -28,8 +28,8 @@
 
 // expiresAt is when the caller of a waiting request gives up.
 func expiresAt(w *fireflypath.Work) time.Time {
-	if !w.Leaves.IsZero() && w.Leaves.Before(w.Deadline) {
-		return w.Leaves
+	if !w.PatienceEnds.IsZero() && w.PatienceEnds.Before(w.Deadline) {
+		return w.PatienceEnds
 	}
 	return w.Deadline
 }
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -18,8 +18,8 @@
 // in-flight requests all the time, so that its state is always current.
 type Local interface {
 	fireflypath.Scheduler
-	Report(m *fireflypath.Mate)
-	UpdatePeers(now time.Time, peers []fireflypath.Mate)
+	Report(m *fireflypath.PeerLoad)
+	UpdatePeers(now time.Time, peers []fireflypath.PeerLoad)
 	// AddInFlight counts a request that is already at a target.
 	AddInFlight(now time.Time, w *fireflypath.Work, target string, sent time.Time, began bool)
 	// TakeWaiting removes and returns all waiting requests.
@@ -48,13 +48,13 @@
 	// placements were decided by the dispatcher and not yet returned by Next.
 	placements []placement
 	targets    map[string]fireflypath.Target
-	outbox     fireflypath.News
+	outbox     fireflypath.DispatchUpdate
 	newsReady  chan struct{}
 }
 
 type placement struct {
 	work *fireflypath.Work
-	turn fireflypath.Turn
+	turn fireflypath.Decision
 }
 
 var _ fireflypath.Scheduler = (*Scheduler)(nil)
@@ -75,7 +75,7 @@
 	s.attached = true
 	requests := append(s.takePending(), s.TakeWaiting()...)
 	s.EachInFlight(func(w *fireflypath.Work, target string, sent time.Time, began bool) {
-		s.outbox.Flights = append(s.outbox.Flights, fireflypath.Flight{
+		s.outbox.InFlight = append(s.outbox.InFlight, fireflypath.InFlightWork{
 			Offer: s.offer(now, w), Target: target, Sent: fireflypath.MicrosOf(now.Sub(sent)), Began: began,
 		})
 	})
@@ -99,7 +99,7 @@
 // reset drops the state shared with a dispatcher.
 func (s *Scheduler) reset() {
 	clear(s.numbers)
-	s.outbox = fireflypath.News{}
+	s.outbox = fireflypath.DispatchUpdate{}
 }
 
 // takePending takes back all requests that Next has not returned: the undecided ones in
@@ -139,9 +139,9 @@
 func (s *Scheduler) HasPending() bool { return len(s.pending) > 0 }
 
 // News takes the messages not yet sent to the dispatcher.
-func (s *Scheduler) News() fireflypath.News {
+func (s *Scheduler) News() fireflypath.DispatchUpdate {
 	out := s.outbox
-	s.outbox = fireflypath.News{}
+	s.outbox = fireflypath.DispatchUpdate{}
 	return out
 }
 
@@ -149,22 +149,22 @@
 // place requests: each must know the others' placements, or targets get several times the
 // load they can run. While one dispatcher decides for all, it knows everything, and a
 // report would cost three messages to each daemon of the group for every request.
-func (s *Scheduler) Report(m *fireflypath.Mate) {
-	m.Apart = m.Apart || !s.attached
+func (s *Scheduler) Report(m *fireflypath.PeerLoad) {
+	m.PartialView = m.PartialView || !s.attached
 	if !s.attached || s.peersNeedReports {
 		s.Local.Report(m)
 	}
 }
 
 // UpdatePeers applies the peers' reports of in-flight requests.
-func (s *Scheduler) UpdatePeers(now time.Time, peers []fireflypath.Mate) {
-	s.peersNeedReports = slices.ContainsFunc(peers, func(m fireflypath.Mate) bool { return m.Apart })
+func (s *Scheduler) UpdatePeers(now time.Time, peers []fireflypath.PeerLoad) {
+	s.peersNeedReports = slices.ContainsFunc(peers, func(m fireflypath.PeerLoad) bool { return m.PartialView })
 	s.Local.UpdatePeers(now, peers)
 }
 
 // ApplyDecisions applies the dispatcher's decisions. Refusals are appended to out;
 // placements are returned by Next.
-func (s *Scheduler) ApplyDecisions(now time.Time, turns []fireflypath.Turn, out []fireflypath.Shed) []fireflypath.Shed {
+func (s *Scheduler) ApplyDecisions(now time.Time, turns []fireflypath.Decision, out []fireflypath.Shed) []fireflypath.Shed {
 	for _, t := range turns {
 		w := s.pending[t.Number]
 		if w == nil {
@@ -202,12 +202,12 @@
 	s.lastNumber++
 	s.numbers[w] = s.lastNumber
 	o := fireflypath.Offer{
-		Number: s.lastNumber, Rank: w.Rank, Prompt: w.Cost.Prompt, Output: w.Cost.Output, Expected: w.Output,
+		Number: s.lastNumber, Rank: w.Rank, Prompt: w.Cost.Prompt, Output: w.Cost.Output, Expected: w.ExpectedOutput,
 		Waited: fireflypath.MicrosOf(now.Sub(w.Arrived)), Goal: fireflypath.MicrosOf(w.Goal.Sub(now)),
 		Deadline: fireflypath.MicrosOf(w.Deadline.Sub(now)), Gap: fireflypath.MicrosOf(w.Gap), Avoid: w.Avoid,
 	}
-	if !w.Leaves.IsZero() {
-		o.Leaves = max(fireflypath.MicrosOf(w.Leaves.Sub(now)), 1)
+	if !w.PatienceEnds.IsZero() {
+		o.Patience = max(fireflypath.MicrosOf(w.PatienceEnds.Sub(now)), 1)
 	}
 	return o
 }
@@ -226,8 +226,8 @@
 		}
 		s.AddInFlight(now, next.work, next.turn.Target, now, false)
 		*p = fireflypath.Placement{
-			Work: next.work, Target: t.Name, Waited: now.Sub(next.work.Arrived), Line: next.turn.Ahead,
-			First: next.turn.First.Std(), Considered: p.Considered[:0],
+			Work: next.work, Target: t.Name, Waited: now.Sub(next.work.Arrived), PromptAhead: next.turn.PromptAhead,
+			TimeToFirst: next.turn.TimeToFirst.Std(), Considered: p.Considered[:0],
 		}
 		return true
 	}
@@ -288,7 +288,7 @@
 		return
 	}
 	s.Local.Observe(now, e)
-	s.addProgress(fireflypath.Progress{Number: n, Kind: e.Kind, Tokens: e.Tokens, Left: e.Left})
+	s.addProgress(fireflypath.Progress{Number: n, Kind: e.Kind, Tokens: e.Tokens, CallerLeft: e.CallerLeft})
 	if e.Kind != fireflypath.EventFirst {
 		delete(s.numbers, e.Work)
 	}
@@ -309,7 +309,7 @@
 	for _, w := range s.pending {
 		if w.Rank < len(d.Waiting) {
 			d.Waiting[w.Rank] += w.Cost.Tokens()
-			d.Requests[w.Rank]++
+			d.WaitingRequests[w.Rank]++
 		}
 	}
 	return d
--- a/internal/decide/remote/remote_test.go
+++ b/internal/decide/remote/remote_test.go
@@ -32,8 +32,8 @@
 func work(id int, now time.Time) *fireflypath.Work {
 	return &fireflypath.Work{
 		ID: fmt.Sprint(id), Rank: 1, Pool: "p", Weight: 1, Arrived: now, Deadline: now.Add(12 * time.Second),
-		Goal: now.Add(time.Second), Leaves: now.Add(4 * time.Second),
-		Cost: fireflypath.Cost{Prompt: 500, Output: 100}, Output: 100,
+		Goal: now.Add(time.Second), PatienceEnds: now.Add(4 * time.Second),
+		Cost: fireflypath.Cost{Prompt: 500, Output: 100}, ExpectedOutput: 100,
 	}
 }
 
@@ -42,7 +42,7 @@
 	var out []fireflypath.Placement
 	var p fireflypath.Placement
 	for s.Next(now, &p) {
-		p.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
+		p.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched)
 		out = append(out, p)
 	}
 	return out
@@ -59,12 +59,12 @@
 	}
 	is.Equal(len(nextPlacements(s, start)), 0)
 	is.Equal(len(s.News().Offers), 4)
-	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
+	s.ApplyDecisions(start, []fireflypath.Decision{{Number: 1, Target: "t0"}}, nil)
 	is.Equal(len(nextPlacements(s, start)), 1)
 	is.Equal(len(s.Detach(start, nil)), 0)
 	is.Equal(len(nextPlacements(s, start)), 3)
 	// A late decision of the lost dispatcher places nothing twice.
-	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 2, Target: "t1"}}, nil)
+	s.ApplyDecisions(start, []fireflypath.Decision{{Number: 2, Target: "t1"}}, nil)
 	is.Equal(len(nextPlacements(s, start)), 0)
 }
 
@@ -81,13 +81,13 @@
 	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirst, Target: "t0", Work: sent[0].Work})
 	s.Attach(start.Add(time.Second))
 	news := s.News()
-	is.Equal(len(news.Flights), 3)
-	is.True(news.Flights[0].Began)
-	is.Equal(news.Flights[0].Sent.Std(), time.Second)
+	is.Equal(len(news.InFlight), 3)
+	is.True(news.InFlight[0].Began)
+	is.Equal(news.InFlight[0].Sent.Std(), time.Second)
 	is.Equal(len(news.Offers), 4)
 	is.Equal(news.Offers[0].Waited.Std(), time.Second)
 	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventDone, Target: "t0", Work: sent[1].Work, Tokens: 9})
-	is.Equal(s.News().Progress, []fireflypath.Progress{{Number: news.Flights[1].Number, Kind: fireflypath.EventDone, Tokens: 9}})
+	is.Equal(s.News().Progress, []fireflypath.Progress{{Number: news.InFlight[1].Number, Kind: fireflypath.EventDone, Tokens: 9}})
 }
 
 // The dispatcher does not know yet that a target is leaving. A daemon that does sends
@@ -101,10 +101,10 @@
 	list := targets(2)
 	list[0].Drained = true
 	s.SetTargets(start, list)
-	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
+	s.ApplyDecisions(start, []fireflypath.Decision{{Number: 1, Target: "t0"}}, nil)
 	is.Equal(len(nextPlacements(s, start)), 0)
 	is.Equal(s.News().Progress, []fireflypath.Progress{{Number: 1, Kind: fireflypath.EventUnsent}})
-	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t1"}}, nil)
+	s.ApplyDecisions(start, []fireflypath.Decision{{Number: 1, Target: "t1"}}, nil)
 	is.Equal(len(nextPlacements(s, start)), 1)
 }
 
@@ -155,11 +155,11 @@
 			case 3:
 				collect(s.Detach(now, nil))
 			case 4:
-				turn := fireflypath.Turn{Number: uint64(rapid.IntRange(1, len(all)+3).Draw(t, "number"))}
+				turn := fireflypath.Decision{Number: uint64(rapid.IntRange(1, len(all)+3).Draw(t, "number"))}
 				if rapid.Bool().Draw(t, "placed") {
 					turn.Target = fmt.Sprintf("t%d", rapid.IntRange(0, 2).Draw(t, "target"))
 				}
-				collect(s.ApplyDecisions(now, []fireflypath.Turn{turn}, nil))
+				collect(s.ApplyDecisions(now, []fireflypath.Decision{turn}, nil))
 			case 5:
 				if len(all) == 0 {
 					continue
@@ -199,20 +199,20 @@
 	s := scheduler(1)
 	s.Attach(start)
 	s.Offer(start, work(1, start), nil)
-	s.ApplyDecisions(start, []fireflypath.Turn{{Number: 1, Target: "t0"}}, nil)
+	s.ApplyDecisions(start, []fireflypath.Decision{{Number: 1, Target: "t0"}}, nil)
 	is.Equal(len(nextPlacements(s, start)), 1)
-	report := func() fireflypath.Mate {
-		m := fireflypath.NewMate("a")
+	report := func() fireflypath.PeerLoad {
+		m := fireflypath.NewPeerLoad("a")
 		s.Report(&m)
 		return m
 	}
-	is.Equal(len(report().Flights), 0)
-	s.UpdatePeers(start, []fireflypath.Mate{{Name: "b", Apart: true}})
-	is.Equal(report().Flights, map[string]int{"t0": 1})
-	is.True(!report().Apart) // otherwise each daemon would keep the other one reporting
-	s.UpdatePeers(start, []fireflypath.Mate{{Name: "b"}})
-	is.Equal(len(report().Flights), 0)
+	is.Equal(len(report().InFlight), 0)
+	s.UpdatePeers(start, []fireflypath.PeerLoad{{Name: "b", PartialView: true}})
+	is.Equal(report().InFlight, map[string]int{"t0": 1})
+	is.True(!report().PartialView) // otherwise each daemon would keep the other one reporting
+	s.UpdatePeers(start, []fireflypath.PeerLoad{{Name: "b"}})
+	is.Equal(len(report().InFlight), 0)
 	s.Detach(start, nil)
-	is.Equal(report().Flights, map[string]int{"t0": 1})
-	is.True(report().Apart)
+	is.Equal(report().InFlight, map[string]int{"t0": 1})
+	is.True(report().PartialView)
 }
--- a/internal/decide/rules/rules_test.go
+++ b/internal/decide/rules/rules_test.go
@@ -157,7 +157,7 @@
 	d := r.Demands(now, cfg)
 	is.Equal(len(d), 1)
 	is.Equal(d[0].Slots, 900)
-	is.True(d[0].Busy[0] > 780 && d[0].Busy[0] < 820)
+	is.True(d[0].RunningRequests[0] > 780 && d[0].RunningRequests[0] < 820)
 	r.SetShare(cfg, "ours", 0.9)
 	admitted(2) // the clock is up to a second ahead
 	is.True(admitted(20) > 20*780)
--- a/internal/decide/rules/shares.go
+++ b/internal/decide/rules/shares.go
@@ -32,7 +32,7 @@
 		for i := range list {
 			if l := &list[i]; l.Name == name {
 				rate := int(l.limit.updateRate(now))
-				out = append(out, fireflypath.Demand{Pool: DemandKey(name), Slots: l.Limit, Busy: []int{rate}})
+				out = append(out, fireflypath.Demand{Pool: DemandKey(name), Slots: l.Limit, RunningRequests: []int{rate}})
 			}
 		}
 	}
--- a/internal/decide/sched/admit.go
+++ b/internal/decide/sched/admit.go
@@ -40,7 +40,7 @@
 	s.drainRate.Advance(now, s.queue.Len() > 0)
 	r := rankOf(w)
 	s.cfg.LowestRank = max(s.cfg.LowestRank, r)
-	if w.Early {
+	if w.RetriedEarly {
 		s.damper.RecordEarly(now, w.Team)
 	}
 	s.arrivalRates[r].Add(now, w.Cost.Tokens())
@@ -94,7 +94,7 @@
 		s.freeSlot(slot)
 		return true
 	case phaseInFlight:
-		if st := w.Life.State(); st != fireflypath.StateDispatched {
+		if st := w.Lifecycle.State(); st != fireflypath.StateDispatched {
 			s.endFlight(now, slot)
 			s.freeSlot(slot)
 		}
@@ -210,7 +210,7 @@
 func (s *Scheduler) lateShed(now time.Time, w *fireflypath.Work) fireflypath.Shed {
 	wait, _ := s.expectedWait(w, 0)
 	reason := fireflypath.ReasonDeadline
-	if w.Early {
+	if w.RetriedEarly {
 		reason = fireflypath.ReasonEarly
 	}
 	return fireflypath.Shed{
--- a/internal/decide/sched/bench_test.go
+++ b/internal/decide/sched/bench_test.go
@@ -80,7 +80,7 @@
 	if !b.scheduler.Next(b.now, &b.placement) {
 		return
 	}
-	b.placement.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
+	b.placement.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched)
 	b.inFlight = append(b.inFlight, b.placement.Work)
 	b.inFlightTargets = append(b.inFlightTargets, b.placement.Target)
 }
--- a/internal/decide/sched/dispatch.go
+++ b/internal/decide/sched/dispatch.go
@@ -105,7 +105,7 @@
 // waiting or has passed its latest start.
 func (s *Scheduler) dropUnservable(now time.Time, slot int32) bool {
 	it := &s.items[slot]
-	if it.work.Life.State() != fireflypath.StateWaiting {
+	if it.work.Lifecycle.State() != fireflypath.StateWaiting {
 		s.removeWaiting(slot)
 		s.freeSlot(slot)
 		return true
--- a/internal/decide/sched/expire.go
+++ b/internal/decide/sched/expire.go
@@ -56,7 +56,7 @@
 func (s *Scheduler) refuseExpired(now time.Time, slot int32, out []fireflypath.Shed) ([]fireflypath.Shed, bool) {
 	it := &s.items[slot]
 	w := it.work
-	if it.phase != phaseExpired || w.Life.State() != fireflypath.StateWaiting {
+	if it.phase != phaseExpired || w.Lifecycle.State() != fireflypath.StateWaiting {
 		s.freeSlot(slot)
 		return out, false
 	}
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -52,7 +52,7 @@
 		}
 	case fireflypath.EventLeaving:
 		s.targets[i].leaving = true
-	case fireflypath.EventBack:
+	case fireflypath.EventStaying:
 		s.observeBack(i)
 	}
 	s.updateAvailability(i)
@@ -143,7 +143,7 @@
 	s.targets[i].slow.ObserveFailure(now)
 	s.endFlight(now, slot)
 	w := e.Work
-	if w.Life.State() != fireflypath.StateWaiting {
+	if w.Lifecycle.State() != fireflypath.StateWaiting {
 		s.freeSlot(slot)
 		return
 	}
--- a/internal/decide/sched/property_test.go
+++ b/internal/decide/sched/property_test.go
@@ -71,8 +71,8 @@
 }
 
 func (m *model) refuse(t *rapid.T, w *fireflypath.Work) {
-	if !w.Life.Move(fireflypath.StateWaiting, fireflypath.StateShed) {
-		t.Fatalf("request %s refused in state %v", w.ID, w.Life.State())
+	if !w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateShed) {
+		t.Fatalf("request %s refused in state %v", w.ID, w.Lifecycle.State())
 	}
 	delete(m.waiting, w)
 	delete(m.awaitingRelief, w)
@@ -101,8 +101,8 @@
 	if !m.waiting[p.Work] {
 		t.Fatalf("request %s dispatched, but it was not waiting", p.Work.ID)
 	}
-	if !p.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched) {
-		t.Fatalf("request %s dispatched in state %v", p.Work.ID, p.Work.Life.State())
+	if !p.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched) {
+		t.Fatalf("request %s dispatched in state %v", p.Work.ID, p.Work.Lifecycle.State())
 	}
 	delete(m.waiting, p.Work)
 	delete(m.awaitingRelief, p.Work)
@@ -127,7 +127,7 @@
 	target := m.inFlight[w]
 	delete(m.inFlight, w)
 	if kind == fireflypath.EventUnsent {
-		w.Life = fireflypath.Life{}
+		w.Lifecycle = fireflypath.Lifecycle{}
 		m.waiting[w] = true
 	}
 	m.scheduler.Observe(m.now, fireflypath.Event{Kind: kind, Target: target, Work: w, Tokens: w.Cost.Output, Cached: -1})
--- a/internal/decide/sched/target.go
+++ b/internal/decide/sched/target.go
@@ -123,7 +123,7 @@
 }
 
 func (s *Scheduler) partOf(name string) float64 {
-	if p, ok := s.share.Part[name]; ok {
+	if p, ok := s.share.Fractions[name]; ok {
 		return p
 	}
 	return s.share.Default
--- a/internal/decide/sched/views.go
+++ b/internal/decide/sched/views.go
@@ -12,17 +12,17 @@
 func (s *Scheduler) Demand(_ time.Time) fireflypath.Demand {
 	n := min(s.cfg.LowestRank+1, fair.Ranks)
 	d := fireflypath.Demand{
-		Pool:     s.cfg.Pool.Name,
-		Waiting:  make([]int, n),
-		Running:  make([]int, n),
-		Requests: make([]int, n),
-		Busy:     make([]int, n),
+		Pool:            s.cfg.Pool.Name,
+		Waiting:         make([]int, n),
+		Running:         make([]int, n),
+		WaitingRequests: make([]int, n),
+		RunningRequests: make([]int, n),
 	}
 	for r := range n {
 		d.Waiting[r] = s.queue.Tokens(r)
 		d.Running[r] = s.inFlightTokens[r]
-		d.Requests[r] = s.queue.Requests(r)
-		d.Busy[r] = s.inFlightByRank[r]
+		d.WaitingRequests[r] = s.queue.Requests(r)
+		d.RunningRequests[r] = s.inFlightByRank[r]
 	}
 	for i := range s.targets {
 		if t := &s.targets[i]; t.usable() {
@@ -44,7 +44,7 @@
 			Pool:        s.cfg.Pool.Name,
 			State:       t.state(),
 			Window:      t.window.Tokens(s.prefillRate(t)),
-			Part:        t.part,
+			Share:       t.part,
 			Held:        t.tokens,
 			Requests:    t.requests,
 			PrefillRate: t.speed.PrefillRate(),
--- a/internal/decide/sched/wait_test.go
+++ b/internal/decide/sched/wait_test.go
@@ -51,7 +51,7 @@
 	if !s.Next(now, &p) {
 		return
 	}
-	p.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
+	p.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched)
 	e := fireflypath.Event{Target: p.Target, Work: p.Work, Sent: now, Cached: -1, Tokens: p.Work.Cost.Output}
 	e.Kind = fireflypath.EventFirst
 	s.Observe(now.Add(time.Millisecond), e)
--- a/internal/decide/slots/choose.go
+++ b/internal/decide/slots/choose.go
@@ -73,7 +73,7 @@
 func (s *Scheduler) expectedDuration(t *target, w *fireflypath.Work) float64 {
 	sec := float64(w.Cost.Prompt) / s.prefillRate(t)
 	if d := t.speed.DecodeRate(); d > 0 {
-		sec += float64(w.Output) / (d * float64(s.tokensPerEvent()))
+		sec += float64(w.ExpectedOutput) / (d * float64(s.tokensPerEvent()))
 	}
 	return sec
 }
--- a/internal/decide/slots/observe.go
+++ b/internal/decide/slots/observe.go
@@ -22,7 +22,7 @@
 			t.reportedRequests = max(e.Report.Running+e.Report.Waiting-t.requests, 0)
 			t.reportedAt = now
 		}
-	case fireflypath.EventLeaving, fireflypath.EventBack:
+	case fireflypath.EventLeaving, fireflypath.EventStaying:
 		if t != nil {
 			t.leaving = e.Kind == fireflypath.EventLeaving
 		}
@@ -78,7 +78,7 @@
 	s.slotTime = movingAverage(s.slotTime, held)
 	switch e.Kind {
 	case fireflypath.EventFailed:
-		if e.Left {
+		if e.CallerLeft {
 			t.probing = false
 			return
 		}
@@ -92,7 +92,7 @@
 		t.recordFailure(now, true)
 	case fireflypath.EventUnsent:
 		t.recordFailure(now, true)
-		if e.Work.Life.State() == fireflypath.StateWaiting {
+		if e.Work.Lifecycle.State() == fireflypath.StateWaiting {
 			s.waiting = append(s.waiting, e.Work)
 		}
 	default:
--- a/internal/decide/slots/peers.go
+++ b/internal/decide/slots/peers.go
@@ -35,20 +35,20 @@
 // Report adds this daemon's requests in flight and waiting. It adds nothing if many
 // more daemons send requests to the targets than receive the report: the targets'
 // own load reports are more accurate then.
-func (s *Scheduler) Report(m *fireflypath.Mate) {
-	if s.share.Mixed {
+func (s *Scheduler) Report(m *fireflypath.PeerLoad) {
+	if s.share.UnknownSenders {
 		return
 	}
 	for _, t := range s.ordered {
 		if t.requests > 0 {
-			m.Flights[t.id] = t.requests
+			m.InFlight[t.id] = t.requests
 		}
 		if n := t.pendingPrefill / promptReportUnit; n >= minPromptReport {
-			m.Prompts[t.id] = n
+			m.PendingPrompts[t.id] = n
 		}
 	}
 	if r, ok := s.highestWaitingRank(); ok {
-		m.Waits[s.pool.Name] = r
+		m.WaitingRanks[s.pool.Name] = r
 	}
 	for _, t := range s.ordered {
 		if t.speedKnown() {
@@ -82,18 +82,18 @@
 
 // UpdatePeers replaces what is known of the requests that other daemons have in
 // flight and waiting.
-func (s *Scheduler) UpdatePeers(now time.Time, peers []fireflypath.Mate) {
+func (s *Scheduler) UpdatePeers(now time.Time, peers []fireflypath.PeerLoad) {
 	s.competitors = s.competitors[:0]
 	for _, m := range peers {
-		if r, ok := m.Waits[s.pool.Name]; ok {
+		if r, ok := m.WaitingRanks[s.pool.Name]; ok {
 			s.competitors = append(s.competitors, competitor{hash: xxhash.Sum64String(m.Name + "/" + s.pool.Name), rank: r})
 		}
 	}
 	for _, t := range s.ordered {
 		requests, promptUnits := 0, 0
 		for _, m := range peers {
-			requests += m.Flights[t.id]
-			promptUnits += m.Prompts[t.id]
+			requests += m.InFlight[t.id]
+			promptUnits += m.PendingPrompts[t.id]
 			if v, ok := m.Speeds[t.id]; ok && !t.speedKnown() {
 				t.speed.AdoptRates(float64(v.Prefill), float64(v.Decode))
 				s.updateFastest(t)
--- a/internal/decide/slots/refuse.go
+++ b/internal/decide/slots/refuse.go
@@ -12,15 +12,15 @@
 
 // leavesAt returns when the caller of a waiting request gives up.
 func leavesAt(w *fireflypath.Work) time.Time {
-	if !w.Leaves.IsZero() && w.Leaves.Before(w.Deadline) {
-		return w.Leaves
+	if !w.PatienceEnds.IsZero() && w.PatienceEnds.Before(w.Deadline) {
+		return w.PatienceEnds
 	}
 	return w.Deadline
 }
 
 // expiresAt returns when a waiting request is refused.
 func (s *Scheduler) expiresAt(w *fireflypath.Work) time.Time {
-	if w.Leaves.IsZero() {
+	if w.PatienceEnds.IsZero() {
 		return w.Deadline.Add(-expiryMargin)
 	}
 	return w.Arrived.Add(time.Duration(s.tuning.MaxWaitFraction * float64(leavesAt(w).Sub(w.Arrived))))
--- a/internal/decide/slots/restart_test.go
+++ b/internal/decide/slots/restart_test.go
@@ -33,7 +33,7 @@
 	now := start.Add(time.Second)
 	// Failures of the earlier incarnation do not eject the new one.
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Target: "t0", Incarnation: 1, Work: before[0].Work})
-	s.UpdatePeers(now, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0@1": 5}, Prompts: map[string]int{"t0@1": 9}}})
+	s.UpdatePeers(now, []fireflypath.PeerLoad{{Name: "other", InFlight: map[string]int{"t0@1": 5}, PendingPrompts: map[string]int{"t0@1": 9}}})
 	s.SetTargets(now, targetsWithIncarnation(1, 2))
 	is.Equal(len(dispatchAll(s, now)), 3)
 
@@ -41,13 +41,13 @@
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventReport, Target: "t0", Incarnation: 1, Report: fireflypath.Report{Running: 5}})
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventLeaving, Target: "t0", Incarnation: 1})
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventFailed, Target: "t0", Incarnation: 1, Work: before[1].Work})
-	s.UpdatePeers(now, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0@1": 5, "t0@2": 1}}})
+	s.UpdatePeers(now, []fireflypath.PeerLoad{{Name: "other", InFlight: map[string]int{"t0@1": 5, "t0@2": 1}}})
 	s.Offer(now, newWork("8", 0, now), nil)
 	s.Offer(now, newWork("9", 0, now), nil)
 	is.Equal(len(dispatchAll(s, now)), 1) // three of this daemon and one of the other occupy four of five slots
 
 	// Reports of this daemon name the incarnation.
-	m := fireflypath.NewMate("")
+	m := fireflypath.NewPeerLoad("")
 	s.Report(&m)
-	is.Equal(m.Flights, map[string]int{"t0@2": 4})
+	is.Equal(m.InFlight, map[string]int{"t0@2": 4})
 }
--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -264,7 +264,7 @@
 }
 
 func assigned(share fireflypath.Share, name string) bool {
-	if part, ok := share.Part[name]; ok {
+	if part, ok := share.Fractions[name]; ok {
 		return part > 0
 	}
 	return share.Default > 0
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -31,8 +31,8 @@
 func newWork(id string, rank int, now time.Time) *fireflypath.Work {
 	return &fireflypath.Work{
 		ID: id, Rank: rank, Pool: "p", Weight: 1, Arrived: now, Deadline: now.Add(12 * time.Second),
-		Goal: now.Add(time.Second), Leaves: now.Add(4 * time.Second), Gap: 250 * time.Millisecond,
-		Cost: fireflypath.Cost{Prompt: 1000, Output: 100}, Output: 100,
+		Goal: now.Add(time.Second), PatienceEnds: now.Add(4 * time.Second), Gap: 250 * time.Millisecond,
+		Cost: fireflypath.Cost{Prompt: 1000, Output: 100}, ExpectedOutput: 100,
 	}
 }
 
@@ -44,21 +44,21 @@
 		if !s.Next(now, &p) {
 			return out
 		}
-		p.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched)
+		p.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched)
 		out = append(out, p)
 	}
 }
 
 // exchangeReports delivers the report of each daemon to all others.
 func exchangeReports(all []*slots.Scheduler, now time.Time) {
-	var mates []fireflypath.Mate
+	var mates []fireflypath.PeerLoad
 	for d, s := range all {
-		m := fireflypath.NewMate(fmt.Sprint("d", d))
+		m := fireflypath.NewPeerLoad(fmt.Sprint("d", d))
 		s.Report(&m)
 		mates = append(mates, m)
 	}
 	for d, s := range all {
-		s.UpdatePeers(now, append(append([]fireflypath.Mate(nil), mates[:d]...), mates[d+1:]...))
+		s.UpdatePeers(now, append(append([]fireflypath.PeerLoad(nil), mates[:d]...), mates[d+1:]...))
 	}
 }
 
@@ -115,7 +115,7 @@
 	s := newScheduler(1)
 	s.Offer(start, newWork("low", 2, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 1)
-	s.UpdatePeers(start, []fireflypath.Mate{{Name: "other", Flights: map[string]int{"t0": 4}}})
+	s.UpdatePeers(start, []fireflypath.PeerLoad{{Name: "other", InFlight: map[string]int{"t0": 4}}})
 	s.Offer(start, newWork("low2", 2, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 0)
 	for i := range 4 {
@@ -160,7 +160,7 @@
 			is.True(sh.RetryAfter >= 300*time.Millisecond)
 			is.True(sh.RetryAfter <= 10*time.Second)
 			is.Equal(sh.Reason, fireflypath.ReasonDeadline)
-			is.True(now.Before(sh.Work.Leaves))
+			is.True(now.Before(sh.Work.PatienceEnds))
 		}
 	}
 	for i := range 400 {
@@ -204,14 +204,14 @@
 		}
 		for i := range waiting {
 			w := newWork(fmt.Sprint("q", i), 0, now)
-			w.Leaves = now.Add(time.Minute)
+			w.PatienceEnds = now.Add(time.Minute)
 			w.Deadline = now.Add(time.Minute)
 			s.Offer(now, w, nil)
 			dispatchAll(s, now)
 		}
 		for i := range 20 {
 			w := newWork(fmt.Sprint("r", i), 0, now)
-			w.Leaves = now.Add(10 * time.Millisecond)
+			w.PatienceEnds = now.Add(10 * time.Millisecond)
 			for _, sh := range s.Offer(now, w, nil) {
 				if least == 0 || sh.RetryAfter < least {
 					least = sh.RetryAfter
@@ -236,7 +236,7 @@
 	s.Offer(start, w, nil)
 	due := s.Wake(start)
 	is.True(due.After(start))
-	is.True(due.Before(w.Leaves))
+	is.True(due.Before(w.PatienceEnds))
 	is.Equal(len(s.Expire(due.Add(-time.Millisecond), nil)), 0)
 	is.Equal(len(s.Expire(due, nil)), 1)
 	is.Equal(len(s.Expire(due, nil)), 0)
@@ -318,12 +318,12 @@
 	long.Cost.Prompt = 30_000
 	other.Offer(start, long, nil)
 	busy := dispatchAll(other, start)[0].Target
-	m := fireflypath.NewMate("other")
+	m := fireflypath.NewPeerLoad("other")
 	other.Report(&m)
 	for _, t := range newTargets(2) {
-		m.Flights[t.Name] = 1
+		m.InFlight[t.Name] = 1
 	}
-	s.UpdatePeers(start, []fireflypath.Mate{m})
+	s.UpdatePeers(start, []fireflypath.PeerLoad{m})
 	for i := range 4 {
 		s.Offer(start, newWork(fmt.Sprint("short", i), 0, start), nil)
 	}
@@ -332,9 +332,9 @@
 	}
 	// After the prefill both engines are equal again.
 	other.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirst, Target: busy, Work: long})
-	m = fireflypath.NewMate("other")
+	m = fireflypath.NewPeerLoad("other")
 	other.Report(&m)
-	s.UpdatePeers(start, []fireflypath.Mate{m})
+	s.UpdatePeers(start, []fireflypath.PeerLoad{m})
 	s.Offer(start, newWork("later", 0, start), nil)
 	is.Equal(dispatchAll(s, start)[0].Target, busy)
 }
@@ -347,7 +347,7 @@
 	s := newScheduler(1)
 	s.Offer(start, newWork("a", 0, start), nil)
 	p := dispatchAll(s, start)[0]
-	p.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWaiting)
+	p.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateWaiting)
 	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: p.Target, Work: p.Work})
 	s.Offer(start, newWork("b", 0, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 0)
@@ -398,7 +398,7 @@
 	now := start
 	for d := range daemons {
 		s := slots.New(fireflypath.Pool{Name: "p"}, uint64(1000*d+1), slots.StandaloneTuning())
-		s.SetShare(now, fireflypath.Share{Part: map[string]float64{}})
+		s.SetShare(now, fireflypath.Share{Fractions: map[string]float64{}})
 		s.SetTargets(now, newTargets(1))
 		all = append(all, s)
 	}
@@ -411,7 +411,7 @@
 	}
 	exchangeReports(all, now)
 	for _, s := range all {
-		s.SetShare(now, fireflypath.Share{Part: map[string]float64{"t0": 1}})
+		s.SetShare(now, fireflypath.Share{Fractions: map[string]float64{"t0": 1}})
 	}
 	for range 10 {
 		for _, s := range all {
@@ -437,7 +437,7 @@
 func TestTargetReportUsedWithoutPeerReports(t *testing.T) {
 	is := is.New(t)
 	s := newScheduler(1)
-	s.SetShare(start, fireflypath.Share{Default: 1, Mixed: true})
+	s.SetShare(start, fireflypath.Share{Default: 1, UnknownSenders: true})
 	s.UpdatePeers(start, nil)
 	s.Observe(start, fireflypath.Event{
 		Kind: fireflypath.EventReport, Target: "t0", Cached: -1, Report: fireflypath.Report{Running: 5, Batch: 5},
@@ -454,7 +454,7 @@
 	s := newScheduler(1)
 	s.Offer(start, newWork("a", 0, start), nil)
 	p := dispatchAll(s, start)[0]
-	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventFailed, Target: p.Target, Work: p.Work, Left: true})
+	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventFailed, Target: p.Target, Work: p.Work, CallerLeft: true})
 	s.Offer(start, newWork("b", 0, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 1)
 }
@@ -519,7 +519,7 @@
 			}
 			d := s.Demand(now)
 			n := 0
-			for _, r := range d.Requests {
+			for _, r := range d.WaitingRequests {
 				n += r
 			}
 			if n != len(waiting) {
@@ -537,7 +537,7 @@
 			var p fireflypath.Placement
 			b.ReportAllocs()
 			for b.Loop() {
-				w.Life = fireflypath.Life{}
+				w.Lifecycle = fireflypath.Lifecycle{}
 				s.Offer(start, w, nil)
 				s.Next(start, &p)
 				s.Observe(start, fireflypath.Event{Kind: fireflypath.EventDone, Target: p.Target, Work: w})
--- a/internal/decide/slots/target.go
+++ b/internal/decide/slots/target.go
@@ -120,7 +120,7 @@
 	if t.peersReported {
 		n = t.peerRequests
 	}
-	useReport := !t.peersReported || s.share.Mixed || s.tuning.UseTargetReports
+	useReport := !t.peersReported || s.share.UnknownSenders || s.tuning.UseTargetReports
 	if useReport && now.Sub(t.reportedAt) <= reportTTL {
 		n = max(n, t.reportedRequests)
 	}
--- a/internal/decide/slots/views.go
+++ b/internal/decide/slots/views.go
@@ -26,16 +26,16 @@
 	n := s.lowestRank + 1
 	d := fireflypath.Demand{
 		Pool: s.pool.Name, Waiting: make([]int, n), Running: make([]int, n),
-		Requests: make([]int, n), Busy: make([]int, n),
+		WaitingRequests: make([]int, n), RunningRequests: make([]int, n),
 	}
 	for _, w := range s.waiting {
 		d.Waiting[w.Rank] += w.Cost.Tokens()
-		d.Requests[w.Rank]++
+		d.WaitingRequests[w.Rank]++
 	}
 	for w := range s.inFlight {
 		if w.Rank < n {
 			d.Running[w.Rank] += w.Cost.Tokens()
-			d.Busy[w.Rank]++
+			d.RunningRequests[w.Rank]++
 		}
 	}
 	for _, t := range s.ordered {
@@ -52,7 +52,7 @@
 			state = "ready"
 		}
 		out = append(out, fireflypath.TargetView{
-			Target: t.Name, Pool: s.pool.Name, State: state, Window: t.slots(), Part: 1,
+			Target: t.Name, Pool: s.pool.Name, State: state, Window: t.slots(), Share: 1,
 			Held: t.pendingPrefill, Requests: t.requests,
 			PrefillRate: t.speed.PrefillRate(), DecodeRate: t.speed.DecodeRate(), Age: now.Sub(t.reportedAt),
 		})
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -58,7 +58,7 @@
 	if !c.selectDispatcher(ctx) {
 		return
 	}
-	var changes fireflypath.News
+	var changes fireflypath.DispatchUpdate
 	waiting := false
 	c.pool.Update(func(_ time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 		changes, waiting = c.sched.News(), c.sched.HasPending()
@@ -72,7 +72,7 @@
 		return
 	}
 	c.lastSent = c.d.clock.Now()
-	decisions, err := c.send(ctx, c.dispatcher, updateMessage{Pool: c.name, Session: c.currentSession(), News: changes})
+	decisions, err := c.send(ctx, c.dispatcher, updateMessage{Pool: c.name, Session: c.currentSession(), DispatchUpdate: changes})
 	if err != nil {
 		c.handleLoss(ctx, err)
 		return
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -142,14 +142,14 @@
 	Session uint64 `json:"s"`
 	First   bool   `json:"first,omitempty"`
 	End     bool   `json:"end,omitempty"`
-	fireflypath.News
+	fireflypath.DispatchUpdate
 }
 
 // decisionsMessage is sent by a dispatcher to a daemon, as a response or as a call.
 type decisionsMessage struct {
-	Pool    string             `json:"pool,omitempty"`
-	Session uint64             `json:"s,omitempty"`
-	Turns   []fireflypath.Turn `json:"turns,omitempty"`
+	Pool    string                 `json:"pool,omitempty"`
+	Session uint64                 `json:"s,omitempty"`
+	Turns   []fireflypath.Decision `json:"turns,omitempty"`
 }
 
 // ack says whether the daemon still has the session.
@@ -273,11 +273,11 @@
 // UpdatePeers sets the in-flight work of daemons whose work is placed elsewhere. This
 // daemon may be one of them: it can dispatch for others and have selected another
 // dispatcher itself.
-func (d *Dispatch) UpdatePeers(peers []fireflypath.Mate) {
+func (d *Dispatch) UpdatePeers(peers []fireflypath.PeerLoad) {
 	d.mu.Lock()
 	servers, clients := slices.Collect(maps.Values(d.servers)), slices.Collect(maps.Values(d.clients))
 	d.mu.Unlock()
-	own := fireflypath.NewMate(d.self)
+	own := fireflypath.NewPeerLoad(d.self)
 	for _, c := range clients {
 		c.pool.Report(&own)
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -152,12 +152,12 @@
 		case <-t.C:
 		}
 		for _, d := range c.nodes {
-			var peers []fireflypath.Mate
+			var peers []fireflypath.PeerLoad
 			for _, o := range c.nodes {
 				if o != d && !c.isKilled(o.name) {
-					m := fireflypath.NewMate(o.name)
+					m := fireflypath.NewPeerLoad(o.name)
 					o.pool.Report(&m)
-					m.Apart = m.Apart || o.dispatch.HasPartialView()
+					m.PartialView = m.PartialView || o.dispatch.HasPartialView()
 					peers = append(peers, m)
 				}
 			}
@@ -180,7 +180,7 @@
 	r := &request.Request{
 		Work: fireflypath.Work{
 			ID: id, Rank: 1, Pool: "p", Weight: 1, Arrived: now, Deadline: now.Add(10 * time.Second),
-			Goal: now.Add(time.Second), Leaves: now.Add(4 * time.Second), Cost: fireflypath.Cost{Prompt: 100, Output: 10},
+			Goal: now.Add(time.Second), PatienceEnds: now.Add(4 * time.Second), Cost: fireflypath.Cost{Prompt: 100, Output: 10},
 		},
 		Config: &fireflypath.Config{}, Turn: make(chan request.Turn, 1),
 	}
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -56,7 +56,7 @@
 		s.pushDecisions(now)
 		return decisionsMessage{}, nil
 	}
-	s.queue.Apply(now, from, &m.News)
+	s.queue.Apply(now, from, &m.DispatchUpdate)
 	if !m.First && !sess.synced {
 		sess.synced = true
 		s.releaseIfSynced(now)
@@ -100,7 +100,7 @@
 	return false
 }
 
-func (s *server) countDecisions(decisions []fireflypath.Turn) {
+func (s *server) countDecisions(decisions []fireflypath.Decision) {
 	for _, t := range decisions {
 		if t.Target == "" {
 			s.d.metrics.refused.Inc(1)
@@ -223,7 +223,7 @@
 	s.change(func(now time.Time) { s.queue.SetShare(now, share) })
 }
 
-func (s *server) updatePeers(peers []fireflypath.Mate) {
+func (s *server) updatePeers(peers []fireflypath.PeerLoad) {
 	s.change(func(now time.Time) { s.queue.UpdatePeers(now, peers) })
 }
 
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -125,7 +125,7 @@
 func (e *Engine) open(x *send.Exchange, id string, offset int) (fireflypath.Answer, error) {
 	if string(x.Header.Peek(headerID)) != id {
 		x.Close()
-		return nil, fireflypath.ErrCrossed
+		return nil, fireflypath.ErrRequestMismatch
 	}
 	head := fireflypath.Head{Status: x.Header.StatusCode(), Cached: -1, Header: map[string]string{
 		fasthttp.HeaderContentType: string(x.Header.ContentType()),
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -90,7 +90,7 @@
 			return fireflypath.Chunk{Data: s.event, Offset: e.number}, nil
 		}
 		if !s.mine(e.data) {
-			return fireflypath.Chunk{}, fireflypath.ErrCrossed
+			return fireflypath.Chunk{}, fireflypath.ErrRequestMismatch
 		}
 		s.offset = e.number
 		return fireflypath.Chunk{Data: s.event, Offset: e.number, Tokens: 1}, nil
@@ -191,7 +191,7 @@
 			return s.event[from:], nil
 		case errors.Is(err, bufio.ErrBufferFull):
 		case errors.Is(err, io.EOF):
-			return nil, fireflypath.ErrCut
+			return nil, fireflypath.ErrTruncated
 		default:
 			return nil, err
 		}
--- a/internal/exchange/demand.go
+++ b/internal/exchange/demand.go
@@ -12,7 +12,7 @@
 // wireDemand rounds a demand for the wire. Tokens are left out, because windows are split
 // by requests.
 func wireDemand(d fireflypath.Demand) peer.Demand {
-	return peer.Demand{Pool: d.Pool, WaitingRequests: roundCounts(d.Requests), RunningRequests: roundCounts(d.Busy), Slots: roundCount(d.Slots)}
+	return peer.Demand{Pool: d.Pool, WaitingRequests: roundCounts(d.WaitingRequests), RunningRequests: roundCounts(d.RunningRequests), Slots: roundCount(d.Slots)}
 }
 
 // roundCounts rounds counts and drops trailing zeros.
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -342,9 +342,9 @@
 	if p.isLimit || x.topology.layout.CellCount() == 1 {
 		return fireflypath.Share{Default: fraction}
 	}
-	s := fireflypath.Share{Part: make(map[string]float64, len(p.targets))}
+	s := fireflypath.Share{Fractions: make(map[string]float64, len(p.targets))}
 	for _, t := range p.targets {
-		s.Part[t] = fraction
+		s.Fractions[t] = fraction
 	}
 	return s
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -48,7 +48,7 @@
 func (d *daemon) set(waiting, busy int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.demand = fireflypath.Demand{Pool: "chat", Slots: 96, Requests: []int{waiting}, Busy: []int{busy}}
+	d.demand = fireflypath.Demand{Pool: "chat", Slots: 96, WaitingRequests: []int{waiting}, RunningRequests: []int{busy}}
 }
 
 func (d *daemon) ApplyShare(pool string, sh fireflypath.Share) {
@@ -58,8 +58,8 @@
 		d.addedFraction = sh.Default
 		return
 	}
-	d.fraction, d.targets = sh.Default, len(sh.Part)
-	for _, f := range sh.Part {
+	d.fraction, d.targets = sh.Default, len(sh.Fractions)
+	for _, f := range sh.Fractions {
 		d.fraction = f
 	}
 }
@@ -72,7 +72,7 @@
 
 func (*daemon) Relieve(string, int, int) int { return 0 }
 func (*daemon) TargetLeaving(string, string) {}
-func (*daemon) TargetBack(string)            {}
+func (*daemon) TargetStaying(string)         {}
 func (d *daemon) Current() *fireflypath.Config {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -205,7 +205,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.cfg = &cfg
-	d.added = fireflypath.Demand{Pool: "added", Slots: 8, Requests: []int{waiting}, Busy: []int{0}}
+	d.added = fireflypath.Demand{Pool: "added", Slots: 8, WaitingRequests: []int{waiting}, RunningRequests: []int{0}}
 }
 
 func (d *daemon) inUseOfAdded() float64 {
@@ -278,7 +278,7 @@
 			d.mu.Lock()
 			defer d.mu.Unlock()
 			d.cfg = &cfg
-			d.added = fireflypath.Demand{Pool: rules.DemandKey("team"), Slots: 1000, Busy: []int{rate}}
+			d.added = fireflypath.Demand{Pool: rules.DemandKey("team"), Slots: 1000, RunningRequests: []int{rate}}
 		}
 		watch := func(duration time.Duration) {
 			for ; duration > 0; duration -= 20 * time.Millisecond {
--- a/internal/fake/platform/http.go
+++ b/internal/fake/platform/http.go
@@ -91,7 +91,7 @@
 	}{
 		{fireflypath.ErrNotFound, fasthttp.StatusNotFound},
 		{fireflypath.ErrConflict, fasthttp.StatusConflict},
-		{fireflypath.ErrLapsed, fasthttp.StatusGone},
+		{fireflypath.ErrLeaseExpired, fasthttp.StatusGone},
 		{fireflypath.ErrLimited, fasthttp.StatusTooManyRequests},
 		{fireflypath.ErrUnavailable, fasthttp.StatusServiceUnavailable},
 		{errTooLarge, fasthttp.StatusRequestEntityTooLarge},
@@ -150,7 +150,7 @@
 	default:
 		r.Error("", fasthttp.StatusMethodNotAllowed)
 	}
-	if errors.Is(err, fireflypath.ErrLapsed) {
+	if errors.Is(err, fireflypath.ErrLeaseExpired) {
 		err = fireflypath.ErrNotFound
 	}
 	return err
--- a/internal/fake/platform/state.go
+++ b/internal/fake/platform/state.go
@@ -65,7 +65,7 @@
 		return 0, fireflypath.ErrConflict
 	}
 	if _, ok := s.leases[id]; id != 0 && !ok {
-		return 0, fireflypath.ErrLapsed
+		return 0, fireflypath.ErrLeaseExpired
 	}
 	s.revision++
 	s.keys[key] = value{data: slices.Clone(data), revision: s.revision, lease: id}
--- a/internal/fake/platform/store.go
+++ b/internal/fake/platform/store.go
@@ -140,7 +140,7 @@
 	l, ok := s.f.state.leases[id]
 	s.f.mu.Unlock()
 	if !ok {
-		return fireflypath.ErrLapsed
+		return fireflypath.ErrLeaseExpired
 	}
 	s.extend(id, l.ttl)
 	return s.lost()
@@ -164,7 +164,7 @@
 	}
 	err := s.write(func(st *state) error {
 		if _, ok := st.leases[id]; !ok {
-			return fireflypath.ErrLapsed
+			return fireflypath.ErrLeaseExpired
 		}
 		st.revoke(id)
 		return nil
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -35,7 +35,7 @@
 	arriving     bool
 }
 
-func (s *fakeStore) Arriving(time.Duration) bool { return s.arriving }
+func (s *fakeStore) ReceivedWithin(time.Duration) bool { return s.arriving }
 
 func (s *fakeStore) Snapshot(context.Context, string) (fireflypath.Listing, error) {
 	s.calls++
--- a/internal/follow/serve.go
+++ b/internal/follow/serve.go
@@ -69,8 +69,8 @@
 	if !a.FetchesLarge || a.WaitMillis == 0 || l.Age < f.timing.maxViewAge || l.Revision > a.After {
 		return false
 	}
-	s, ok := f.store.(fireflypath.Arrivals)
-	return ok && s.Arriving(f.timing.maxArrivalAge)
+	s, ok := f.store.(fireflypath.ReceiveMonitor)
+	return ok && s.ReceivedWithin(f.timing.maxArrivalAge)
 }
 
 // handlePart responds with a part of a large value.
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -123,7 +123,7 @@
 func (g *Gate) countPossibleRuns(c *call) int {
 	n := 0
 	for _, att := range c.attempts {
-		if att.Work.Life.State() == fireflypath.StateFailed {
+		if att.Work.Lifecycle.State() == fireflypath.StateFailed {
 			n++
 		}
 	}
@@ -137,7 +137,7 @@
 		Work: fireflypath.Work{
 			ID: c.id, Rank: c.rank, Pool: c.pool, Arrived: c.arrived, Deadline: c.deadline,
 			Goal: c.firstByteDeadline(), Cost: c.cost, Bytes: len(c.body), Weight: 1,
-			Gap: c.route.Gap.Std(), Output: c.expectedOutput,
+			Gap: c.route.Gap.Std(), ExpectedOutput: c.expectedOutput,
 			Idempotent: c.route.Repeat == fireflypath.RepeatSafe,
 		},
 		Config: c.cfg, Turn: make(chan request.Turn, 1),
@@ -146,7 +146,7 @@
 		att.Work.Team = c.team.Name
 	}
 	if p := c.route.Patience.Std(); p > 0 && c.chunks == 0 {
-		att.Work.Leaves = c.arrived.Add(p)
+		att.Work.PatienceEnds = c.arrived.Add(p)
 	}
 	for _, o := range c.attempts {
 		att.Work.Avoid = append(att.Work.Avoid, o.target.Name)
@@ -265,22 +265,22 @@
 
 // markFailed ends an attempt that may have run.
 func (g *Gate) markFailed(c *call, att *attempt) {
-	att.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
+	att.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
 	att.pool.Observe(fireflypath.Event{
 		Kind: fireflypath.EventFailed, Target: att.target.Name, Work: &att.Work, Sent: att.Sent, Tokens: att.Tokens, Cached: -1,
-		Left: c.r.Context().Err() != nil,
+		CallerLeft: c.r.Context().Err() != nil,
 	})
 }
 
 // markNotRun ends an attempt that its target did not run.
 func (g *Gate) markNotRun(att *attempt) {
-	att.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWithdrawn)
+	att.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateWithdrawn)
 	att.Owner.Notify(&att.Request, fireflypath.EventRefused, -1)
 }
 
 // markAnswered ends an attempt with a complete response.
 func (g *Gate) markAnswered(att *attempt) {
-	att.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateAnswered)
+	att.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateAnswered)
 	att.Owner.Notify(&att.Request, fireflypath.EventDone, -1)
 }
 
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -86,7 +86,7 @@
 	if g.deps.Quarantine == nil {
 		g.deps.Quarantine = noQuarantine{}
 	}
-	for _, name := range g.headers.Owned {
+	for _, name := range g.headers.DaemonOnly {
 		g.ownedHeaders[http1.Canonical(name)] = true
 	}
 	for _, name := range hopByHop {
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -35,9 +35,9 @@
 
 func (testCodec) Headers() fireflypath.Headers {
 	return fireflypath.Headers{
-		ID: "T-Id", Deadline: "T-Deadline", Key: "T-Key", Team: "T-Team", Target: "T-Target", Self: "T-Self",
-		NotRun: "T-Not-Run", Signature: "T-Signature", Load: "T-Load", Tokens: "T-Tokens", Hint: "T-Hint",
-		Event: "Last-Event-Id", Owned: []string{"T-Team", "T-Target", "T-Hold"},
+		ID: "T-Id", Deadline: "T-Deadline", Key: "T-Key", Team: "T-Team", Target: "T-Target", Instance: "T-Self",
+		NotRun: "T-Not-Run", Signature: "T-Signature", Load: "T-Load", Tokens: "T-Tokens", OutputHint: "T-Hint",
+		Event: "Last-Event-Id", DaemonOnly: []string{"T-Team", "T-Target", "T-Hold"},
 	}
 }
 func (testCodec) ConfigKey() string                                     { return "" }
@@ -574,7 +574,7 @@
 		}
 		next.Targets = append(next.Targets, s.cfg.Targets[1], s.cfg.Targets[0])
 		s.pools.Apply(&next)
-		s.pools.ApplyShare("p", fireflypath.Share{Part: map[string]float64{"new0": 1}})
+		s.pools.ApplyShare("p", fireflypath.Share{Fractions: map[string]float64{"new0": 1}})
 		s.client.Sweep(next.Targets)
 	}()
 	resp, body, err := s.post("/stream/", "b")
--- a/internal/gate/metrics.go
+++ b/internal/gate/metrics.go
@@ -63,7 +63,7 @@
 	}
 	g.logEnd(c, now)
 	for _, att := range c.attempts {
-		att.Draft.End(now, att.Work.Life.State(), att.Tokens, nil)
+		att.Draft.End(now, att.Work.Lifecycle.State(), att.Tokens, nil)
 	}
 }
 
--- a/internal/gate/quarantine.go
+++ b/internal/gate/quarantine.go
@@ -31,9 +31,9 @@
 // releaseUnsent ends an attempt that has a target but was not sent.
 func (g *Gate) releaseUnsent(att *attempt) {
 	att.result = string(reasonHeld)
-	att.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWithdrawn)
+	att.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateWithdrawn)
 	att.pool.Observe(fireflypath.Event{
-		Kind: fireflypath.EventFailed, Target: att.target.Name, Work: &att.Work, Sent: att.Sent, Cached: -1, Left: true,
+		Kind: fireflypath.EventFailed, Target: att.target.Name, Work: &att.Work, Sent: att.Sent, Cached: -1, CallerLeft: true,
 	})
 }
 
--- a/internal/gate/steps.go
+++ b/internal/gate/steps.go
@@ -198,7 +198,7 @@
 // estimateOutput returns the expected number of output tokens: the caller's hint, limited to
 // the maximum output it allows.
 func (g *Gate) estimateOutput(c *call) int {
-	n, err := strconv.Atoi(c.r.Header.Get(g.headers.Hint))
+	n, err := strconv.Atoi(c.r.Header.Get(g.headers.OutputHint))
 	if err != nil || n <= 0 {
 		return c.cost.Output
 	}
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -86,13 +86,13 @@
 			return nil
 		}
 		if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return fireflypath.ErrCrossed
+			return fireflypath.ErrRequestMismatch
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return errors.Mark(err, fireflypath.ErrCrossed)
+			return errors.Mark(err, fireflypath.ErrRequestMismatch)
 		}
 	}
-	return fireflypath.ErrCrossed
+	return fireflypath.ErrRequestMismatch
 }
 
 func (a *Answer) accept(resp *http.Response) {
@@ -114,7 +114,7 @@
 	case errors.Is(err, io.EOF):
 		a.whole = true
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		err = errors.Mark(err, fireflypath.ErrCut)
+		err = errors.Mark(err, fireflypath.ErrTruncated)
 	}
 	return n, err
 }
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -77,7 +77,7 @@
 // Ended is true for an error of a connection that the target ended while it ran a
 // request, or whose host fell silent.
 func Ended(err error) bool {
-	if errors.Is(err, fireflypath.ErrUnsent) || errors.Is(err, fireflypath.ErrCrossed) {
+	if errors.Is(err, fireflypath.ErrUnsent) || errors.Is(err, fireflypath.ErrRequestMismatch) {
 		return false
 	}
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT} {
@@ -208,7 +208,7 @@
 	if err != nil {
 		err = errors.Mark(err, fireflypath.ErrUnsent)
 		if ctx.Err() == nil && unreached(err) {
-			err = errors.Mark(err, fireflypath.ErrUnreached)
+			err = errors.Mark(err, fireflypath.ErrUnreachable)
 		}
 		return nil, err
 	}
--- a/internal/http1/client_test.go
+++ b/internal/http1/client_test.go
@@ -226,7 +226,7 @@
 	is.NoErr(ln.Close())
 	_, err = client().Send(t.Context(), fireflypath.Target{Name: "t", Addr: addr}, request("1"))
 	is.True(errors.Is(err, fireflypath.ErrUnsent))
-	is.True(errors.Is(err, fireflypath.ErrUnreached))
+	is.True(errors.Is(err, fireflypath.ErrUnreachable))
 }
 
 // The caller leaves while the target works. The target sees its connection end,
--- a/internal/member/membership_test.go
+++ b/internal/member/membership_test.go
@@ -24,7 +24,7 @@
 }
 
 func addTeam(id string) fireflypath.Change {
-	return fireflypath.Change{ID: id, Who: "ana", Words: "add", Apply: func(old *fireflypath.Config) (*fireflypath.Config, error) {
+	return fireflypath.Change{ID: id, Operator: "ana", Command: "add", Apply: func(old *fireflypath.Config) (*fireflypath.Config, error) {
 		next := *old
 		next.Teams = append(old.Teams[:len(old.Teams):len(old.Teams)], fireflypath.Team{Name: id})
 		return &next, nil
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -97,7 +97,7 @@
 	if rec.lease != 0 && ttl <= 2*rec.ttl {
 		err := m.store.Renew(ctx, rec.lease)
 		switch {
-		case errors.Is(err, fireflypath.ErrLapsed):
+		case errors.Is(err, fireflypath.ErrLeaseExpired):
 		case err != nil || rec.written == self:
 			return err
 		default:
--- a/internal/operator/api_test.go
+++ b/internal/operator/api_test.go
@@ -420,7 +420,7 @@
 	old := ulid.MustNew(ulid.Timestamp(clock.Now().Add(-48*time.Hour)), ulid.DefaultEntropy()).String()
 	is.Equal(c.Do(wire.Do{ID: old, Words: pool}).Outcome, wire.OutcomeDone)
 	for i := range eval.SettleLines {
-		is.NoErr(l.Note(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), At: clock.Now()}))
+		is.NoErr(l.AppendAudit(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), At: clock.Now()}))
 	}
 	done := c.Do(wire.Do{ID: old, Words: pool})
 	is.Equal(done.Outcome, wire.OutcomeRefused)
--- a/internal/operator/do.go
+++ b/internal/operator/do.go
@@ -133,14 +133,14 @@
 func (a *API) change(ctx context.Context, who string, req wire.Do, s *command.Script) wire.Done {
 	now := a.deps.Clock.Now()
 	commit, err := a.deps.Committer.Commit(ctx, fireflypath.Change{
-		ID: req.ID, Who: who, Words: req.Words, Base: s.Base,
+		ID: req.ID, Operator: who, Command: req.Words, Base: s.Base,
 		Apply: func(old *fireflypath.Config) (*fireflypath.Config, error) { return s.Apply(old, now) },
 	})
-	done := wire.Done{ID: req.ID, Generation: commit.Generation, Repeated: commit.Repeated, Lost: commit.Lost}
+	done := wire.Done{ID: req.ID, Generation: commit.Generation, Repeated: commit.Repeated, Lost: commit.ConflictingID}
 	switch {
-	case err == nil && commit.Lost == "":
+	case err == nil && commit.ConflictingID == "":
 		return a.committed(ctx, done, req.Words)
-	case commit.Lost != "":
+	case commit.ConflictingID != "":
 		done = a.lost(ctx, done, s.Base)
 	case errors.Is(err, fireflypath.ErrUnknown):
 		done.Outcome = wire.OutcomeUnknown
@@ -166,9 +166,9 @@
 	}
 	lines, _ := a.deps.Committer.Trail(ctx, repeatLines)
 	for _, l := range lines {
-		if l.ID == done.ID && l.Words != words {
+		if l.ID == done.ID && l.Command != words {
 			done.Outcome = wire.OutcomeRefused
-			done.Detail = "the id was used before, for another command: " + l.Words
+			done.Detail = "the id was used before, for another command: " + l.Command
 		}
 	}
 	return done
@@ -197,7 +197,7 @@
 	lines, _ := a.deps.Committer.Trail(ctx, lostLines)
 	for _, l := range lines {
 		if l.ID == done.Lost {
-			done.Detail += fmt.Sprintf(" by %s: %s", l.Who, l.Words)
+			done.Detail += fmt.Sprintf(" by %s: %s", l.Operator, l.Command)
 		}
 	}
 	return done
@@ -232,7 +232,7 @@
 
 // note writes a line about something that changed no configuration.
 func (a *API) note(ctx context.Context, id, who, words, result string) error {
-	return a.deps.Committer.Note(ctx, fireflypath.AuditLine{
-		ID: id, At: a.deps.Clock.Now().UTC(), Who: who, Words: words, Result: result,
+	return a.deps.Committer.AppendAudit(ctx, fireflypath.AuditLine{
+		ID: id, At: a.deps.Clock.Now().UTC(), Operator: who, Command: words, Result: result,
 	})
 }
--- a/internal/order/issuer.go
+++ b/internal/order/issuer.go
@@ -141,7 +141,7 @@
 		o.setLease(nil)
 		return
 	}
-	if errors.Is(o.renew(ctx, lease), fireflypath.ErrLapsed) {
+	if errors.Is(o.renew(ctx, lease), fireflypath.ErrLeaseExpired) {
 		o.setLease(nil)
 	}
 }
@@ -238,7 +238,7 @@
 			lease.lastUsed = o.clock.Now()
 			return lease, nil
 		}
-		if err != nil && !errors.Is(err, fireflypath.ErrLapsed) {
+		if err != nil && !errors.Is(err, fireflypath.ErrLeaseExpired) {
 			return nil, errors.Wrap(err, "order not sent")
 		}
 		o.setLease(nil)
--- a/internal/order/lease.go
+++ b/internal/order/lease.go
@@ -89,7 +89,7 @@
 	if !o.clock.Now().Before(lease.validUntil) {
 		// The service was slow, or this process was paused. Another daemon may hold the
 		// lease by now.
-		return nil, errors.Wrap(fireflypath.ErrLapsed, "lease for orders was granted too long ago")
+		return nil, errors.Wrap(fireflypath.ErrLeaseExpired, "lease for orders was granted too long ago")
 	}
 	return lease, nil
 }
@@ -162,7 +162,7 @@
 func (o *Issuer) renew(ctx context.Context, lease *heldLease) error {
 	start := o.clock.Now()
 	if !start.Before(lease.validUntil) {
-		return fireflypath.ErrLapsed
+		return fireflypath.ErrLeaseExpired
 	}
 	if start.Sub(lease.renewedAt) < renewAfter {
 		return nil
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -122,9 +122,9 @@
 		clock.Advance(2 * time.Second)
 		_, err = s.Get(ctx, "holder")
 		is.True(errors.Is(err, fireflypath.ErrNotFound))
-		is.True(errors.Is(s.Renew(ctx, id), fireflypath.ErrLapsed))
+		is.True(errors.Is(s.Renew(ctx, id), fireflypath.ErrLeaseExpired))
 		_, err = s.Put(ctx, "holder", []byte("me"), 0, id)
-		is.True(errors.Is(err, fireflypath.ErrLapsed))
+		is.True(errors.Is(err, fireflypath.ErrLeaseExpired))
 	})
 }
 
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -42,7 +42,7 @@
 	errs := map[int]error{
 		http.StatusNotFound:           fireflypath.ErrNotFound,
 		http.StatusConflict:           fireflypath.ErrConflict,
-		http.StatusGone:               fireflypath.ErrLapsed,
+		http.StatusGone:               fireflypath.ErrLeaseExpired,
 		http.StatusTooManyRequests:    fireflypath.ErrLimited,
 		http.StatusServiceUnavailable: fireflypath.ErrUnavailable,
 	}
@@ -152,7 +152,7 @@
 func (c *Client) lease(ctx context.Context, method string, id fireflypath.LeaseID) error {
 	_, err := c.exchange(ctx, call{method: method, path: "/leases/" + strconv.FormatUint(uint64(id), 10)})
 	if errors.Is(err, fireflypath.ErrNotFound) {
-		return errors.Wrapf(fireflypath.ErrLapsed, "lease %d", id)
+		return errors.Wrapf(fireflypath.ErrLeaseExpired, "lease %d", id)
 	}
 	return err
 }
--- a/internal/query/eval/eval.go
+++ b/internal/query/eval/eval.go
@@ -131,7 +131,7 @@
 	rank := e.rank(rec.Tier)
 	rec.Ahead = len(e.src.Open(func(w *fireflypath.Work) bool {
 		before := w.Rank < rank || w.Rank == rank && w.Arrived.Before(rec.Arrived)
-		return w.Pool == rec.Pool && before && w.Life.State() == fireflypath.StateWaiting
+		return w.Pool == rec.Pool && before && w.Lifecycle.State() == fireflypath.StateWaiting
 	}))
 	return rec
 }
--- a/internal/query/eval/eval_test.go
+++ b/internal/query/eval/eval_test.go
@@ -52,10 +52,10 @@
 			return open(clock.Now(), match)
 		},
 		Views: func() []fireflypath.TargetView {
-			return []fireflypath.TargetView{{Target: "e1", Pool: "chat", State: "slow", Window: 4096, Part: 0.5}}
+			return []fireflypath.TargetView{{Target: "e1", Pool: "chat", State: "slow", Window: 4096, Share: 0.5}}
 		},
 		Demands: func() []fireflypath.Demand {
-			return []fireflypath.Demand{{Pool: "chat", Waiting: []int{10, 0, 30}, Running: []int{5}, Requests: []int{1, 0, 2}}}
+			return []fireflypath.Demand{{Pool: "chat", Waiting: []int{10, 0, 30}, Running: []int{5}, WaitingRequests: []int{1, 0, 2}}}
 		},
 	}), ledger
 }
@@ -254,7 +254,7 @@
 	}
 	is.Equal(show(t, e, "settle "+at(-time.Hour))[:8], "not done")
 	for i := range 384 {
-		is.NoErr(ledger.Note(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), At: start}))
+		is.NoErr(ledger.AppendAudit(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), At: start}))
 	}
 	is.Equal(show(t, e, "settle "+at(-time.Hour))[:7], "unknown")
 	is.Equal(show(t, e, "settle "+at(time.Hour))[:8], "not done")
--- a/internal/query/eval/live.go
+++ b/internal/query/eval/live.go
@@ -98,8 +98,8 @@
 	t := columns(text("id"), moment("at"), text("who"), number("from"), number("to"), text("result"), text("words"))
 	for _, l := range lines {
 		t.Rows = append(t.Rows, table.Row{
-			table.Str(l.ID), table.At(l.At), table.Str(l.Who), table.Num(l.From), table.Num(l.To),
-			table.Str(l.Result), table.Str(l.Words),
+			table.Str(l.ID), table.At(l.At), table.Str(l.Operator), table.Num(l.From), table.Num(l.To),
+			table.Str(l.Result), table.Str(l.Command),
 		})
 	}
 	if len(lines) == trailLines {
--- a/internal/query/eval/settle.go
+++ b/internal/query/eval/settle.go
@@ -36,7 +36,7 @@
 
 // settle tells the fate of a command from the trail.
 func (e *Evaluator) settle(ctx context.Context, id string, a *Answer) error {
-	c, err := e.src.Committer.Settle(ctx, id)
+	c, err := e.src.Committer.FindCommit(ctx, id)
 	missing := errors.Is(err, fireflypath.ErrNotFound)
 	if err != nil && !missing {
 		return errors.Wrapf(ErrTrail, "command %s: %v", id, err)
--- a/internal/query/eval/tables.go
+++ b/internal/query/eval/tables.go
@@ -89,7 +89,7 @@
 		t.Rows = append(t.Rows, table.Row{
 			table.Str(p.Name), table.Str(string(p.Kind)), table.Names(p.Models),
 			table.Num(targets), table.Num(drained),
-			table.Num(sum(d.Waiting)), table.Num(sum(d.Running)), table.Num(sum(d.Requests)),
+			table.Num(sum(d.Waiting)), table.Num(sum(d.Running)), table.Num(sum(d.WaitingRequests)),
 		})
 	}
 	t.Notes = []string{"waiting and running in estimated tokens, queued in requests, at daemon " + e.src.Name}
@@ -151,7 +151,7 @@
 		return table.Row{none, none, none, none, none, none, none, none}
 	}
 	return table.Row{
-		table.Str(v.State), table.Num(v.Window), table.Num(v.Part), table.Num(v.Held),
+		table.Str(v.State), table.Num(v.Window), table.Num(v.Share), table.Num(v.Held),
 		table.Num(v.Requests), table.Num(v.PrefillRate), table.Num(v.DecodeRate),
 		table.Age(v.Age),
 	}
--- a/internal/record/draft/draft.go
+++ b/internal/record/draft/draft.go
@@ -80,7 +80,7 @@
 
 // candidate is a target as a refused request of so many tokens met it.
 func candidate(v *fireflypath.TargetView, tokens int) fireflypath.Candidate {
-	c := fireflypath.Candidate{Target: v.Target, Held: v.Held, Age: v.Age, Window: int(float64(v.Window) * v.Part)}
+	c := fireflypath.Candidate{Target: v.Target, Held: v.Held, Age: v.Age, Window: int(float64(v.Window) * v.Share)}
 	switch {
 	case v.State != ready:
 		c.Skip = v.State
--- a/internal/record/ring_test.go
+++ b/internal/record/ring_test.go
@@ -177,9 +177,9 @@
 	d := draft.New(r, &fireflypath.Work{ID: "d1.x", Cost: fireflypath.Cost{Prompt: 100}}, 9)
 	d.Ahead(4)
 	d.Refused([]fireflypath.TargetView{
-		{Target: "e1", State: "ready", Window: 1000, Part: 0.5, Held: 450},
-		{Target: "e2", State: "leaving", Window: 1000, Part: 0.5},
-		{Target: "e3", State: "ready", Window: 1000, Part: 0.5, Held: 300},
+		{Target: "e1", State: "ready", Window: 1000, Share: 0.5, Held: 450},
+		{Target: "e2", State: "leaving", Window: 1000, Share: 0.5},
+		{Target: "e3", State: "ready", Window: 1000, Share: 0.5, Held: 300},
 	})
 	d.End(time.Unix(1000, 0), fireflypath.StateShed, 0, &fireflypath.Refusal{Code: fireflypath.ReasonFull})
 	got := r.Find("d1.x")
--- a/internal/relief/rounds_test.go
+++ b/internal/relief/rounds_test.go
@@ -148,7 +148,7 @@
 func (fakeCluster) Demands() []fireflypath.Demand        { return nil }
 func (fakeCluster) ApplyShare(string, fireflypath.Share) {}
 func (fakeCluster) TargetLeaving(string, string)         {}
-func (fakeCluster) TargetBack(string)                    {}
+func (fakeCluster) TargetStaying(string)                 {}
 
 func TestAsk(t *testing.T) {
 	tests := []struct {
--- a/internal/route/admit/admit.go
+++ b/internal/route/admit/admit.go
@@ -42,7 +42,7 @@
 	if v.Rule != "" {
 		r.Draft.Rule(v.Rule)
 	}
-	if !v.Refused || !r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateShed) {
+	if !v.Refused || !r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateShed) {
 		return nil
 	}
 	return &fireflypath.Refusal{
--- a/internal/route/claim/claim.go
+++ b/internal/route/claim/claim.go
@@ -53,10 +53,10 @@
 	case errors.As(err, &held):
 		return refuse(fireflypath.ReasonClaimed, s.conflictDetail(held), fireflypath.RunUnknown)
 	case ctx.Err() != nil:
-		r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn)
+		r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn)
 		return refuse(fireflypath.ReasonWithdrawn, "the caller left while its key was claimed", fireflypath.RunNo)
 	default:
-		r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateExpired)
+		r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateExpired)
 		refusal := refuse(fireflypath.ReasonClaimUnavailable, err.Error(), fireflypath.RunNo)
 		refusal.RetryAfter = retryAfter
 		return refusal
--- a/internal/route/dispatch/dispatch.go
+++ b/internal/route/dispatch/dispatch.go
@@ -43,7 +43,7 @@
 		case err == nil:
 			return nil
 		case errors.Is(err, fireflypath.ErrUnsent):
-			if errors.Is(err, fireflypath.ErrUnreached) {
+			if errors.Is(err, fireflypath.ErrUnreachable) {
 				d.unreachable(r.Target.Name)
 			}
 			if err := r.Owner.Requeue(ctx, r); err != nil {
@@ -73,7 +73,7 @@
 }
 
 func (d *Dispatch) targetRefused(r *request.Request, err error) error {
-	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
+	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
 	r.Owner.Notify(r, fireflypath.EventRefused, -1)
 	if errors.Is(err, fireflypath.ErrDraining) {
 		d.leaving(r.Target.Name)
--- a/internal/route/dispatch/dispatch_test.go
+++ b/internal/route/dispatch/dispatch_test.go
@@ -40,7 +40,7 @@
 		err      error
 		reported []string
 	}{
-		{"target accepts no connection", fireflypath.ErrUnreached, []string{"e0"}},
+		{"target accepts no connection", fireflypath.ErrUnreachable, []string{"e0"}},
 		{"no file descriptor left", errors.New("too many open files"), nil},
 		{"caller left", context.Canceled, nil},
 	} {
--- a/internal/route/early/early.go
+++ b/internal/route/early/early.go
@@ -53,7 +53,7 @@
 	if !ok {
 		t = e.olderAllowedAt[k]
 	}
-	r.Work.Early = r.Work.Arrived.Before(t)
+	r.Work.RetriedEarly = r.Work.Arrived.Before(t)
 	return nil
 }
 
--- a/internal/route/early/early_test.go
+++ b/internal/route/early/early_test.go
@@ -25,11 +25,11 @@
 		return r
 	}
 	first := run("a", "x")
-	is.True(!first.Work.Early)
+	is.True(!first.Work.RetriedEarly)
 	e.RecordRefusal(first, &fireflypath.Refusal{RetryAfter: time.Second})
-	is.True(run("a", "x").Work.Early)
-	is.True(!run("a", "y").Work.Early)
-	is.True(!run("b", "x").Work.Early)
+	is.True(run("a", "x").Work.RetriedEarly)
+	is.True(!run("a", "y").Work.RetriedEarly)
+	is.True(!run("b", "x").Work.RetriedEarly)
 	clock.Advance(time.Second)
-	is.True(!run("a", "x").Work.Early)
+	is.True(!run("a", "x").Work.RetriedEarly)
 }
--- a/internal/route/poll/poll.go
+++ b/internal/route/poll/poll.go
@@ -162,7 +162,7 @@
 		switch e.Kind {
 		case fireflypath.EventLeaving:
 			p.deps.Evidence.ReportLeaving(t.Name, evidence.SourceTarget, e.Report.Measured)
-		case fireflypath.EventBack:
+		case fireflypath.EventStaying:
 			p.deps.Evidence.ReportStaying(t.Name, evidence.SourceTarget, e.Report.Measured)
 		default:
 			p.deps.Observe(e)
@@ -175,7 +175,7 @@
 // target, and its load would fall on the next one.
 func (p *Poller) reportReachability(target string, err error) {
 	switch {
-	case errors.Is(err, fireflypath.ErrUnreached):
+	case errors.Is(err, fireflypath.ErrUnreachable):
 		if p.deps.Unreachable != nil {
 			p.deps.Unreachable(target)
 		}
--- a/internal/route/pool/events.go
+++ b/internal/route/pool/events.go
@@ -78,13 +78,13 @@
 // peerScheduler is a scheduler that accounts for the work of all daemons at its
 // targets.
 type peerScheduler interface {
-	Report(m *fireflypath.Mate)
-	UpdatePeers(now time.Time, peers []fireflypath.Mate)
+	Report(m *fireflypath.PeerLoad)
+	UpdatePeers(now time.Time, peers []fireflypath.PeerLoad)
 }
 
 // Report adds this daemon's in-flight and waiting work to m, if the scheduler is
 // a peerScheduler.
-func (p *Pool) Report(m *fireflypath.Mate) {
+func (p *Pool) Report(m *fireflypath.PeerLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.scheduler.(peerScheduler); ok {
@@ -94,7 +94,7 @@
 
 // UpdatePeers applies the reported work of the other daemons, if the scheduler is
 // a peerScheduler.
-func (p *Pool) UpdatePeers(peers []fireflypath.Mate) {
+func (p *Pool) UpdatePeers(peers []fireflypath.PeerLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.scheduler.(peerScheduler); ok {
@@ -126,7 +126,7 @@
 	sheds := p.scheduler.Relieve(p.clock.Now(), rank, tokens, nil)
 	freed := 0
 	for _, s := range sheds {
-		if s.Work.Life.State() == fireflypath.StateWaiting {
+		if s.Work.Lifecycle.State() == fireflypath.StateWaiting {
 			freed += s.Work.Cost.Tokens()
 		}
 		p.refuse(s)
--- a/internal/route/pool/open.go
+++ b/internal/route/pool/open.go
@@ -37,7 +37,7 @@
 	w := &r.Work
 	return fireflypath.Record{
 		ID: w.ID, Team: w.Team, Tier: w.Tier, Pool: w.Pool, Arrived: w.Arrived, Deadline: w.Deadline,
-		Cost: w.Cost, Generation: r.Config.Generation, State: w.Life.State().String(),
+		Cost: w.Cost, Generation: r.Config.Generation, State: w.Lifecycle.State().String(),
 	}
 }
 
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -98,7 +98,7 @@
 func (p *Pool) Requeue(ctx context.Context, r *request.Request) error {
 	p.mu.Lock()
 	r.Draft.Unsent()
-	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWaiting)
+	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateWaiting)
 	p.waiting[&r.Work] = r
 	p.version.Add(1)
 	p.bytes.Add(int64(r.Work.Bytes))
@@ -151,7 +151,7 @@
 // returns nil if the request no longer waits and its Turn is about to be sent.
 // The lock must be held.
 func (p *Pool) withdraw(r *request.Request) error {
-	if !r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
+	if !r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
 		return nil
 	}
 	p.scheduler.Withdraw(p.clock.Now(), &r.Work)
@@ -196,7 +196,7 @@
 func (p *Pool) dispatch(now time.Time) {
 	w := p.placement.Work
 	r := p.waiting[w]
-	if r == nil || !w.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched) {
+	if r == nil || !w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched) {
 		p.scheduler.Observe(now, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: p.placement.Target, Work: w, Cached: -1})
 		return
 	}
@@ -275,7 +275,7 @@
 		state = fireflypath.StateExpired
 	}
 	r := p.waiting[s.Work]
-	if r == nil || !s.Work.Life.Move(fireflypath.StateWaiting, state) {
+	if r == nil || !s.Work.Lifecycle.Transition(fireflypath.StateWaiting, state) {
 		return
 	}
 	now := p.clock.Now()
@@ -300,10 +300,10 @@
 // usedFraction returns the fraction of a target's window that is in use. It is
 // infinite for a target that accepts no work, so that such targets sort last.
 func usedFraction(v *fireflypath.TargetView) float64 {
-	if v.State != "ready" || v.Window == 0 || v.Part == 0 {
+	if v.State != "ready" || v.Window == 0 || v.Share == 0 {
 		return math.Inf(1)
 	}
-	return float64(v.Held) / (float64(v.Window) * v.Part)
+	return float64(v.Held) / (float64(v.Window) * v.Share)
 }
 
 func (p *Pool) newRefusal(r *request.Request, s fireflypath.Shed) *fireflypath.Refusal {
--- a/internal/route/pool/refused_test.go
+++ b/internal/route/pool/refused_test.go
@@ -46,7 +46,7 @@
 				_, err := offer()
 				waits <- err
 			}()
-			for p.Demand().Requests == nil || p.Demand().Requests[0] == 0 {
+			for p.Demand().WaitingRequests == nil || p.Demand().WaitingRequests[0] == 0 {
 				runtime.Gosched()
 			}
 			b.ReportAllocs()
@@ -55,7 +55,7 @@
 				if err == nil {
 					b.Fatal("request was not refused by the full pool")
 				}
-				r.Draft.End(clock.Now(), r.Work.Life.State(), 0, nil)
+				r.Draft.End(clock.Now(), r.Work.Lifecycle.State(), 0, nil)
 			}
 			p.Close(fireflypath.Refusal{Code: fireflypath.ReasonStopping})
 			<-waits
--- a/internal/route/pool/relief.go
+++ b/internal/route/pool/relief.go
@@ -15,7 +15,7 @@
 // tiers. A request past its deadline gains nothing from freed capacity, so its peers
 // are asked again until they free none.
 func (p *Pool) requestRelief(s fireflypath.Shed) {
-	lowestRank := len(p.scheduler.Demand(p.clock.Now()).Requests) - 1
+	lowestRank := len(p.scheduler.Demand(p.clock.Now()).WaitingRequests) - 1
 	p.reliefRequests.Go(func() {
 		freed, err := p.reliefRound(s, lowestRank)
 		for range maxExtraRounds {
--- a/internal/route/pool/relief_test.go
+++ b/internal/route/pool/relief_test.go
@@ -77,7 +77,7 @@
 			is.Equal(errors.As(err, &refusal), tt.refused)
 			if tt.refused {
 				is.Equal(refusal.Run, fireflypath.RunNo)
-				is.Equal(r.Work.Life.State(), fireflypath.StateShed)
+				is.Equal(r.Work.Lifecycle.State(), fireflypath.StateShed)
 			} else {
 				is.Equal(r.Target.Name, "e")
 			}
--- a/internal/route/pool/tier_order_test.go
+++ b/internal/route/pool/tier_order_test.go
@@ -60,8 +60,8 @@
 			r.Work.Deadline = clock.Now().Add(time.Second)
 			wg.Go(func() {
 				is.True(p.Wait(t.Context(), r) != nil)
-				is.Equal(works[1].Life.State(), fireflypath.StateShed)
-				is.Equal(works[2].Life.State(), fireflypath.StateShed)
+				is.Equal(works[1].Lifecycle.State(), fireflypath.StateShed)
+				is.Equal(works[2].Lifecycle.State(), fireflypath.StateShed)
 			})
 		}
 		for len(p.OpenRequests(func(*fireflypath.Work) bool { return true }, nil)) < 3 && t.Context().Err() == nil {
@@ -69,7 +69,7 @@
 		}
 		clock.Advance(2 * time.Second)
 		wg.Wait()
-		is.Equal(works[0].Life.State(), fireflypath.StateExpired)
+		is.Equal(works[0].Lifecycle.State(), fireflypath.StateExpired)
 		if !alone {
 			is.Equal(recording.ranks, []int{1, 0, 1, 0})
 		}
--- a/internal/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -265,8 +265,8 @@
 }
 
 // Report returns this daemon's in-flight and waiting work in all pools.
-func (p *Pools) Report() fireflypath.Mate {
-	m := fireflypath.NewMate("")
+func (p *Pools) Report() fireflypath.PeerLoad {
+	m := fireflypath.NewPeerLoad("")
 	for _, n := range *p.byName.Load() {
 		n.Report(&m)
 	}
@@ -274,7 +274,7 @@
 }
 
 // UpdatePeers applies the reported in-flight and waiting work of the other daemons.
-func (p *Pools) UpdatePeers(peers []fireflypath.Mate) {
+func (p *Pools) UpdatePeers(peers []fireflypath.PeerLoad) {
 	for _, n := range *p.byName.Load() {
 		n.UpdatePeers(peers)
 	}
@@ -319,7 +319,7 @@
 		return true
 	}
 	s := v.(fireflypath.Share)
-	if part, named := s.Part[t.Name]; named {
+	if part, named := s.Fractions[t.Name]; named {
 		return part > 0
 	}
 	return s.Default > 0
@@ -330,7 +330,7 @@
 	p.Observe(fireflypath.Event{Kind: fireflypath.EventLeaving, Target: target, Cached: -1})
 }
 
-// TargetBack allows the dispatch of new requests to the target again.
-func (p *Pools) TargetBack(target string) {
-	p.Observe(fireflypath.Event{Kind: fireflypath.EventBack, Target: target, Cached: -1})
+// TargetStaying allows the dispatch of new requests to the target again.
+func (p *Pools) TargetStaying(target string) {
+	p.Observe(fireflypath.Event{Kind: fireflypath.EventStaying, Target: target, Cached: -1})
 }
--- a/internal/route/pools/pools_test.go
+++ b/internal/route/pools/pools_test.go
@@ -62,7 +62,7 @@
 	p.Apply(cfg)
 	p.Apply(newConfig(1, 1)) // a lower generation is ignored
 	c := offer(t, p, cfg, clock)
-	for p.Demands()[0].Requests[1] < 2 {
+	for p.Demands()[0].WaitingRequests[1] < 2 {
 		select {
 		case refusal := <-c:
 			t.Fatal(refusal)
--- a/internal/route/queue/queue.go
+++ b/internal/route/queue/queue.go
@@ -37,7 +37,7 @@
 		return &fireflypath.Refusal{Code: fireflypath.ReasonNoPool, Detail: "the pool was removed", Run: fireflypath.RunNo}
 	}
 	if !q.pools.ReserveBytes(&r.Work) {
-		r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateShed)
+		r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateShed)
 		return &fireflypath.Refusal{
 			Code: fireflypath.ReasonFull, Detail: "the waiting requests take up all memory allowed",
 			Run: fireflypath.RunNo, RetryAfter: retryAfter,
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -107,7 +107,7 @@
 
 func (l *Relay) complete(f *follower) {
 	r := f.request
-	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateAnswered)
+	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateAnswered)
 	r.Owner.Notify(r, fireflypath.EventDone, f.cachedTokens())
 	f.close()
 	l.ended(r, nil)
@@ -121,7 +121,7 @@
 		f.cancelTarget()
 		return l.withdraw(f)
 	}
-	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
+	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
 	r.Owner.Notify(r, fireflypath.EventFailed, f.cachedTokens())
 	f.close()
 	refusal := &fireflypath.Refusal{
@@ -155,7 +155,7 @@
 
 func (l *Relay) withdraw(f *follower) error {
 	r := f.request
-	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
+	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
 	r.Owner.Notify(r, fireflypath.EventFailed, f.cachedTokens())
 	refusal := &fireflypath.Refusal{
 		Code: fireflypath.ReasonWithdrawn, Tier: r.Work.Tier, Run: fireflypath.RunUnknown,
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -139,10 +139,10 @@
 		rt.deps.Log.Error("request panicked", zap.String("request", r.Work.ID), zap.Any("cause", cause), zap.Stack("stack"))
 	}
 	refusal := &fireflypath.Refusal{Code: fireflypath.ReasonTarget, Detail: "a fault of the daemon", Run: fireflypath.RunNo}
-	if !r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
+	if !r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
 		refusal.Run = rt.runState(r)
 	}
-	if r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed) {
+	if r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed) {
 		r.Owner.Notify(r, fireflypath.EventFailed, -1)
 	}
 	rt.refuse(r, "", refusal)
@@ -172,7 +172,7 @@
 	if !errors.As(err, &refusal) {
 		refusal = &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: step + ": " + err.Error(), Run: rt.runState(r)}
 	}
-	r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateRefused)
+	r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateRefused)
 	refusal.ID = r.Work.ID
 	refusal.Tier = r.Work.Tier
 	refusal.Generation = r.Config.Generation
@@ -182,7 +182,7 @@
 
 // runState reports whether the request may have run.
 func (rt *Route) runState(r *request.Request) fireflypath.Run {
-	switch r.Work.Life.State() {
+	switch r.Work.Lifecycle.State() {
 	case fireflypath.StateDispatched, fireflypath.StateAnswered, fireflypath.StateFailed:
 		return fireflypath.RunUnknown
 	default:
@@ -208,5 +208,5 @@
 	}
 	now := rt.deps.Clock.Now()
 	rt.deps.Meter.RecordEnd(now, r, refusal)
-	r.Draft.End(now, r.Work.Life.State(), r.Tokens, refusal)
+	r.Draft.End(now, r.Work.Lifecycle.State(), r.Tokens, refusal)
 }
--- a/internal/send/exchange.go
+++ b/internal/send/exchange.go
@@ -80,7 +80,7 @@
 		x.body = httputil.NewChunkedReader(x.reader)
 	default:
 		// A body that ends with the connection cannot be told from a cut one.
-		return errors.Wrap(fireflypath.ErrCut, "answer without a length")
+		return errors.Wrap(fireflypath.ErrTruncated, "answer without a length")
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 		return n, nil
 	}
 	if errors.Is(err, io.EOF) {
-		err = fireflypath.ErrCut
+		err = fireflypath.ErrTruncated
 	}
 	return n, err
 }
@@ -139,7 +139,7 @@
 
 func cut(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return fireflypath.ErrCut
+		return fireflypath.ErrTruncated
 	}
 	return err
 }
--- a/internal/send/report/report.go
+++ b/internal/send/report/report.go
@@ -61,7 +61,7 @@
 		// The target's clock is ahead; its reading is not newer than its arrival.
 		measured = now
 	}
-	kind := fireflypath.EventBack
+	kind := fireflypath.EventStaying
 	if l.Draining {
 		kind = fireflypath.EventLeaving
 	}
--- a/internal/send/sender.go
+++ b/internal/send/sender.go
@@ -94,7 +94,7 @@
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() ||
 		errors.IsAny(err, unix.ECONNREFUSED, unix.ECONNRESET, unix.EHOSTUNREACH, unix.ENETUNREACH) {
-		return errors.Mark(err, fireflypath.ErrUnreached)
+		return errors.Mark(err, fireflypath.ErrUnreachable)
 	}
 	return err
 }
--- a/internal/send/unreached_test.go
+++ b/internal/send/unreached_test.go
@@ -26,7 +26,7 @@
 	defer s.Close()
 	for _, fresh := range []bool{false, true} {
 		_, err = s.Send(t.Context(), addr, &fasthttp.Request{}, fresh)
-		is.True(errors.Is(err, fireflypath.ErrUnreached))
+		is.True(errors.Is(err, fireflypath.ErrUnreachable))
 		is.True(errors.Is(err, fireflypath.ErrUnsent))
 	}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -65,7 +65,7 @@
 	}
 	if string(x.Header.Peek(headerID)) != c.ID {
 		x.Close()
-		return nil, fireflypath.ErrCrossed
+		return nil, fireflypath.ErrRequestMismatch
 	}
 	if x.Header.StatusCode() == fasthttp.StatusServiceUnavailable {
 		return refused(x)
--- a/internal/sim/call.go
+++ b/internal/sim/call.go
@@ -32,11 +32,11 @@
 	c.tries++
 	c.work = fireflypath.Work{
 		ID: r.id + "-" + strconv.Itoa(c.number), Rank: r.rank, Pool: pool, Weight: 1, Arrived: now, Deadline: r.deadline(),
-		Goal: r.goal(), Cost: fireflypath.Cost{Prompt: r.prompt + r.made, Output: r.hint}, Output: max(r.hint-r.made, 1),
+		Goal: r.goal(), Cost: fireflypath.Cost{Prompt: r.prompt + r.made, Output: r.hint}, ExpectedOutput: max(r.hint-r.made, 1),
 		Gap: k.Gap.Std(), Idempotent: k.Repeat, Avoid: c.avoid,
 	}
 	if r.made == 0 {
-		c.work.Leaves = now.Add(k.Patience())
+		c.work.PatienceEnds = now.Add(k.Patience())
 	}
 	c.d.offer(c)
 }
@@ -91,7 +91,7 @@
 		return
 	}
 	c.target.Cancel(c.run)
-	c.tell(fireflypath.Event{Kind: fireflypath.EventFailed, Left: true, Tokens: c.events})
+	c.tell(fireflypath.Event{Kind: fireflypath.EventFailed, CallerLeft: true, Tokens: c.events})
 }
 
 // dispatched sends the request to an engine.
--- a/internal/sim/daemon.go
+++ b/internal/sim/daemon.go
@@ -25,8 +25,8 @@
 
 // teller is a scheduler that exchanges with those of other daemons.
 type teller interface {
-	Report(m *fireflypath.Mate)
-	UpdatePeers(now time.Time, mates []fireflypath.Mate)
+	Report(m *fireflypath.PeerLoad)
+	UpdatePeers(now time.Time, mates []fireflypath.PeerLoad)
 }
 
 // daemon owns one scheduler and carries its decisions out.
@@ -37,8 +37,8 @@
 	sched fireflypath.Scheduler
 	calls map[*fireflypath.Work]*call
 	// told is what it told last; heard is what others told, by name.
-	told  fireflypath.Mate
-	heard map[string]fireflypath.Mate
+	told  fireflypath.PeerLoad
+	heard map[string]fireflypath.PeerLoad
 	mates []*daemon
 	place fireflypath.Placement
 	wake  time.Time
@@ -69,8 +69,8 @@
 		d.client = &client{d: d, r: r, id: uint64(d.life) << 32}
 	}
 	d.calls = map[*fireflypath.Work]*call{}
-	d.heard = map[string]fireflypath.Mate{}
-	d.told = fireflypath.NewMate(d.name)
+	d.heard = map[string]fireflypath.PeerLoad{}
+	d.told = fireflypath.NewPeerLoad(d.name)
 	d.wake = time.Time{}
 	d.sched.SetTargets(d.w.loop.Now(), d.w.list())
 }
@@ -103,7 +103,7 @@
 	old := d.calls
 	d.begin()
 	for w, c := range old {
-		w.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn)
+		w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn)
 		c.broken()
 	}
 	for _, o := range d.w.daemons {
@@ -134,9 +134,9 @@
 		mine, mates := l.AssignedTargets(d.name, targets)
 		share := fireflypath.Share{Default: 1}
 		if l.CellCount() > 1 {
-			share = fireflypath.Share{Part: map[string]float64{}, Mixed: len(mates) > len(l.Members(d.name))}
+			share = fireflypath.Share{Fractions: map[string]float64{}, UnknownSenders: len(mates) > len(l.Members(d.name))}
 			for _, t := range mine {
-				share.Part[t] = 1
+				share.Fractions[t] = 1
 			}
 		}
 		d.mates = d.mates[:0]
@@ -174,7 +174,7 @@
 	if !ok {
 		return
 	}
-	m := fireflypath.NewMate(d.name)
+	m := fireflypath.NewPeerLoad(d.name)
 	t.Report(&m)
 	if !same(&m, &d.told) {
 		d.told = m
@@ -182,7 +182,7 @@
 			d.w.loop.After(flushLag+d.w.o.Fleet.Hop.Std(), func() { o.heard[d.name] = m })
 		}
 	}
-	mates := make([]fireflypath.Mate, 0, len(d.heard))
+	mates := make([]fireflypath.PeerLoad, 0, len(d.heard))
 	for _, o := range d.mates {
 		if m, ok := d.heardOf(o); ok {
 			mates = append(mates, m)
@@ -196,13 +196,13 @@
 	d.pump()
 }
 
-func (d *daemon) heardOf(o *daemon) (fireflypath.Mate, bool) {
+func (d *daemon) heardOf(o *daemon) (fireflypath.PeerLoad, bool) {
 	m, ok := d.heard[o.name]
 	return m, ok
 }
 
-func same(a, b *fireflypath.Mate) bool {
-	return maps.Equal(a.Flights, b.Flights) && maps.Equal(a.Prompts, b.Prompts) && maps.Equal(a.Waits, b.Waits)
+func same(a, b *fireflypath.PeerLoad) bool {
+	return maps.Equal(a.InFlight, b.InFlight) && maps.Equal(a.PendingPrompts, b.PendingPrompts) && maps.Equal(a.WaitingRanks, b.WaitingRanks)
 }
 
 // offer takes a request in.
@@ -215,7 +215,7 @@
 func (d *daemon) shed(sheds []fireflypath.Shed) {
 	for _, s := range sheds {
 		c := d.calls[s.Work]
-		if c == nil || !s.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateShed) {
+		if c == nil || !s.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateShed) {
 			continue
 		}
 		d.sched.Withdraw(d.w.loop.Now(), s.Work)
@@ -233,7 +233,7 @@
 	for d.sched.Next(now, &d.place) {
 		w := d.place.Work
 		c := d.calls[w]
-		if c == nil || !w.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched) {
+		if c == nil || !w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched) {
 			d.sched.Observe(now, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: d.place.Target, Work: w, Cached: -1})
 			continue
 		}
@@ -263,7 +263,7 @@
 
 // withdraw takes a request out whose caller left.
 func (d *daemon) withdraw(c *call) {
-	if !c.work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
+	if !c.work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
 		return
 	}
 	d.sched.Withdraw(d.w.loop.Now(), &c.work)
--- a/internal/sim/dispatch.go
+++ b/internal/sim/dispatch.go
@@ -126,7 +126,7 @@
 	return c.d.w.o.Fleet.Hop.Std() + process
 }
 
-func (c *client) deliver(turns []fireflypath.Turn) {
+func (c *client) deliver(turns []fireflypath.Decision) {
 	c.d.shed(c.r.ApplyDecisions(c.d.w.loop.Now(), turns, nil))
 	c.d.pump()
 }
--- a/internal/soak/target.go
+++ b/internal/soak/target.go
@@ -100,7 +100,7 @@
 	id := r.Header.Get(t.names.ID)
 	h.Set(t.names.ID, id)
 	if want := r.Header.Get(t.names.Target); want != t.name {
-		h.Set(t.names.Self, t.name)
+		h.Set(t.names.Instance, t.name)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
--- a/internal/testkit/fifo/fifo.go
+++ b/internal/testkit/fifo/fifo.go
@@ -54,7 +54,7 @@
 
 // Next sends the oldest work to the target with the least in flight.
 func (f *FIFO) Next(now time.Time, p *fireflypath.Placement) bool {
-	for len(f.waiting) > 0 && f.waiting[0].Life.State() != fireflypath.StateWaiting {
+	for len(f.waiting) > 0 && f.waiting[0].Lifecycle.State() != fireflypath.StateWaiting {
 		f.waiting = f.waiting[1:]
 	}
 	best := -1
@@ -119,12 +119,12 @@
 	switch e.Kind {
 	case fireflypath.EventUnsent:
 		f.release(e.Work)
-		if e.Work.Life.State() == fireflypath.StateWaiting {
+		if e.Work.Lifecycle.State() == fireflypath.StateWaiting {
 			f.waiting = slices.Insert(f.waiting, 0, e.Work)
 		}
 	case fireflypath.EventDone, fireflypath.EventFailed, fireflypath.EventRefused:
 		f.release(e.Work)
-	case fireflypath.EventLeaving, fireflypath.EventBack:
+	case fireflypath.EventLeaving, fireflypath.EventStaying:
 		if t := f.find(e.Target); t != nil {
 			t.leaving = e.Kind == fireflypath.EventLeaving
 		}
@@ -172,7 +172,7 @@
 	d := fireflypath.Demand{Pool: f.pool.Name}
 	for _, w := range f.waiting {
 		d.Waiting = add(d.Waiting, w.Rank, w.Cost.Tokens())
-		d.Requests = add(d.Requests, w.Rank, 1)
+		d.WaitingRequests = add(d.WaitingRequests, w.Rank, 1)
 	}
 	for w := range f.inflight {
 		d.Running = add(d.Running, w.Rank, w.Cost.Tokens())
@@ -207,7 +207,7 @@
 // Views lists the targets.
 func (f *FIFO) Views(now time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
 	for _, t := range f.targets {
-		v := fireflypath.TargetView{Target: t.Name, Pool: t.Pool, State: "ready", Requests: t.held, Part: 1}
+		v := fireflypath.TargetView{Target: t.Name, Pool: t.Pool, State: "ready", Requests: t.held, Share: 1}
 		if t.leaving {
 			v.State = "leaving"
 		}
--- a/internal/testkit/ledger.go
+++ b/internal/testkit/ledger.go
@@ -83,7 +83,7 @@
 	}
 	old := l.current.Load()
 	if c.Base != 0 && c.Base != old.Generation {
-		done.Lost = l.winner(c.Base)
+		done.ConflictingID = l.winner(c.Base)
 		return done, errors.Wrap(fireflypath.ErrConflict, "another change was committed first")
 	}
 	next, err := c.Apply(old)
@@ -91,7 +91,7 @@
 		return done, errors.Wrap(err, "change is refused")
 	}
 	l.lines = append(l.lines, fireflypath.AuditLine{
-		ID: c.ID, At: l.Now(), Who: c.Who, Words: c.Words,
+		ID: c.ID, At: l.Now(), Operator: c.Operator, Command: c.Command,
 		From: old.Generation, To: next.Generation, Result: "done",
 	})
 	l.current.Store(next)
@@ -104,8 +104,8 @@
 	return done, nil
 }
 
-// Settle implements fireflypath.Committer.
-func (l *Ledger) Settle(_ context.Context, id string) (fireflypath.Commit, error) {
+// FindCommit implements fireflypath.Committer.
+func (l *Ledger) FindCommit(_ context.Context, id string) (fireflypath.Commit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	done := fireflypath.Commit{ID: id}
@@ -129,8 +129,8 @@
 	return out[:min(n, len(out))], l.fault()
 }
 
-// Note implements fireflypath.Committer.
-func (l *Ledger) Note(_ context.Context, line fireflypath.AuditLine) error {
+// AppendAudit implements fireflypath.Committer.
+func (l *Ledger) AppendAudit(_ context.Context, line fireflypath.AuditLine) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err := l.fault(); err != nil {
--- a/internal/testkit/mapstore.go
+++ b/internal/testkit/mapstore.go
@@ -168,7 +168,7 @@
 		return 0, fireflypath.ErrConflict
 	}
 	if _, held := s.leases[id]; id != 0 && !held {
-		return 0, fireflypath.ErrLapsed
+		return 0, fireflypath.ErrLeaseExpired
 	}
 	s.revision++
 	e = stored{lease: id, Entry: fireflypath.Entry{Key: key, Revision: s.revision}}
@@ -274,7 +274,7 @@
 	defer s.mu.Unlock()
 	l, ok := s.leases[id]
 	if !ok {
-		return fireflypath.ErrLapsed
+		return fireflypath.ErrLeaseExpired
 	}
 	l.until = s.clock.Now().Add(l.ttl)
 	s.leases[id] = l
--- a/internal/trial/baseline.go
+++ b/internal/trial/baseline.go
@@ -108,10 +108,10 @@
 func (b *baseline) SetShare(time.Time, fireflypath.Share) {}
 
 func (b *baseline) Demand(time.Time) fireflypath.Demand {
-	d := fireflypath.Demand{Waiting: make([]int, 3), Running: make([]int, 3), Requests: make([]int, 3)}
+	d := fireflypath.Demand{Waiting: make([]int, 3), Running: make([]int, 3), WaitingRequests: make([]int, 3)}
 	for _, w := range b.queue {
 		d.Waiting[w.Rank] += w.Cost.Tokens()
-		d.Requests[w.Rank]++
+		d.WaitingRequests[w.Rank]++
 	}
 	return d
 }
--- a/internal/trial/cancel.go
+++ b/internal/trial/cancel.go
@@ -65,7 +65,7 @@
 }
 
 func (d *daemon) lost(f flight) {
-	f.job.work.Life.Move(fireflypath.StateDispatched, fireflypath.StateFailed)
+	f.job.work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
 	d.fleet.tally.cut(f.request)
 	d.observe(fireflypath.Event{Kind: fireflypath.EventFailed, Target: f.engine.name, Work: f.job.work})
 }
--- a/internal/trial/daemon.go
+++ b/internal/trial/daemon.go
@@ -55,7 +55,7 @@
 // line is the daemon's demand as it tells it to the others.
 func (d *daemon) line() share.Demand {
 	m := d.sched.Demand(d.now())
-	return share.Demand{Name: strconv.Itoa(d.number), Slots: m.Slots, Running: m.Busy, Waiting: m.Requests}
+	return share.Demand{Name: strconv.Itoa(d.number), Slots: m.Slots, Running: m.RunningRequests, Waiting: m.WaitingRequests}
 }
 
 // apply puts the part of the windows in force that may be used now, and again
@@ -89,7 +89,7 @@
 	d.handle(d.sched.Expire(d.now(), nil))
 	for d.sched.Next(d.now(), &d.place) {
 		w := d.place.Work
-		if w.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched) {
+		if w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched) {
 			d.dispatch(w, d.place.Target)
 		}
 	}
@@ -127,7 +127,7 @@
 	j.done = func() {
 		d.fleet.loop.after(hop, func() {
 			d.land(j)
-			w.Life.Move(fireflypath.StateDispatched, fireflypath.StateAnswered)
+			w.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateAnswered)
 			d.fleet.tally.answered(r, d.now())
 			d.observe(fireflypath.Event{
 				Kind: fireflypath.EventDone, Target: target, Work: w, Sent: sent, Tokens: r.output, Cached: -1,
@@ -186,7 +186,7 @@
 	if s.Reason == fireflypath.ReasonDeadline {
 		to = fireflypath.StateExpired
 	}
-	if !s.Work.Life.Move(fireflypath.StateWaiting, to) {
+	if !s.Work.Lifecycle.Transition(fireflypath.StateWaiting, to) {
 		return
 	}
 	d.sched.Withdraw(d.now(), s.Work)
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -166,7 +166,7 @@
 	w := &fireflypath.Work{
 		ID: fmt.Sprintf("d%d.%08d", d.number, f.seq), Team: a.Team, Weight: max(f.weights[a.Team], 1),
 		Rank: a.Rank, Tier: a.Tier, Pool: a.Pool, Arrived: f.loop.now, Deadline: r.deadline, Cost: a.Cost,
-		Prefix: r.prefix, Bytes: a.Cost.Prompt * mix.TokenBytes, Idempotent: a.Idempotent, Early: early,
+		Prefix: r.prefix, Bytes: a.Cost.Prompt * mix.TokenBytes, Idempotent: a.Idempotent, RetriedEarly: early,
 	}
 	d.offer(w, r)
 }
@@ -185,8 +185,8 @@
 func (f *fleet) inverted(rank int) bool {
 	for _, d := range f.daemons {
 		line := d.sched.Demand(f.loop.now)
-		for r := rank + 1; r < len(line.Requests); r++ {
-			if line.Requests[r] > 0 {
+		for r := rank + 1; r < len(line.WaitingRequests); r++ {
+			if line.WaitingRequests[r] > 0 {
 				return true
 			}
 		}
--- a/internal/usage/receive.go
+++ b/internal/usage/receive.go
@@ -31,11 +31,11 @@
 // activePeers returns the state of the named daemons that are live and not silent. Other
 // daemons have connections to this one too, hundreds of them if it watches the store.
 // They send nothing about the targets and are skipped before any per-target work.
-func (u *Usage) activePeers(now time.Time, live []fireflypath.Member, names []string) []fireflypath.Mate {
+func (u *Usage) activePeers(now time.Time, live []fireflypath.Member, names []string) []fireflypath.PeerLoad {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.pending, u.appliedAt = false, now
-	var out []fireflypath.Mate
+	var out []fireflypath.PeerLoad
 	for _, name := range names {
 		p := u.peerStates[name]
 		if p == nil || now.Sub(p.at) > peerTimeout {
@@ -44,9 +44,9 @@
 		if _, ok := fireflypath.FindMember(live, name); !ok {
 			continue
 		}
-		out = append(out, fireflypath.Mate{
-			Name: name, Flights: maps.Clone(p.inFlight), Prompts: maps.Clone(p.pendingPrompts),
-			Waits: maps.Clone(p.waitingRanks), Speeds: p.speeds, Apart: p.partialView,
+		out = append(out, fireflypath.PeerLoad{
+			Name: name, InFlight: maps.Clone(p.inFlight), PendingPrompts: maps.Clone(p.pendingPrompts),
+			WaitingRanks: maps.Clone(p.waitingRanks), Speeds: p.speeds, PartialView: p.partialView,
 		})
 		p.speeds = nil // each speed is applied once
 	}
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -55,9 +55,9 @@
 	// Version returns a number that differs whenever the result of Report may differ.
 	Version() uint64
 	// Report returns the in-flight and waiting work of this daemon.
-	Report() fireflypath.Mate
+	Report() fireflypath.PeerLoad
 	// UpdatePeers sets the in-flight and waiting work of the other daemons.
-	UpdatePeers([]fireflypath.Mate)
+	UpdatePeers([]fireflypath.PeerLoad)
 }
 
 // Limits holds the quotas.
@@ -186,9 +186,9 @@
 	defer u.mu.Unlock()
 	u.reports++
 	u.version = version
-	changed := !maps.Equal(r.Flights, u.inFlight) || !maps.Equal(r.Prompts, u.pendingPrompts) || !maps.Equal(r.Waits, u.waitingRanks) ||
-		r.Apart != u.partialView
-	u.inFlight, u.pendingPrompts, u.waitingRanks, u.speeds, u.partialView = r.Flights, r.Prompts, r.Waits, r.Speeds, r.Apart
+	changed := !maps.Equal(r.InFlight, u.inFlight) || !maps.Equal(r.PendingPrompts, u.pendingPrompts) || !maps.Equal(r.WaitingRanks, u.waitingRanks) ||
+		r.PartialView != u.partialView
+	u.inFlight, u.pendingPrompts, u.waitingRanks, u.speeds, u.partialView = r.InFlight, r.PendingPrompts, r.WaitingRanks, r.Speeds, r.PartialView
 	return changed
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -25,9 +25,9 @@
 	sink   peer.Sink
 	up     func(fireflypath.Member)
 
-	report    fireflypath.Mate
+	report    fireflypath.PeerLoad
 	used      map[string]float64
-	peers     []fireflypath.Mate
+	peers     []fireflypath.PeerLoad
 	remoteUse map[string]float64
 	fraction  float64
 	adopted   map[string]float64
@@ -49,8 +49,8 @@
 func (d *daemon) FlushTo([]string)                      { d.flushed++ }
 func (d *daemon) Live() []fireflypath.Member            { return d.live }
 func (d *daemon) Missing() int                          { return d.missing }
-func (d *daemon) Report() fireflypath.Mate              { d.reports++; return d.report }
-func (d *daemon) UpdatePeers(ms []fireflypath.Mate)     { d.peers = ms; d.updates++ }
+func (d *daemon) Report() fireflypath.PeerLoad          { d.reports++; return d.report }
+func (d *daemon) UpdatePeers(ms []fireflypath.PeerLoad) { d.peers = ms; d.updates++ }
 func (d *daemon) Used() map[string]float64              { return d.used }
 func (d *daemon) SetLargeFleet(int)                     {}
 func (d *daemon) Levels(time.Time) map[string]float64   { return map[string]float64{"red": 7} }
@@ -90,7 +90,7 @@
 	var out []*daemon
 	for i := range 2 {
 		d := &daemon{name: fmt.Sprint("d", i), live: live, used: map[string]float64{}, remoteUse: map[string]float64{}}
-		d.report = fireflypath.Mate{Flights: map[string]int{}, Waits: map[string]int{}}
+		d.report = fireflypath.PeerLoad{InFlight: map[string]int{}, WaitingRanks: map[string]int{}}
 		d.usage = usage.New(d.name, d, d, d, d, clock, tally.NoopScope)
 		out = append(out, d)
 	}
@@ -110,17 +110,17 @@
 	is := is.New(t)
 	ds, _ := pair()
 	a, b := ds[0], ds[1]
-	a.report.Flights = map[string]int{"t1": 3}
-	a.report.Waits = map[string]int{"p": 2}
+	a.report.InFlight = map[string]int{"t1": 3}
+	a.report.WaitingRanks = map[string]int{"p": 2}
 	exchange(a, b)
-	is.Equal(b.peers[0].Flights, map[string]int{"t1": 3})
-	is.Equal(b.peers[0].Waits, map[string]int{"p": 2})
-	a.report.Flights = map[string]int{"t2": 1}
-	a.report.Waits = map[string]int{}
+	is.Equal(b.peers[0].InFlight, map[string]int{"t1": 3})
+	is.Equal(b.peers[0].WaitingRanks, map[string]int{"p": 2})
+	a.report.InFlight = map[string]int{"t2": 1}
+	a.report.WaitingRanks = map[string]int{}
 	exchange(a, b)
-	is.Equal(b.peers[0].Flights["t1"], 0)
-	is.Equal(b.peers[0].Flights["t2"], 1)
-	is.Equal(len(b.peers[0].Waits), 0)
+	is.Equal(b.peers[0].InFlight["t1"], 0)
+	is.Equal(b.peers[0].InFlight["t2"], 1)
+	is.Equal(len(b.peers[0].WaitingRanks), 0)
 }
 
 // A daemon dies without notice. If its in-flight work still counted, the slots it used
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	ds, clock := pair()
 	a, b := ds[0], ds[1]
-	a.report.Flights = map[string]int{"t1": 3}
+	a.report.InFlight = map[string]int{"t1": 3}
 	exchange(a, b)
 	is.Equal(len(b.peers), 1)
 	is.Equal(b.fraction, 1.0)
@@ -175,15 +175,15 @@
 	is := is.New(t)
 	ds, _ := pair()
 	a, b := ds[0], ds[1]
-	a.report.Flights = map[string]int{"t1": 3}
+	a.report.InFlight = map[string]int{"t1": 3}
 	a.usage.Step()
 	var old peer.Heartbeat
 	a.source("d1", &old)
-	a.report.Flights = map[string]int{"t1": 1}
+	a.report.InFlight = map[string]int{"t1": 1}
 	exchange(a, b)
 	b.sink("d0", &old)
 	b.usage.Step()
-	is.Equal(b.peers[0].Flights["t1"], 1)
+	is.Equal(b.peers[0].InFlight["t1"], 1)
 }
 
 // Hundreds of daemons are connected to one that watches the store for them, but send work
@@ -226,12 +226,12 @@
 	is.Equal(a.updates, updates)
 	is.Equal(a.flushed, flushed)
 	a.idle = false
-	a.report.Flights = map[string]int{"t1": 1}
+	a.report.InFlight = map[string]int{"t1": 1}
 	a.usage.Step()
 	is.Equal(a.flushed, flushed+1)
-	b.report.Flights = map[string]int{"t1": 1}
+	b.report.InFlight = map[string]int{"t1": 1}
 	exchange(b, a)
-	is.Equal(a.peers[0].Flights["t1"], 1)
+	is.Equal(a.peers[0].InFlight["t1"], 1)
 }
 
 func BenchmarkStep(b *testing.B) {
--- a/life_test.go
+++ b/life_test.go
@@ -15,7 +15,7 @@
 func TestLifeMoveHasOneWinner(t *testing.T) {
 	is := is.New(t)
 	for range 200 {
-		var l fireflypath.Life
+		var l fireflypath.Lifecycle
 		var won atomic.Int32
 		var wg sync.WaitGroup
 		for _, to := range []fireflypath.State{
@@ -23,7 +23,7 @@
 			fireflypath.StateExpired, fireflypath.StateWithdrawn,
 		} {
 			wg.Go(func() {
-				if l.Move(fireflypath.StateWaiting, to) {
+				if l.Transition(fireflypath.StateWaiting, to) {
 					won.Add(1)
 				}
 			})
--- a/request.go
+++ b/request.go
@@ -39,26 +39,26 @@
 	return names[s]
 }
 
-// Life holds the state of one request and lets exactly one caller take it out
+// Lifecycle holds the state of one request and lets exactly one caller take it out
 // of each state.
 //
 // A request can be refused by the scheduler, abandoned by its caller and sent
 // to a target at the same instant. If two of them acted, a caller would read
 // "not run" for a request that ran. Whoever wins the compare-and-swap acts;
 // the others learn that they lost.
-type Life struct {
-	word atomic.Uint32
+type Lifecycle struct {
+	state atomic.Uint32
 }
 
 // State reads the current state.
-func (l *Life) State() State {
-	return State(l.word.Load())
+func (l *Lifecycle) State() State {
+	return State(l.state.Load())
 }
 
-// Move changes the state from one value to another and reports whether this
+// Transition changes the state from one value to another and reports whether this
 // call was the one that did.
-func (l *Life) Move(from, to State) bool {
-	return l.word.CompareAndSwap(uint32(from), uint32(to))
+func (l *Lifecycle) Transition(from, to State) bool {
+	return l.state.CompareAndSwap(uint32(from), uint32(to))
 }
 
 // Cost is the estimated work of a request.
@@ -105,17 +105,17 @@
 	Idempotent bool
 	// Goal is when the answer should have begun; zero if nobody said.
 	Goal time.Time
-	// Leaves is when the caller goes if the answer has not begun; zero is at the
+	// PatienceEnds is when the caller goes if the answer has not begun; zero is at the
 	// deadline.
-	Leaves time.Time
+	PatienceEnds time.Time
 	// Gap is the longest pause between events that the caller bears; 0 is any.
 	Gap time.Duration
-	// Output is the expected number of output tokens; 0 if nobody said.
-	Output int
+	// ExpectedOutput is the expected number of output tokens; 0 if nobody said.
+	ExpectedOutput int
 	// Avoid names targets that have had the request.
 	Avoid []string
-	// Early is true when the caller came back before the time its last refusal gave.
-	Early bool
-	// Life is the state that the route and the scheduler contend for.
-	Life Life
+	// RetriedEarly is true when the caller came back before the time its last refusal gave.
+	RetriedEarly bool
+	// Lifecycle is the state that the route and the scheduler contend for.
+	Lifecycle Lifecycle
 }
--- a/routing.go
+++ b/routing.go
@@ -102,8 +102,8 @@
 	Team string
 	// Target names the target that is meant; another one does not run the request.
 	Target string
-	// Self is a target's own name in its answers.
-	Self string
+	// Instance is a target's own name in its answers.
+	Instance string
 	// NotRun marks an answer of a target that did not run the request.
 	NotRun string
 	// Signature marks an answer that a target made.
@@ -112,12 +112,12 @@
 	Load string
 	// Tokens is the number of prompt tokens and of the most output tokens.
 	Tokens string
-	// Hint is the caller's estimate of the output tokens.
-	Hint string
+	// OutputHint is the caller's estimate of the output tokens.
+	OutputHint string
 	// Event is the id of the last event that the caller has.
 	Event string
-	// Owned are headers that only daemons set; those of callers are dropped.
-	Owned []string
+	// DaemonOnly are headers that only daemons set; those of callers are dropped.
+	DaemonOnly []string
 }
 
 // Load is a target's load as it says in an answer.
--- a/scheduler.go
+++ b/scheduler.go
@@ -69,11 +69,11 @@
 	Waited time.Duration
 	// Ahead is how much waiting work stood before this when it arrived, in requests.
 	Ahead int
-	// Line is the prompt in tokens that the target had to read before the work's
+	// PromptAhead is the prompt in tokens that the target had to read before the work's
 	// own; First is when the answer was expected to begin, from the dispatch on.
 	// Both are 0 where they are not known.
-	Line  int
-	First time.Duration
+	PromptAhead int
+	TimeToFirst time.Duration
 	// Considered holds the targets weighed, the chosen one among them.
 	Considered []Candidate
 }
@@ -117,8 +117,8 @@
 	EventCache
 	// EventLeaving is first-hand evidence that a target takes no more work.
 	EventLeaving
-	// EventBack takes EventLeaving back.
-	EventBack
+	// EventStaying takes EventLeaving back.
+	EventStaying
 )
 
 // Event is something that happened at a target. Fields not named by the kind's
@@ -137,9 +137,9 @@
 	Tokens int
 	// Cached is the number of prompt tokens that the target found cached, or -1.
 	Cached int
-	// Left is true for an EventFailed that tells nothing of the target: the
+	// CallerLeft is true for an EventFailed that tells nothing of the target: the
 	// caller left.
-	Left bool
+	CallerLeft bool
 	// Report is set for EventReport.
 	Report Report
 	// Blocks are the cumulative hashes stored (or dropped, if Dropped), for EventCache.
@@ -163,14 +163,14 @@
 
 // Share is one daemon's part of the windows of a pool's targets.
 type Share struct {
-	// Part maps a target's name to a fraction between 0 and 1; a target not
+	// Fractions maps a target's name to a fraction between 0 and 1; a target not
 	// named takes Default.
-	Part map[string]float64
+	Fractions map[string]float64
 	// Default is the fraction for other targets: 1 for a daemon alone.
 	Default float64
-	// Mixed is true if daemons that this one does not hear send work to the targets
+	// UnknownSenders is true if daemons that this one does not hear send work to the targets
 	// too, so that only the targets themselves know how busy they are.
-	Mixed bool
+	UnknownSenders bool
 }
 
 // Demand is a daemon's line about one pool in the summaries that daemons exchange.
@@ -179,9 +179,9 @@
 	// Waiting and Running are estimated tokens by rank.
 	Waiting []int `json:"waiting"`
 	Running []int `json:"running"`
-	// Requests is the number of waiting requests by rank, Busy that of running ones.
-	Requests []int `json:"requests"`
-	Busy     []int `json:"busy,omitempty"`
+	// WaitingRequests is the number of waiting requests by rank, Busy that of running ones.
+	WaitingRequests []int `json:"requests"`
+	RunningRequests []int `json:"busy,omitempty"`
 	// Slots is the learned window of all the pool's targets in requests, not
 	// only this daemon's part; 0 if it is not known.
 	Slots int `json:"slots,omitempty"`
@@ -195,7 +195,7 @@
 	State string `json:"state"`
 	// Window is the learned window of the whole target in tokens; Part is this daemon's fraction.
 	Window int     `json:"window"`
-	Part   float64 `json:"part"`
+	Share  float64 `json:"part"`
 	// Held and Requests are this daemon's own in-flight work.
 	Held     int `json:"held"`
 	Requests int `json:"requests"`
@@ -206,30 +206,30 @@
 	Age time.Duration `json:"age"`
 }
 
-// Mate is what another daemon tells of its work.
-type Mate struct {
+// PeerLoad is what another daemon tells of its work.
+type PeerLoad struct {
 	Name string
-	// Flights counts its requests at each target. Targets are named by their
+	// InFlight counts its requests at each target. Targets are named by their
 	// identity here and below, so that nothing that was told of one life of a
 	// target counts for the next.
-	Flights map[string]int
-	// Prompts is how much prompt of these requests still waits there for its
+	InFlight map[string]int
+	// PendingPrompts is how much prompt of these requests still waits there for its
 	// prefill, in thousands of tokens; targets with little of it are left out.
-	Prompts map[string]int
-	// Waits is the highest rank that waits there, by pool; a pool that is not in
+	PendingPrompts map[string]int
+	// WaitingRanks is the highest rank that waits there, by pool; a pool that is not in
 	// it has nothing waiting.
-	Waits map[string]int
+	WaitingRanks map[string]int
 	// Speeds is what it learned of targets.
 	Speeds map[string]Speed
-	// Apart is true if it places work without knowing all that others place: its own, or
+	// PartialView is true if it places work without knowing all that others place: its own, or
 	// that of a part of its group.
-	Apart bool
+	PartialView bool
 }
 
-// NewMate returns a Mate that has told nothing yet.
-func NewMate(name string) Mate {
-	return Mate{
-		Name: name, Flights: map[string]int{}, Prompts: map[string]int{}, Waits: map[string]int{},
+// NewPeerLoad returns a Mate that has told nothing yet.
+func NewPeerLoad(name string) PeerLoad {
+	return PeerLoad{
+		Name: name, InFlight: map[string]int{}, PendingPrompts: map[string]int{}, WaitingRanks: map[string]int{},
 		Speeds: map[string]Speed{},
 	}
 }
--- a/store.go
+++ b/store.go
@@ -21,8 +21,8 @@
 	ErrUnknown = errors.New("outcome of the write is unknown")
 	// ErrCompacted means that the history asked for is no longer kept.
 	ErrCompacted = errors.New("history of the store is gone")
-	// ErrLapsed means that a lease is no longer held.
-	ErrLapsed = errors.New("lease has lapsed")
+	// ErrLeaseExpired means that a lease is no longer held.
+	ErrLeaseExpired = errors.New("lease has lapsed")
 )
 
 // MaxValue is the largest value the platform's service takes, in bytes (brief,
@@ -61,7 +61,7 @@
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Entry, error)
 	// Grant makes a lease; keys written under it vanish when it lapses.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew extends a lease, or ErrLapsed.
+	// Renew extends a lease, or ErrLeaseExpired.
 	Renew(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and removes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
@@ -107,9 +107,9 @@
 	Follow(ctx context.Context, prefix string, after uint64, wait time.Duration) (Listing, error)
 }
 
-// Arrivals is a Feed that tells of answers while they arrive.
-type Arrivals interface {
-	// Arriving is true if bytes of an answer to Snapshot or Follow came within the
+// ReceiveMonitor is a Feed that tells of answers while they arrive.
+type ReceiveMonitor interface {
+	// ReceivedWithin is true if bytes of an answer to Snapshot or Follow came within the
 	// given time.
-	Arriving(within time.Duration) bool
+	ReceivedWithin(within time.Duration) bool
 }
--- a/target.go
+++ b/target.go
@@ -11,18 +11,18 @@
 var (
 	// ErrUnsent means that no byte of the request left this host.
 	ErrUnsent = errors.New("request was not sent")
-	// ErrUnreached means that the target took no connection; ErrUnsent marks
+	// ErrUnreachable means that the target took no connection; ErrUnsent marks
 	// the same error. Want of descriptors or ports on this host is not meant:
 	// it would make all targets look dead to a daemon under load.
-	ErrUnreached = errors.New("target takes no connection")
+	ErrUnreachable = errors.New("target takes no connection")
 	// ErrNotRun means that the target said that it did not run the request.
 	ErrNotRun = errors.New("target did not run the request")
 	// ErrDraining means that the target said so because it is leaving; it wraps ErrNotRun.
 	ErrDraining = errors.Wrap(ErrNotRun, "target is leaving")
-	// ErrCrossed means that an answer carried another request's id.
-	ErrCrossed = errors.New("answer belongs to another request")
-	// ErrCut means that an answer ended before its end mark.
-	ErrCut = errors.New("answer was cut short")
+	// ErrRequestMismatch means that an answer carried another request's id.
+	ErrRequestMismatch = errors.New("answer belongs to another request")
+	// ErrTruncated means that an answer ended before its end mark.
+	ErrTruncated = errors.New("answer was cut short")
 	// ErrGone means that a target no longer knows the request to resume.
 	ErrGone = errors.New("target does not hold the answer")
 )
