--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -182,7 +182,7 @@
 			ID: id, Rank: 1, Pool: "p", Weight: 1, Arrived: now, Deadline: now.Add(10 * time.Second),
 			Goal: now.Add(time.Second), PatienceEnds: now.Add(4 * time.Second), Cost: fireflypath.Cost{Prompt: 100, Output: 10},
 		},
-		Config: &fireflypath.Config{}, Turn: make(chan request.Turn, 1),
+		Config: &fireflypath.Config{}, WaitResult: make(chan request.WaitResult, 1),
 	}
 	r.Owner = d.pool
 	if err := d.pool.Wait(context.Background(), r); err != nil {
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -140,7 +140,7 @@
 			Gap: c.route.Gap.Std(), ExpectedOutput: c.expectedOutput,
 			Idempotent: c.route.Repeat == fireflypath.RepeatSafe,
 		},
-		Config: c.cfg, Turn: make(chan request.Turn, 1),
+		Config: c.cfg, WaitResult: make(chan request.WaitResult, 1),
 	}
 	if c.team != nil {
 		att.Work.Team = c.team.Name
--- a/internal/route/pool/open_test.go
+++ b/internal/route/pool/open_test.go
@@ -22,7 +22,7 @@
 	clock := clockwork.NewFakeClock()
 	p := pool.New("chat", clock, sched.New(sched.Config{Pool: fireflypath.Pool{Name: "chat"}}), nil)
 	all := func(*fireflypath.Work) bool { return true }
-	r := &request.Request{Config: &fireflypath.Config{Generation: 3}, Turn: make(chan request.Turn, 1)}
+	r := &request.Request{Config: &fireflypath.Config{Generation: 3}, WaitResult: make(chan request.WaitResult, 1)}
 	r.Work.ID, r.Work.Pool, r.Work.Arrived = "d1.X", "chat", clock.Now()
 	r.Work.Deadline = clock.Now().Add(time.Minute)
 	r.Work.Cost.Prompt = 10
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -90,7 +90,7 @@
 // ReasonWithdrawn if the context ended first.
 func (p *Pool) Wait(ctx context.Context, r *request.Request) error {
 	p.offer(r)
-	return p.awaitTurn(ctx, r)
+	return p.awaitResult(ctx, r)
 }
 
 // Requeue returns a request to the queue if its dispatch failed before any byte
@@ -114,7 +114,7 @@
 	p.refuseIfClosed(r)
 	p.dispatchReady()
 	p.mu.Unlock()
-	return p.awaitTurn(ctx, r)
+	return p.awaitResult(ctx, r)
 }
 
 func (p *Pool) offer(r *request.Request) {
@@ -132,10 +132,10 @@
 	p.dispatchReady()
 }
 
-func (p *Pool) awaitTurn(ctx context.Context, r *request.Request) error {
+func (p *Pool) awaitResult(ctx context.Context, r *request.Request) error {
 	select {
-	case t := <-r.Turn:
-		return p.applyTurn(r, t)
+	case t := <-r.WaitResult:
+		return p.applyResult(r, t)
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
@@ -144,7 +144,7 @@
 	if err != nil {
 		return err
 	}
-	return p.applyTurn(r, <-r.Turn)
+	return p.applyResult(r, <-r.WaitResult)
 }
 
 // withdraw removes the request from the queue and returns its refusal. It
@@ -169,7 +169,7 @@
 	p.bytes.Add(-int64(r.Work.Bytes))
 }
 
-func (p *Pool) applyTurn(r *request.Request, t request.Turn) error {
+func (p *Pool) applyResult(r *request.Request, t request.WaitResult) error {
 	if t.Refusal != nil {
 		return t.Refusal
 	}
@@ -204,7 +204,7 @@
 	r.Sent = now
 	p.running[w] = runningRequest{request: r, target: p.placement.Target}
 	r.Draft.Placed(now, &p.placement)
-	r.Turn <- request.Turn{Target: p.targets[p.placement.Target]}
+	r.WaitResult <- request.WaitResult{Target: p.targets[p.placement.Target]}
 }
 
 // scheduleWake resets the timer if the scheduler wants to be woken earlier than
@@ -284,7 +284,7 @@
 	if r.Draft != nil {
 		r.Draft.Refused(p.targetViews(now))
 	}
-	r.Turn <- request.Turn{Refusal: p.newRefusal(r, s)}
+	r.WaitResult <- request.WaitResult{Refusal: p.newRefusal(r, s)}
 }
 
 // targetViews returns the views of the least loaded targets, at most maxViewAge
--- a/internal/route/pool/refused_test.go
+++ b/internal/route/pool/refused_test.go
@@ -34,7 +34,7 @@
 				ring = record.New(0)
 			}
 			offer := func() (*request.Request, error) {
-				r := &request.Request{Config: &fireflypath.Config{}, Turn: make(chan request.Turn, 1)}
+				r := &request.Request{Config: &fireflypath.Config{}, WaitResult: make(chan request.WaitResult, 1)}
 				r.Work.ID, r.Work.Pool, r.Work.Arrived = "d1.X", "chat", clock.Now()
 				r.Work.Deadline = r.Work.Arrived.Add(time.Hour)
 				r.Work.Cost.Prompt = 10
--- a/internal/route/pool/relief_test.go
+++ b/internal/route/pool/relief_test.go
@@ -62,7 +62,7 @@
 			answers := make(scriptedRelief)
 			p := pool.New("chat", clock, fullScheduler{fifo.New(fireflypath.Pool{Name: "chat"})}, answers)
 			defer p.Close(fireflypath.Refusal{Code: fireflypath.ReasonStopping})
-			r := &request.Request{Config: &fireflypath.Config{}, Turn: make(chan request.Turn, 1)}
+			r := &request.Request{Config: &fireflypath.Config{}, WaitResult: make(chan request.WaitResult, 1)}
 			r.Work.Deadline = clock.Now().Add(time.Minute)
 			done := make(chan error, 1)
 			go func() { done <- p.Wait(t.Context(), r) }()
--- a/internal/route/pool/tier_order_test.go
+++ b/internal/route/pool/tier_order_test.go
@@ -49,7 +49,7 @@
 		var works [3]*fireflypath.Work
 		var wg sync.WaitGroup
 		for _, rank := range []int{2, 1, 0} {
-			r := &request.Request{Config: &fireflypath.Config{}, Turn: make(chan request.Turn, 1)}
+			r := &request.Request{Config: &fireflypath.Config{}, WaitResult: make(chan request.WaitResult, 1)}
 			r.Work.ID, r.Work.Pool, r.Work.Rank, r.Work.Arrived = "d1", "chat", rank, clock.Now()
 			r.Work.Deadline = clock.Now().Add(time.Hour)
 			works[rank] = &r.Work
--- a/internal/route/pools/pools_test.go
+++ b/internal/route/pools/pools_test.go
@@ -18,7 +18,7 @@
 // offer queues a request in a pool without targets and returns a channel with the
 // refusal that ends its wait.
 func offer(t *testing.T, p *pools.Pools, cfg *fireflypath.Config, clock clockwork.Clock) <-chan *fireflypath.Refusal {
-	r := &request.Request{Config: cfg, Turn: make(chan request.Turn, 1)}
+	r := &request.Request{Config: cfg, WaitResult: make(chan request.WaitResult, 1)}
 	r.Work.Rank, r.Work.Pool, r.Work.Cost.Prompt = 1, "chat", 10
 	r.Work.Arrived, r.Work.Deadline = clock.Now(), clock.Now().Add(time.Minute)
 	done := make(chan *fireflypath.Refusal, 1)
--- a/internal/route/request/request.go
+++ b/internal/route/request/request.go
@@ -12,8 +12,8 @@
 	"github.com/fireflypath/fireflypath/internal/route/catalog"
 )
 
-// Turn ends the wait of a queued request, with a target or with a refusal.
-type Turn struct {
+// WaitResult ends the wait of a queued request, with a target or with a refusal.
+type WaitResult struct {
 	Target  fireflypath.Target
 	Refusal *fireflypath.Refusal
 }
@@ -49,8 +49,8 @@
 	Backend fireflypath.Backend
 	// Draft collects the request's record; nil if none is kept.
 	Draft *draft.Draft
-	// Turn receives the end of the wait; it is buffered for one value.
-	Turn chan Turn
+	// WaitResult receives the end of the wait; it is buffered for one value.
+	WaitResult chan WaitResult
 	// Target is the target of the last dispatch, Sent its time.
 	Target fireflypath.Target
 	Sent   time.Time
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -155,7 +155,7 @@
 		return
 	}
 	r.Work.ID = rt.NewID()
-	r.Turn = make(chan request.Turn, 1)
+	r.WaitResult = make(chan request.WaitResult, 1)
 	r.Config = rt.deps.Configs.Current()
 	r.Catalog = rt.catalogs.Get(r.Config)
 }
