--- a/internal/route/early/early.go
+++ b/internal/route/early/early.go
@@ -41,7 +41,7 @@
 	return "early"
 }
 
-// Run sets Work.Early.
+// Run sets Work.RetriedEarly.
 func (e *Early) Run(_ context.Context, r *request.Request) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/route/evidence/evidence.go
+++ b/internal/route/evidence/evidence.go
@@ -25,18 +25,18 @@
 // the latest report won, a target that announced that it drains would get new
 // requests again because of an outdated list.
 type Evidence struct {
-	onLeaving func(target, why string)
-	onBack    func(target string)
+	onLeaving func(target, reason string)
+	onStaying func(target string)
 
 	mu sync.Mutex
 	// reports holds when each source last reported that the target is leaving.
 	reports map[string]map[Source]time.Time
 }
 
-// New returns an Evidence that calls leaving and back at changes, while it holds
+// New returns an Evidence that calls leaving and staying at changes, while it holds
 // its lock.
-func New(leaving func(target, why string), back func(target string)) *Evidence {
-	return &Evidence{onLeaving: leaving, onBack: back, reports: map[string]map[Source]time.Time{}}
+func New(leaving func(target, reason string), staying func(target string)) *Evidence {
+	return &Evidence{onLeaving: leaving, onStaying: staying, reports: map[string]map[Source]time.Time{}}
 }
 
 // ReportLeaving records that the source reported the target as leaving at the time.
@@ -62,6 +62,6 @@
 	delete(e.reports[target], source)
 	if len(e.reports[target]) == 0 {
 		delete(e.reports, target)
-		e.onBack(target)
+		e.onStaying(target)
 	}
 }
--- a/internal/route/pool/events.go
+++ b/internal/route/pool/events.go
@@ -78,17 +78,17 @@
 // peerScheduler is a scheduler that accounts for the work of all daemons at its
 // targets.
 type peerScheduler interface {
-	Report(m *fireflypath.PeerLoad)
+	Report(load *fireflypath.PeerLoad)
 	UpdatePeers(now time.Time, peers []fireflypath.PeerLoad)
 }
 
-// Report adds this daemon's in-flight and waiting work to m, if the scheduler is
-// a peerScheduler.
-func (p *Pool) Report(m *fireflypath.PeerLoad) {
+// Report adds this daemon's in-flight and waiting work to load, if the scheduler
+// is a peerScheduler.
+func (p *Pool) Report(load *fireflypath.PeerLoad) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s, ok := p.scheduler.(peerScheduler); ok {
-		s.Report(m)
+		s.Report(load)
 	}
 }
 
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -31,7 +31,7 @@
 const maxRecordedTargets = 16
 
 // Pool guards its scheduler with one lock. Every state change of a waiting
-// request's Life is made while that lock is held.
+// request's Lifecycle is made while that lock is held.
 type Pool struct {
 	name   string
 	clock  clockwork.Clock
@@ -62,10 +62,10 @@
 }
 
 // New returns a pool without targets. A nil relief means that the daemon has no peers.
-func New(name string, clock clockwork.Clock, sched fireflypath.Scheduler, relief fireflypath.Relief) *Pool {
+func New(name string, clock clockwork.Clock, scheduler fireflypath.Scheduler, relief fireflypath.Relief) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
-		name: name, clock: clock, relief: relief, scheduler: sched, bytes: &atomic.Int64{},
+		name: name, clock: clock, relief: relief, scheduler: scheduler, bytes: &atomic.Int64{},
 		waiting: map[*fireflypath.Work]*request.Request{},
 		running: map[*fireflypath.Work]runningRequest{},
 		targets: map[string]fireflypath.Target{},
@@ -85,7 +85,7 @@
 	return p.ctx.Done()
 }
 
-// Wait queues the request and blocks until it has a target. Its Life is then in
+// Wait queues the request and blocks until it has a target. Its Lifecycle is then in
 // StateDispatched. Otherwise the error is the refusal that ended the wait, with
 // ReasonWithdrawn if the context ended first.
 func (p *Pool) Wait(ctx context.Context, r *request.Request) error {
@@ -134,8 +134,8 @@
 
 func (p *Pool) awaitResult(ctx context.Context, r *request.Request) error {
 	select {
-	case t := <-r.WaitResult:
-		return p.applyResult(r, t)
+	case result := <-r.WaitResult:
+		return p.applyResult(r, result)
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
@@ -148,7 +148,7 @@
 }
 
 // withdraw removes the request from the queue and returns its refusal. It
-// returns nil if the request no longer waits and its Turn is about to be sent.
+// returns nil if the request no longer waits and its WaitResult is about to be sent.
 // The lock must be held.
 func (p *Pool) withdraw(r *request.Request) error {
 	if !r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
@@ -169,11 +169,11 @@
 	p.bytes.Add(-int64(r.Work.Bytes))
 }
 
-func (p *Pool) applyResult(r *request.Request, t request.WaitResult) error {
-	if t.Refusal != nil {
-		return t.Refusal
+func (p *Pool) applyResult(r *request.Request, result request.WaitResult) error {
+	if result.Refusal != nil {
+		return result.Refusal
 	}
-	r.Target = t.Target
+	r.Target = result.Target
 	return nil
 }
 
--- a/internal/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -266,11 +266,11 @@
 
 // Report returns this daemon's in-flight and waiting work in all pools.
 func (p *Pools) Report() fireflypath.PeerLoad {
-	m := fireflypath.NewPeerLoad("")
+	load := fireflypath.NewPeerLoad("")
 	for _, n := range *p.byName.Load() {
-		n.Report(&m)
+		n.Report(&load)
 	}
-	return m
+	return load
 }
 
 // UpdatePeers applies the reported in-flight and waiting work of the other daemons.
