--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -224,8 +224,8 @@
 	}
 	// A stale view with new entries is useful, but it must not replace everything that
 	// this daemon knows: targets that have left would return.
-	nothingNew := after == 0 || response.Revision == after
-	if response.Revision < after || age > f.timing.maxViewAge && nothingNew {
+	unusable := after == 0 || response.Revision == after
+	if response.Revision < after || age > f.timing.maxViewAge && unusable {
 		return fireflypath.Listing{}, nil, errors.Wrapf(errStaleView, "%s: %v", w.Name, age)
 	}
 	f.relayed.Inc(1)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -109,26 +109,26 @@
 	name    string
 }
 
-func (p fakeEndpoint) Handle(method string, m peer.Handler) {
-	if p.network.methods[p.name] == nil {
-		p.network.methods[p.name] = map[string]peer.Handler{}
+func (e fakeEndpoint) Handle(method string, m peer.Handler) {
+	if e.network.methods[e.name] == nil {
+		e.network.methods[e.name] = map[string]peer.Handler{}
 	}
-	p.network.methods[p.name][method] = m
+	e.network.methods[e.name][method] = m
 }
 
-func (p fakeEndpoint) Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error {
+func (e fakeEndpoint) Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error {
 	timeout := time.Hour
 	if deadline, ok := ctx.Deadline(); ok {
 		timeout = time.Until(deadline)
 	}
-	if p.network.disconnected[to.Name] {
+	if e.network.disconnected[to.Name] {
 		return peer.ErrUnreachable
 	}
 	b, err := json.Marshal(params)
 	if err != nil {
 		return err
 	}
-	out, err := p.network.methods[to.Name][method](ctx, p.name, b)
+	out, err := e.network.methods[to.Name][method](ctx, e.name, b)
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.network.deliver(timeout, p.name, len(b)); err != nil {
+	if err := e.network.deliver(timeout, e.name, len(b)); err != nil {
 		return err
 	}
 	return json.Unmarshal(b, result)
--- a/internal/relief/rounds_test.go
+++ b/internal/relief/rounds_test.go
@@ -244,7 +244,7 @@
 		for _, p := range net.peers {
 			asked += p.asked
 		}
-		t.Log("questions for 1000 requests:", asked)
+		t.Log("calls for 1000 requests:", asked)
 		is.True(asked <= 8*6)
 	})
 }
@@ -404,7 +404,7 @@
 			lower += p.waiting[r]
 		}
 		if m.Name != self && lower > 0 && p.noneAt[rank].Before(startedAt) {
-			failures <- fmt.Sprintf("%s holds %d below rank %d and never said none", m.Name, lower, rank)
+			failures <- fmt.Sprintf("%s holds %d tokens below rank %d and never answered 0", m.Name, lower, rank)
 		}
 	}
 }
