--- a/internal/order/issuer.go
+++ b/internal/order/issuer.go
@@ -331,7 +331,7 @@
 		err := o.caller.Call(ctx, m, methodOrder, order, &out)
 		switch {
 		case err != nil:
-			return false, errors.Wrapf(err, "pass an order on to %s", holder)
+			return false, errors.Wrapf(err, "forward order to %s", holder)
 		case out.NotHolder:
 			return false, nil
 		case out.Unknown:
