--- a/internal/route/pools/pools_test.go
+++ b/internal/route/pools/pools_test.go
@@ -18,7 +18,7 @@
 // offer queues a request in a pool without targets and returns a channel with the
 // refusal that ends its wait.
 func offer(t *testing.T, p *pools.Pools, cfg *fireflypath.Config, clock clockwork.Clock) <-chan *fireflypath.Refusal {
-	r := &request.Request{Config: cfg, Turn: make(chan request.Turn, 1)}
+	r := &request.Request{Config: cfg, WaitResult: make(chan request.WaitResult, 1)}
 	r.Work.Rank, r.Work.Pool, r.Work.Cost.Prompt = 1, "chat", 10
 	r.Work.Arrived, r.Work.Deadline = clock.Now(), clock.Now().Add(time.Minute)
 	done := make(chan *fireflypath.Refusal, 1)
@@ -62,7 +62,7 @@
 	p.Apply(cfg)
 	p.Apply(newConfig(1, 1)) // a lower generation is ignored
 	c := offer(t, p, cfg, clock)
-	for p.Demands()[0].Requests[1] < 2 {
+	for p.Demands()[0].WaitingRequests[1] < 2 {
 		select {
 		case refusal := <-c:
 			t.Fatal(refusal)
