--- a/internal/order/issuer.go
+++ b/internal/order/issuer.go
@@ -141,7 +141,7 @@
 		o.setLease(nil)
 		return
 	}
-	if errors.Is(o.renew(ctx, lease), fireflypath.ErrLapsed) {
+	if errors.Is(o.renew(ctx, lease), fireflypath.ErrLeaseExpired) {
 		o.setLease(nil)
 	}
 }
@@ -238,7 +238,7 @@
 			lease.lastUsed = o.clock.Now()
 			return lease, nil
 		}
-		if err != nil && !errors.Is(err, fireflypath.ErrLapsed) {
+		if err != nil && !errors.Is(err, fireflypath.ErrLeaseExpired) {
 			return nil, errors.Wrap(err, "order not sent")
 		}
 		o.setLease(nil)
@@ -331,7 +331,7 @@
 		err := o.caller.Call(ctx, m, methodOrder, order, &out)
 		switch {
 		case err != nil:
-			return false, errors.Wrapf(err, "pass an order on to %s", holder)
+			return false, errors.Wrapf(err, "forward order to %s", holder)
 		case out.NotHolder:
 			return false, nil
 		case out.Unknown:
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -90,7 +90,7 @@
 // ReasonWithdrawn if the context ended first.
 func (p *Pool) Wait(ctx context.Context, r *request.Request) error {
 	p.offer(r)
-	return p.awaitTurn(ctx, r)
+	return p.awaitResult(ctx, r)
 }
 
 // Requeue returns a request to the queue if its dispatch failed before any byte
@@ -98,7 +98,7 @@
 func (p *Pool) Requeue(ctx context.Context, r *request.Request) error {
 	p.mu.Lock()
 	r.Draft.Unsent()
-	r.Work.Life.Move(fireflypath.StateDispatched, fireflypath.StateWaiting)
+	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateWaiting)
 	p.waiting[&r.Work] = r
 	p.version.Add(1)
 	p.bytes.Add(int64(r.Work.Bytes))
@@ -114,7 +114,7 @@
 	p.refuseIfClosed(r)
 	p.dispatchReady()
 	p.mu.Unlock()
-	return p.awaitTurn(ctx, r)
+	return p.awaitResult(ctx, r)
 }
 
 func (p *Pool) offer(r *request.Request) {
@@ -132,10 +132,10 @@
 	p.dispatchReady()
 }
 
-func (p *Pool) awaitTurn(ctx context.Context, r *request.Request) error {
+func (p *Pool) awaitResult(ctx context.Context, r *request.Request) error {
 	select {
-	case t := <-r.Turn:
-		return p.applyTurn(r, t)
+	case t := <-r.WaitResult:
+		return p.applyResult(r, t)
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
@@ -144,14 +144,14 @@
 	if err != nil {
 		return err
 	}
-	return p.applyTurn(r, <-r.Turn)
+	return p.applyResult(r, <-r.WaitResult)
 }
 
 // withdraw removes the request from the queue and returns its refusal. It
 // returns nil if the request no longer waits and its Turn is about to be sent.
 // The lock must be held.
 func (p *Pool) withdraw(r *request.Request) error {
-	if !r.Work.Life.Move(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
+	if !r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
 		return nil
 	}
 	p.scheduler.Withdraw(p.clock.Now(), &r.Work)
@@ -169,7 +169,7 @@
 	p.bytes.Add(-int64(r.Work.Bytes))
 }
 
-func (p *Pool) applyTurn(r *request.Request, t request.Turn) error {
+func (p *Pool) applyResult(r *request.Request, t request.WaitResult) error {
 	if t.Refusal != nil {
 		return t.Refusal
 	}
@@ -196,7 +196,7 @@
 func (p *Pool) dispatch(now time.Time) {
 	w := p.placement.Work
 	r := p.waiting[w]
-	if r == nil || !w.Life.Move(fireflypath.StateWaiting, fireflypath.StateDispatched) {
+	if r == nil || !w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched) {
 		p.scheduler.Observe(now, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: p.placement.Target, Work: w, Cached: -1})
 		return
 	}
@@ -204,7 +204,7 @@
 	r.Sent = now
 	p.running[w] = runningRequest{request: r, target: p.placement.Target}
 	r.Draft.Placed(now, &p.placement)
-	r.Turn <- request.Turn{Target: p.targets[p.placement.Target]}
+	r.WaitResult <- request.WaitResult{Target: p.targets[p.placement.Target]}
 }
 
 // scheduleWake resets the timer if the scheduler wants to be woken earlier than
@@ -275,7 +275,7 @@
 		state = fireflypath.StateExpired
 	}
 	r := p.waiting[s.Work]
-	if r == nil || !s.Work.Life.Move(fireflypath.StateWaiting, state) {
+	if r == nil || !s.Work.Lifecycle.Transition(fireflypath.StateWaiting, state) {
 		return
 	}
 	now := p.clock.Now()
@@ -284,7 +284,7 @@
 	if r.Draft != nil {
 		r.Draft.Refused(p.targetViews(now))
 	}
-	r.Turn <- request.Turn{Refusal: p.newRefusal(r, s)}
+	r.WaitResult <- request.WaitResult{Refusal: p.newRefusal(r, s)}
 }
 
 // targetViews returns the views of the least loaded targets, at most maxViewAge
@@ -300,10 +300,10 @@
 // usedFraction returns the fraction of a target's window that is in use. It is
 // infinite for a target that accepts no work, so that such targets sort last.
 func usedFraction(v *fireflypath.TargetView) float64 {
-	if v.State != "ready" || v.Window == 0 || v.Part == 0 {
+	if v.State != "ready" || v.Window == 0 || v.Share == 0 {
 		return math.Inf(1)
 	}
-	return float64(v.Held) / (float64(v.Window) * v.Part)
+	return float64(v.Held) / (float64(v.Window) * v.Share)
 }
 
 func (p *Pool) newRefusal(r *request.Request, s fireflypath.Shed) *fireflypath.Refusal {
