--- a/internal/route/evidence/evidence_test.go
+++ b/internal/route/evidence/evidence_test.go
@@ -16,7 +16,7 @@
 	var changes []string
 	e := evidence.New(
 		func(target, _ string) { changes = append(changes, "leaving "+target) },
-		func(target string) { changes = append(changes, "staying "+target) },
+		func(target string) { changes = append(changes, "back "+target) },
 	)
 	at := time.Unix(100, 0)
 	e.ReportLeaving("t", evidence.SourceTarget, at)
@@ -27,5 +27,5 @@
 	e.ReportStaying("t", evidence.SourceTarget, at.Add(3*time.Second))
 	is.Equal(changes, []string{"leaving t"})
 	e.ReportStaying("t", evidence.SourceHosts, at.Add(4*time.Second))
-	is.Equal(changes, []string{"leaving t", "staying t"})
+	is.Equal(changes, []string{"leaving t", "back t"})
 }
--- a/internal/route/poll/poll_test.go
+++ b/internal/route/poll/poll_test.go
@@ -55,7 +55,7 @@
 	polled, lists := make(pollRecorder), make(scriptedHosts)
 	reports := make(chan string, 4)
 	e := evidence.New(
-		func(target, _ string) { reports <- "leaving " + target }, func(target string) { reports <- "staying " + target },
+		func(target, _ string) { reports <- "leaving " + target }, func(target string) { reports <- "back " + target },
 	)
 	p := poll.New(poll.Deps{
 		Clock: clock, Configs: staticConfig{testkit.Config([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, nil)},
@@ -86,7 +86,7 @@
 			runtime.Gosched() // until the reads of the last round have ended
 		}
 	}
-	is.Equal(<-reports, "staying e0")
+	is.Equal(<-reports, "back e0")
 	cancel()
 	<-ended
 }
