--- a/cluster.go
+++ b/cluster.go
@@ -7,86 +7,95 @@
 	"time"
 )
 
-// Configs is the configuration in force at this daemon.
+// Configs provides the configuration in force at this daemon.
 type Configs interface {
-	// Current is one atomic load; the value is never nil and never changes.
+	// Current returns the configuration in force. It is one atomic load. The value is never
+	// nil and is never modified.
 	Current() *Config
-	// Changed is closed when a newer generation than the given one is in force.
+	// Changed returns a channel that is closed when a generation newer than the given one is
+	// in force.
 	Changed(generation uint64) <-chan struct{}
 }
 
-// Change is a step from one configuration to the next.
+// Change is a transition from one configuration to the next.
 type Change struct {
-	// ID is the command's id: a change with an id already in the trail is not done again.
+	// ID is the ID of the command. A change whose ID is already in the trail is not applied
+	// again.
 	ID string
-	// Operator is the operator's name, Words the command as given.
+	// Operator is the operator's name, Command the text of the command as it was entered.
 	Operator string
 	Command  string
-	// Base is the generation the command was written against; 0 means any.
+	// Base is the generation that the command was written against; 0 matches any.
 	Base uint64
-	// Apply returns the next configuration; it may be called several times and
-	// must not change its argument.
+	// Apply returns the next configuration. It may be called several times and must not
+	// modify its argument.
 	Apply func(old *Config) (*Config, error)
 }
 
-// Commit is the fate of a change.
+// Commit is the outcome of a change.
 type Commit struct {
 	ID string `json:"id"`
-	// Generation is in force if the change was accepted.
+	// Generation is the generation in force if the change was accepted.
 	Generation uint64 `json:"generation"`
-	// ConflictingID names the change that was committed first, for a refused one.
+	// ConflictingID is the ID of the change that was committed first, if this one was refused
+	// because of it.
 	ConflictingID string `json:"lost,omitempty"`
-	// Repeated is true if the id had been committed before.
+	// Repeated is true if the ID had been committed before.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
-// Committer makes changes. ErrUnknown means that the id must be asked for later.
+// Committer commits changes of the configuration.
 type Committer interface {
+	// Commit commits a change. After ErrUnknown the change may or may not have been
+	// committed; FindCommit tells which.
 	Commit(ctx context.Context, c Change) (Commit, error)
-	// FindCommit looks an id up in the trail, or ErrNotFound if it was not done.
+	// FindCommit looks up a change by its ID in the trail. It returns ErrNotFound if the
+	// change was not committed.
 	FindCommit(ctx context.Context, id string) (Commit, error)
-	// Trail reads the audit trail, newest first, at most n lines.
+	// Trail reads at most n lines of the audit trail, newest first.
 	Trail(ctx context.Context, n int) ([]AuditLine, error)
-	// AppendAudit appends a line without a change: orders and refused changes.
+	// AppendAudit appends a line for something that does not change the configuration: an
+	// order or a refused change.
 	AppendAudit(ctx context.Context, l AuditLine) error
 }
 
-// AuditLine is one line of the trail.
+// AuditLine is one line of the audit trail.
 type AuditLine struct {
 	ID       string    `json:"id"`
 	At       time.Time `json:"at"`
 	Operator string    `json:"who"`
 	Command  string    `json:"words"`
-	// From and To are generations; they are equal for orders and refusals.
+	// From and To are generations. They are equal for orders and refusals.
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
-	// Result is done, or the reason of the refusal.
+	// Result is "done" or the reason for the refusal.
 	Result string `json:"result"`
 }
 
-// Member is a daemon as its peers see it.
+// Member describes a daemon to its peers.
 type Member struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
-	// Peer, Caller and Operator are the addresses it listens on.
+	// Peer, Caller and Operator are the addresses that it listens on.
 	Peer     string `json:"peer"`
 	Caller   string `json:"caller"`
 	Operator string `json:"operator"`
 	// Incarnation grows with each start under the same name.
 	Incarnation uint64 `json:"incarnation"`
-	// Generation is the configuration in force there, as last heard.
+	// Generation is the last configuration generation that the daemon reported as in force.
 	Generation uint64 `json:"generation"`
 	// Leaving is true from the start of a planned stop.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Members are the daemons that are alive, this one among them.
+// Members provides the live daemons, including this one.
 type Members interface {
-	// Live is one atomic load of a slice ordered by name; it is not to be changed.
+	// Live returns the members ordered by name. It is one atomic load. The caller must not
+	// modify the slice.
 	Live() []Member
 }
 
-// FindMember finds a daemon by its name among members ordered by name.
+// FindMember finds a daemon by name among members that are ordered by name.
 func FindMember(ms []Member, name string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(ms, name, func(m Member, name string) int { return strings.Compare(m.Name, name) })
 	if !ok {
@@ -95,23 +104,24 @@
 	return ms[i], true
 }
 
-// Relief asks the other daemons to give up lower waiting work.
+// Relief asks the other daemons to give up waiting work of lower tiers.
 type Relief interface {
-	// Ask joins the pool's round for the rank, or starts one. It returns the
-	// tokens freed, 0 only after every live peer has said that it holds none.
+	// Ask joins the running round of the pool for the rank or starts one. It returns the
+	// number of tokens freed, and 0 only if every live peer has reported that it has no such
+	// work.
 	Ask(ctx context.Context, pool string, rank, tokens int) (int, error)
 }
 
-// Cluster is what a daemon's peers see of it and tell it. The daemon's route
-// implements it; the peer layer calls it.
+// Cluster is the part of a daemon that its peers read and call.
 type Cluster interface {
 	// Demands summarises all pools of this daemon.
 	Demands() []Demand
-	// Relieve gives up waiting work of lower tiers and returns the tokens freed.
+	// Relieve gives up waiting work of lower tiers and returns the number of tokens freed.
 	Relieve(pool string, rank, tokens int) int
-	// ApplyShare puts this daemon's new part of a pool's windows in force.
+	// ApplyShare puts this daemon's new share of a pool's windows in force.
 	ApplyShare(pool string, s Share)
-	// TargetLeaving and TargetStaying spread first-hand evidence.
+	// TargetLeaving reports first-hand evidence that a target is leaving; TargetStaying
+	// withdraws it.
 	TargetLeaving(target, why string)
 	TargetStaying(target string)
 }
--- a/config.go
+++ b/config.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Config is the configuration that operators set. One value is in force at a
-// time; it is never changed after it has been published.
+// Config is the configuration that operators set. One value is in force at a time. It is not
+// modified after it has been published.
 type Config struct {
 	// Generation grows by one with each accepted change; 0 is the empty configuration.
 	Generation uint64 `json:"generation"`
@@ -16,17 +16,17 @@
 	Teams []Team `json:"teams" validate:"dive"`
 	// Pools have distinct names.
 	Pools []Pool `json:"pools" validate:"dive"`
-	// Targets have distinct names and name an existing pool.
+	// Targets have distinct names and refer to existing pools.
 	Targets []Target `json:"targets" validate:"dive"`
-	// Rules apply in the order given; the first that matches decides.
+	// Rules are evaluated in order; the first one that matches decides.
 	Rules []Rule `json:"rules,omitempty" validate:"dive"`
-	// Operators hold the keys that may ask, change and order.
+	// Operators hold the keys for queries, configuration changes and orders.
 	Operators []Operator `json:"operators,omitempty" validate:"dive"`
-	// Routes have distinct names, and distinct pairs of host and prefix.
+	// Routes have distinct names and distinct pairs of host and prefix.
 	Routes []Route `json:"routes,omitempty" validate:"dive"`
-	// Bounds hold for the callers of routes.
+	// Bounds limit the callers of routes.
 	Bounds Bounds `json:"bounds,omitzero"`
-	// Version is the operator's own number of the configuration; 0 if it has none.
+	// Version is the operator's version number of the configuration; 0 if there is none.
 	Version uint64 `json:"version,omitempty"`
 }
 
@@ -35,37 +35,37 @@
 	Name string `json:"name" validate:"required,max=64"`
 	// Rank orders the tiers; 0 is the highest.
 	Rank int `json:"rank" validate:"min=0,max=15"`
-	// Deadline is given to requests that name none.
+	// Deadline applies to requests without a deadline.
 	Deadline Duration `json:"deadline" validate:"gt=0"`
 }
 
 // Team is a group of callers that share keys, weight and limits.
 type Team struct {
 	Name string `json:"name" validate:"required,max=64"`
-	// Tiers may be asked for by name; the first is the default.
+	// Tiers lists the tiers that the team may use by name; the first is the default.
 	Tiers []string `json:"tiers" validate:"min=1"`
-	// Pools may be used by name; empty means all.
+	// Pools lists the pools that the team may use by name; empty means all.
 	Pools []string `json:"pools,omitempty"`
-	// Weight is the share against other teams of a tier; 0 counts as 1.
+	// Weight is the team's weight relative to other teams of a tier; 0 counts as 1.
 	Weight int `json:"weight,omitempty" validate:"min=0,max=1000"`
-	// Keys are the hashes of the team's bearer tokens; several while one is rotated.
+	// Keys holds the hashes of the team's bearer tokens. There are several during a rotation.
 	Keys []Key `json:"keys,omitempty" validate:"dive"`
-	// Rank, if set, orders teams before the ranks of routes do.
+	// Rank, if set, takes precedence over the ranks of routes.
 	Rank *int `json:"rank,omitempty" validate:"omitempty,min=0,max=15"`
-	// Quota, if set, bounds what the team uses.
+	// Quota, if set, limits the team's usage.
 	Quota *Quota `json:"quota,omitempty"`
 }
 
 // Key is a hashed bearer token.
 type Key struct {
-	// Hash is the lower-case hexadecimal SHA-256 of the token. Tokens are 32
-	// random bytes, so a slow hash would add cost and no safety.
+	// Hash is the lower-case hexadecimal SHA-256 of the token. Tokens are 32 random bytes, so
+	// a slow hash would add cost without adding security.
 	Hash string `json:"hash" validate:"len=64,hexadecimal"`
-	// Until ends the key's use; zero means no end.
+	// Until is when the key expires; zero means never.
 	Until time.Time `json:"until,omitzero"`
 }
 
-// Role is what an operator's key allows.
+// Role defines what an operator's key allows.
 type Role string
 
 const (
@@ -77,14 +77,14 @@
 	RoleOrder Role = "order"
 )
 
-// Operator is a person or program that drives the system.
+// Operator is a person or program that administers the system.
 type Operator struct {
 	Name string `json:"name" validate:"required,max=64"`
 	Role Role   `json:"role" validate:"oneof=ask change order"`
 	Keys []Key  `json:"keys" validate:"min=1,dive"`
 }
 
-// Kind is the protocol that a pool's targets speak.
+// Kind is the protocol of a pool's targets.
 type Kind string
 
 const (
@@ -94,47 +94,47 @@
 	KindService Kind = "service"
 )
 
-// Pool is a set of targets that can run the same work.
+// Pool is a set of interchangeable targets.
 type Pool struct {
 	Name string `json:"name" validate:"required,max=64"`
 	Kind Kind   `json:"kind" validate:"oneof=engine service"`
-	// Models are served by the pool; engine pools have at least one.
+	// Models lists the models that the pool serves; engine pools have at least one.
 	Models []string `json:"models,omitempty"`
-	// Requests bounds the waiting requests of one daemon; 0 takes the default.
+	// Requests limits the number of waiting requests of one daemon; 0 means the default.
 	Requests int `json:"requests,omitempty" validate:"min=0"`
-	// Bytes bounds the waiting bytes of one daemon; 0 takes the default.
+	// Bytes limits the waiting bytes of one daemon; 0 means the default.
 	Bytes int `json:"bytes,omitempty" validate:"min=0"`
-	// Conns bounds the connections that all callers together may hold to one
-	// target; 0 is no bound.
+	// Conns limits the connections that all callers together may hold to one target; 0 means
+	// no limit.
 	Conns int `json:"conns,omitempty" validate:"min=0"`
-	// Stride is how many tokens one event of a stream holds; 0 if unknown.
+	// Stride is the number of tokens in one event of a stream; 0 if unknown.
 	Stride int `json:"stride,omitempty" validate:"min=0"`
 }
 
-// Target is one back end.
+// Target is one backend server.
 type Target struct {
 	Name string `json:"name" validate:"required,max=64"`
 	Pool string `json:"pool" validate:"required"`
-	// Addr is an IP number and a port.
+	// Addr is an IP address and a port.
 	Addr string `json:"addr" validate:"required,hostname_port"`
-	// Domain is the failure domain.
+	// Domain is the failure domain of the target.
 	Domain string `json:"domain" validate:"required"`
-	// Incarnation grows with each start under the same name; 0 if the target does
-	// not tell its lives apart.
+	// Incarnation grows with each start under the same name; 0 if the target does not report
+	// one.
 	Incarnation uint64 `json:"incarnation,omitempty"`
-	// Window bounds the tokens the target may hold at once; 0 lets it be learned.
+	// Window limits the tokens that may be in flight at the target; 0 means that the limit is
+	// learned.
 	Window int `json:"window,omitempty" validate:"min=0"`
-	// Slots is how many requests the target runs at once, if it is known.
+	// Slots is the number of requests that the target runs concurrently; 0 if unknown.
 	Slots int `json:"slots,omitempty" validate:"min=0"`
-	// Drained is true while the operator, or the target itself, wants no new work there.
+	// Drained is true while the operator or the target itself has excluded it from new work.
 	Drained bool `json:"drained,omitempty"`
-	// Fenced is true if the target refuses orders with an old fencing number.
+	// Fenced is true if the target rejects orders with an outdated fencing number.
 	Fenced bool `json:"fenced,omitempty"`
 }
 
-// Identity names one life of a target. Work, connections and all that was learned
-// belong to a life and end with it: the next one under the same name holds and
-// knows nothing of them.
+// Identity identifies one incarnation of a target. Work, connections and learned state belong
+// to an incarnation and end with it, because the next one under the same name has none of them.
 func (t Target) Identity() string {
 	if t.Incarnation == 0 {
 		return t.Name
@@ -142,45 +142,45 @@
 	return t.Name + "@" + strconv.FormatUint(t.Incarnation, 10)
 }
 
-// RuleAction is what a rule does with the work it matches.
+// RuleAction is what a rule does with matching work.
 type RuleAction string
 
 const (
-	// RuleAdmit lets the work in and ends the list.
+	// RuleAdmit admits the work without evaluating further rules.
 	RuleAdmit RuleAction = "admit"
 	// RuleRefuse refuses the work as not run.
 	RuleRefuse RuleAction = "refuse"
-	// RuleLimit refuses what goes above Limit tokens a second.
+	// RuleLimit refuses work above Limit tokens per second.
 	RuleLimit RuleAction = "limit"
 )
 
-// Rule is an operator's rule for admission; empty fields match everything.
+// Rule is an admission rule of an operator. Empty fields match everything.
 type Rule struct {
 	Name string     `json:"name" validate:"required,max=64"`
 	Act  RuleAction `json:"act" validate:"oneof=admit refuse limit"`
 	Team string     `json:"team,omitempty"`
 	Tier string     `json:"tier,omitempty"`
 	Pool string     `json:"pool,omitempty"`
-	// Above matches work of more estimated tokens than this.
+	// Above matches work with more estimated tokens than this.
 	Above int `json:"above,omitempty" validate:"min=0"`
-	// Limit is in estimated tokens a second over all daemons.
+	// Limit is in estimated tokens per second, summed over all daemons.
 	Limit int `json:"limit,omitempty" validate:"min=0"`
 }
 
-// Duration is a time.Duration written as text, like "1.5s".
+// Duration is a time.Duration that is encoded as text, such as "1.5s".
 type Duration time.Duration
 
-// Std is the standard form.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration {
 	return time.Duration(d)
 }
 
-// MarshalText writes the form that time.ParseDuration reads.
+// MarshalText implements encoding.TextMarshaler in the format of time.ParseDuration.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads the form of time.ParseDuration.
+// UnmarshalText implements encoding.TextUnmarshaler in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	*d = Duration(v)
--- a/doc.go
+++ b/doc.go
@@ -1,2 +1,2 @@
-// Package fireflypath schedules requests for unlike model engines and plain services behind one front door.
+// Package fireflypath schedules requests for heterogeneous model engines and plain services behind one entry point.
 package fireflypath
--- a/life_test.go
+++ b/lifecycle_test.go
@@ -10,9 +10,9 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// A caller leaves, the scheduler sheds and the route dispatches at the same
-// moment. If two of them won, the caller would read "not run" for work that ran.
-func TestLifeMoveHasOneWinner(t *testing.T) {
+// A caller leaves while the scheduler sheds its request and the route dispatches it. If two of
+// the transitions succeeded, the caller would be told "not run" for work that ran.
+func TestLifecycleTransitionHasOneWinner(t *testing.T) {
 	is := is.New(t)
 	for range 200 {
 		var l fireflypath.Lifecycle
--- a/network.go
+++ b/network.go
@@ -5,7 +5,7 @@
 	"net"
 )
 
-// Network opens the connections between daemons.
+// Network provides the connections between daemons.
 type Network interface {
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 	Listen(addr string) (net.Listener, error)
--- a/refusal.go
+++ b/refusal.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Reason is the code of a refusal.
+// Reason is the machine-readable code of a refusal.
 type Reason string
 
-// The reasons a caller can read. Each names who can mend it: the caller, the
-// operator, or time.
+// The reasons that callers can receive. Each shows how the refusal can be resolved: by the
+// caller, by the operator, or by retrying later.
 const (
 	// ReasonMalformed is a request that cannot be parsed.
 	ReasonMalformed Reason = "malformed"
@@ -18,29 +18,29 @@
 	ReasonForbidden Reason = "forbidden"
 	// ReasonNoPool is a pool or model that the configuration does not hold.
 	ReasonNoPool Reason = "no-pool"
-	// ReasonDeadline is a request that cannot end, or did not start, in time.
+	// ReasonDeadline is a request that cannot finish, or did not start, in time.
 	ReasonDeadline Reason = "deadline"
-	// ReasonFull is a request that gave way because a pool is full.
+	// ReasonFull is a request that was shed because a pool is full.
 	ReasonFull Reason = "full"
 	// ReasonRule is a request refused by an operator's rule.
 	ReasonRule Reason = "rule"
-	// ReasonEarly is a caller that came back before the time it was given.
+	// ReasonEarly is a caller that retried before the time given in its last refusal.
 	ReasonEarly Reason = "early"
-	// ReasonStopping is a daemon past the limit of its planned stop.
+	// ReasonStopping is a daemon whose planned stop has reached its time limit.
 	ReasonStopping Reason = "stopping"
-	// ReasonClaimed is a key whose request ran, or may run, elsewhere.
+	// ReasonClaimed is an idempotency key whose request ran, or may run, elsewhere.
 	ReasonClaimed Reason = "claimed"
-	// ReasonClaimUnavailable is a key that could not be claimed in time.
+	// ReasonClaimUnavailable is an idempotency key that could not be claimed in time.
 	ReasonClaimUnavailable Reason = "claim-unavailable"
 	// ReasonWithdrawn is a caller that left.
 	ReasonWithdrawn Reason = "withdrawn"
-	// ReasonTarget is a target that failed after the dispatch.
+	// ReasonTarget is a target that failed after the request was dispatched.
 	ReasonTarget Reason = "target-failed"
-	// ReasonTargetRefused is a target that said that it did not run the request.
+	// ReasonTargetRefused is a target that reported that it did not run the request.
 	ReasonTargetRefused Reason = "target-refused"
 )
 
-// Run says whether a refused request ran.
+// Run tells whether a refused request ran.
 type Run string
 
 const (
@@ -50,28 +50,29 @@
 	RunUnknown Run = "unknown"
 )
 
-// Refusal is the answer to a request that gets no answer from a target.
+// Refusal is the answer to a request that got no answer from a target.
 type Refusal struct {
 	// Code is the reason in one word.
 	Code Reason `json:"code"`
 	// Tier is the tier's name, empty before the team is known.
 	Tier string `json:"tier,omitempty"`
-	// Detail is a sentence for people.
+	// Detail is a human-readable explanation.
 	Detail string `json:"reason"`
-	// Run is RunNo only if the refuser moved the request out of StateWaiting,
-	// or if its target said that it did not run it.
+	// Run is RunNo only if the code that refuses the request moved it out of StateWaiting, or
+	// if its target reported that it did not run it.
 	Run Run `json:"run"`
-	// RetryAfter is when room is expected; 0 means that a retry as it is cannot help.
+	// RetryAfter is when capacity is expected; 0 means that retrying the same request cannot
+	// succeed.
 	RetryAfter time.Duration `json:"-"`
-	// RetryMS is RetryAfter in milliseconds, for the wire.
+	// RetryMS is RetryAfter in milliseconds, for the JSON encoding.
 	RetryMS int64 `json:"retry_after_ms,omitempty"`
-	// ID is the request's id, for "why".
+	// ID is the request's ID, for the "why" query.
 	ID string `json:"request"`
-	// Generation is the configuration that the decision was made under.
+	// Generation is the configuration generation that the decision was based on.
 	Generation uint64 `json:"generation,omitempty"`
 }
 
-// Error makes a Refusal usable as the error that ends the route.
+// Error implements error.
 func (r *Refusal) Error() string {
 	return "refused as " + string(r.Code) + ": " + r.Detail
 }
--- a/request.go
+++ b/request.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// State is the place of a request in its life.
+// State is a state in the lifecycle of a request.
 type State uint32
 
-// The only transitions are StateWaiting to one of the others, and
-// StateDispatched to StateAnswered or StateFailed.
+// The only transitions are from StateWaiting to any other state and from StateDispatched to
+// StateAnswered or StateFailed.
 const (
-	// StateWaiting is a request that no target has been sent.
+	// StateWaiting is a request that was not sent to any target.
 	StateWaiting State = iota
 	// StateDispatched is a request whose bytes may have reached a target.
 	StateDispatched
-	// StateShed is a request given up for lack of room; it did not run.
+	// StateShed is a request dropped for lack of capacity; it did not run.
 	StateShed
-	// StateExpired is a request given up for its deadline; it did not run.
+	// StateExpired is a request dropped because of its deadline; it did not run.
 	StateExpired
 	// StateWithdrawn is a request whose caller left while it waited; it did not run.
 	StateWithdrawn
-	// StateAnswered is a request whose whole answer was received from its target.
+	// StateAnswered is a request whose complete answer was received from its target.
 	StateAnswered
-	// StateFailed is a dispatched request without a whole answer; whether it ran is unknown.
+	// StateFailed is a dispatched request without a complete answer; whether it ran is unknown.
 	StateFailed
-	// StateRefused is a request refused before it could wait: by its own fault, by
-	// a rule or by its team's rights; it did not run.
+	// StateRefused is a request refused before it was queued: because it is invalid, because
+	// of a rule or because of its team's permissions; it did not run.
 	StateRefused
 )
 
-// String is the lower-case name that records and refusals print.
+// String returns the lower-case name that is used in records and refusals.
 func (s State) String() string {
 	names := [...]string{"waiting", "dispatched", "shed", "expired", "withdrawn", "answered", "failed", "refused"}
 	if int(s) >= len(names) {
@@ -39,48 +39,47 @@
 	return names[s]
 }
 
-// Lifecycle holds the state of one request and lets exactly one caller take it out
-// of each state.
+// Lifecycle holds the state of one request. Of several concurrent transitions out of a state
+// exactly one succeeds.
 //
-// A request can be refused by the scheduler, abandoned by its caller and sent
-// to a target at the same instant. If two of them acted, a caller would read
-// "not run" for a request that ran. Whoever wins the compare-and-swap acts;
-// the others learn that they lost.
+// A request can be refused by the scheduler, abandoned by its caller and sent to a target at the
+// same time. If two of these took effect, a caller would be told "not run" for a request that
+// ran. Only the goroutine that wins the compare-and-swap acts; the others learn that they lost.
 type Lifecycle struct {
 	state atomic.Uint32
 }
 
-// State reads the current state.
+// State returns the current state.
 func (l *Lifecycle) State() State {
 	return State(l.state.Load())
 }
 
-// Transition changes the state from one value to another and reports whether this
-// call was the one that did.
+// Transition changes the state from one value to another. It reports whether this call made the
+// change.
 func (l *Lifecycle) Transition(from, to State) bool {
 	return l.state.CompareAndSwap(uint32(from), uint32(to))
 }
 
-// Cost is the estimated work of a request.
+// Cost is the estimated amount of work of a request.
 type Cost struct {
 	// Prompt is the number of prompt tokens to prefill; at least 1 for model work.
 	Prompt int `json:"prompt"`
-	// Output is the number of tokens the caller allows to be generated; at least 0.
+	// Output is the maximum number of tokens that the caller allows; at least 0.
 	Output int `json:"output"`
 }
 
-// Tokens is the sum that windows and fair shares are counted in.
+// Tokens returns the total, which is the unit of windows and fair shares.
 func (c Cost) Tokens() int {
 	return c.Prompt + c.Output
 }
 
-// Work is what the decision modules know of a request.
+// Work is what the scheduling and admission packages know of a request.
 type Work struct {
-	// ID is unique over all daemons: daemon name, a dot, and a ULID.
+	// ID is unique across all daemons: the daemon's name, a dot and a ULID.
 	ID string
 	// Team is the name of the caller's team.
 	Team string
-	// Weight is the team's share against other teams of its tier; at least 1.
+	// Weight is the team's weight relative to other teams of its tier; at least 1.
 	Weight int
 	// Rank is the rank of the tier; 0 is the highest tier.
 	Rank int
@@ -88,34 +87,34 @@
 	Tier string
 	// Pool is the name of the pool whose targets may run the work.
 	Pool string
-	// Model is the model named by the caller; empty for plain services.
+	// Model is the model that the caller requested; empty for plain services.
 	Model string
 	// Arrived is the time at which the daemon accepted the request.
 	Arrived time.Time
-	// Deadline is the time after which the answer has no worth; never zero.
+	// Deadline is the time after which the answer is worthless; never zero.
 	Deadline time.Time
 	// Cost is the estimate made on arrival.
 	Cost Cost
-	// Prefix holds a cumulative hash for each full block of the prompt: entry i
-	// covers blocks 0 to i, so equal entries mean equal prompts up to there.
+	// Prefix holds a cumulative hash for each full block of the prompt. Entry i covers the
+	// blocks 0 to i, so equal entries mean equal prompts up to the end of block i.
 	Prefix []uint64
-	// Bytes is the memory that the waiting request holds.
+	// Bytes is the memory that the request uses while it waits.
 	Bytes int
-	// Idempotent is false when a second run would do harm.
+	// Idempotent is false if a second run would be harmful.
 	Idempotent bool
-	// Goal is when the answer should have begun; zero if nobody said.
+	// Goal is the time by which the answer should have begun; zero if not specified.
 	Goal time.Time
-	// PatienceEnds is when the caller goes if the answer has not begun; zero is at the
+	// PatienceEnds is when the caller leaves if the answer has not begun; zero means at the
 	// deadline.
 	PatienceEnds time.Time
-	// Gap is the longest pause between events that the caller bears; 0 is any.
+	// Gap is the longest pause between events that the caller tolerates; 0 means no limit.
 	Gap time.Duration
-	// ExpectedOutput is the expected number of output tokens; 0 if nobody said.
+	// ExpectedOutput is the expected number of output tokens; 0 if not specified.
 	ExpectedOutput int
-	// Avoid names targets that have had the request.
+	// Avoid lists the targets that the request was already sent to.
 	Avoid []string
-	// RetriedEarly is true when the caller came back before the time its last refusal gave.
+	// RetriedEarly is true if the caller retried before the time given in its last refusal.
 	RetriedEarly bool
-	// Lifecycle is the state that the route and the scheduler contend for.
+	// Lifecycle is the state, which the route and the scheduler change concurrently.
 	Lifecycle Lifecycle
 }
--- a/routing.go
+++ b/routing.go
@@ -2,87 +2,87 @@
 
 import "time"
 
-// Repeat says what may happen to a request whose outcome is unknown.
+// Repeat defines whether a request whose outcome is unknown may be repeated.
 type Repeat string
 
 const (
-	// RepeatNever is for requests that run at most once.
+	// RepeatNever is for requests that must run at most once.
 	RepeatNever Repeat = "never"
 	// RepeatSafe is for idempotent requests.
 	RepeatSafe Repeat = "safe"
 )
 
-// Form is the form of a route's answers.
+// Form is the format of a route's answers.
 type Form string
 
 const (
-	// FormWhole is an answer that counts only when it is complete.
+	// FormWhole is an answer that is usable only when it is complete.
 	FormWhole Form = "whole"
-	// FormEvents is a series of server-sent events with increasing ids.
+	// FormEvents is a stream of server-sent events with increasing IDs.
 	FormEvents Form = "events"
 )
 
-// Route sends the requests of a host and path prefix to pools.
+// Route maps the requests of a host and path prefix to pools.
 type Route struct {
 	Name string `json:"name" validate:"required,max=64"`
-	// Host is compared without its port, in lower case.
+	// Host is compared in lower case and without the port.
 	Host string `json:"host" validate:"required"`
-	// Prefix begins and ends with a slash; the longest that begins a path wins.
+	// Prefix begins and ends with a slash; the longest matching prefix wins.
 	Prefix string `json:"prefix" validate:"required,startswith=/,endswith=/"`
-	// Split holds the pools and their weights; at least one weight is above 0.
+	// Split lists the pools and their weights; at least one weight is above 0.
 	Split []Split `json:"split" validate:"min=1,dive"`
 	Form  Form    `json:"form" validate:"oneof=whole events"`
-	// Repeat is safe for events if they can be resumed.
+	// Repeat is RepeatSafe for event streams that can be resumed.
 	Repeat Repeat `json:"repeat" validate:"oneof=never safe"`
-	// Attempts bounds the targets that one request may be sent to; 0 counts as 1.
+	// Attempts limits the number of targets that one request is sent to; 0 counts as 1.
 	Attempts int `json:"attempts,omitempty" validate:"min=0"`
-	// Timeout is the longest a caller is kept; 0 leaves it to the caller.
+	// Timeout is the maximum duration of a request; 0 leaves it to the caller.
 	Timeout Duration `json:"timeout,omitempty" validate:"min=0"`
-	// Goal is the time to the answer, or to its first event, that callers hope for.
+	// Goal is the desired time to the answer or to its first event.
 	Goal Duration `json:"goal,omitempty" validate:"min=0"`
-	// Gap is the longest pause between events that callers bear.
+	// Gap is the longest pause between events that callers tolerate.
 	Gap Duration `json:"gap,omitempty" validate:"min=0"`
-	// Patience is how long callers wait for an answer to begin before they leave;
-	// 0 is until their deadline.
+	// Patience is how long callers wait for an answer to begin before they leave; 0 means
+	// until their deadline.
 	Patience Duration `json:"patience,omitempty" validate:"min=0"`
-	// Rank is the tier's rank; 0 is the highest. A team's own rank goes first.
+	// Rank is the rank of the tier; 0 is the highest. A team's own rank takes precedence.
 	Rank int `json:"rank" validate:"min=0,max=15"`
-	// Public routes need no key.
+	// Public is true if the route requires no key.
 	Public bool `json:"public,omitempty"`
-	// Sticky requests carry prompts whose parts targets keep.
+	// Sticky is true if the requests carry prompts whose prefixes are cached by targets.
 	Sticky bool `json:"sticky,omitempty"`
-	// Resumable streams go on at another target behind a given event.
+	// Resumable is true if a stream can continue at another target after a given event.
 	Resumable bool `json:"resumable,omitempty"`
 }
 
-// Split is a pool's part of a route's requests.
+// Split is a pool's weight in a route.
 type Split struct {
 	Pool   string `json:"pool" validate:"required"`
 	Weight int    `json:"weight" validate:"min=0"`
 }
 
-// Unit is what a quota is counted in.
+// Unit is the unit of a quota.
 type Unit string
 
 const (
 	// UnitRequests counts each request as one.
 	UnitRequests Unit = "requests"
-	// UnitTokens counts prompt tokens and the most output tokens.
+	// UnitTokens counts the prompt tokens and the maximum output tokens.
 	UnitTokens Unit = "tokens"
 )
 
-// Quota is what a team may use, summed over all daemons.
+// Quota limits the usage of a team, summed over all daemons.
 type Quota struct {
 	Unit Unit `json:"unit" validate:"oneof=requests tokens"`
-	// Rate is units a second; 0 is no limit.
+	// Rate is in units per second; 0 means no limit.
 	Rate float64 `json:"rate" validate:"min=0"`
-	// Burst is units that may be used at once on top.
+	// Burst is the number of units that may be used at once in addition.
 	Burst float64 `json:"burst" validate:"min=0"`
-	// Plain is what a request without a token count uses.
+	// Plain is the number of units charged for a request without a token count.
 	Plain int `json:"plain,omitempty" validate:"min=0"`
 }
 
-// Bounds limit what a caller may send and how long it may idle; 0 is no bound.
+// Bounds limit what a caller may send and how long a connection may be idle; 0 means no limit.
 type Bounds struct {
 	Header     int      `json:"header,omitempty" validate:"min=0"`
 	Body       int      `json:"body,omitempty" validate:"min=0"`
@@ -90,82 +90,82 @@
 	Idle       Duration `json:"idle,omitempty" validate:"min=0"`
 }
 
-// Headers are the names of the headers that callers, daemons and targets exchange.
+// Headers holds the names of the headers that callers, daemons and targets exchange.
 type Headers struct {
-	// ID is the request's id, set by the caller and repeated by the target.
+	// ID is the request's ID, set by the caller and echoed by the target.
 	ID string
-	// Deadline is how many milliseconds are left.
+	// Deadline is the remaining time in milliseconds.
 	Deadline string
-	// Key is the caller's key; it is not passed on.
+	// Key is the caller's key; it is not forwarded.
 	Key string
-	// Team tells the target whose request it is.
+	// Team tells the target which team the request belongs to.
 	Team string
-	// Target names the target that is meant; another one does not run the request.
+	// Target is the name of the intended target; any other target does not run the request.
 	Target string
-	// Instance is a target's own name in its answers.
+	// Instance is the target's own name in its answers.
 	Instance string
-	// NotRun marks an answer of a target that did not run the request.
+	// NotRun marks the answer of a target that did not run the request.
 	NotRun string
-	// Signature marks an answer that a target made.
+	// Signature marks an answer that was generated by a target.
 	Signature string
-	// Load is a target's running and waiting requests and its slots.
+	// Load holds the number of running and waiting requests and of slots of a target.
 	Load string
-	// Tokens is the number of prompt tokens and of the most output tokens.
+	// Tokens holds the number of prompt tokens and the maximum number of output tokens.
 	Tokens string
-	// OutputHint is the caller's estimate of the output tokens.
+	// OutputHint is the caller's estimate of the number of output tokens.
 	OutputHint string
-	// Event is the id of the last event that the caller has.
+	// Event is the ID of the last event that the caller received.
 	Event string
-	// DaemonOnly are headers that only daemons set; those of callers are dropped.
+	// DaemonOnly lists the headers that only daemons may set; those from callers are dropped.
 	DaemonOnly []string
 }
 
-// Load is a target's load as it says in an answer.
+// Load is the load of a target as reported in an answer.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Codec reads what the platform keeps in its store and writes in its headers.
+// Codec decodes the platform's formats of stored values and of headers.
 type Codec interface {
-	// Headers are the names in use.
+	// Headers returns the header names in use.
 	Headers() Headers
-	// ConfigKey holds the operator's configuration; TargetPrefix begins the keys
+	// ConfigKey returns the key of the operator's configuration, TargetPrefix the key prefix
 	// of the targets' registrations.
 	ConfigKey() string
 	TargetPrefix() string
-	// Config decodes the configuration; its targets and generation are not set.
+	// Config decodes the configuration without setting its targets and generation.
 	Config(value []byte) (*Config, error)
 	// Target decodes a registration.
 	Target(key string, value []byte) (Target, error)
-	// Load decodes the load header of an answer; false means that it has none.
+	// Load decodes the load header of an answer. It reports false if there is none.
 	Load(header string) (Load, bool)
-	// Cost decodes the token header: the prompt and the most output.
+	// Cost decodes the token header, which holds the prompt and the maximum output.
 	Cost(header string) (Cost, bool)
 }
 
-// Listing is a part of a store's keys at a revision.
+// Listing is a set of a store's keys at a revision.
 type Listing struct {
 	Entries []Entry
-	// Revision is the store's own when it answered.
+	// Revision is the revision of the store when it answered.
 	Revision uint64
-	// Relayed is true for the view of another daemon: Revision is then that of
-	// its view, and Entries hold all that changed up to it.
+	// Relayed is true for the view of another daemon. Revision is then the revision of that
+	// view, and Entries holds all changes up to it.
 	Relayed bool
-	// Partial is true if a large value is still on its way. What Entries hold is in
-	// force, but the view is not that of Revision yet and proves nothing.
+	// Partial is true while a large value is still being transferred. Entries is valid, but
+	// the view does not correspond to Revision yet and does not confirm that it is current.
 	Partial bool
-	// Pause is how long to wait before the next question.
+	// Pause is how long to wait before the next call.
 	Pause time.Duration
-	// Age is how old a relayed view was when the question came.
+	// Age is how old a relayed view was when it was requested.
 	Age time.Duration
-	// Hold is for how long a removal in a relayed view may be a registration that
-	// lapsed while the store was away.
+	// Hold is how long a removal in a relayed view may be due to a registration that expired
+	// while the store was unavailable.
 	Hold time.Duration
 }
 
-// Freshness tells how old the view of the configuration and the targets is.
+// Freshness provides the age of the view of the configuration and the targets.
 type Freshness interface {
-	// Age is the time since the view was surely the newest, at most; time in which
-	// the host was suspended counts. It is very large before the first view.
+	// Age returns an upper bound of the time since the view was known to be current, including
+	// time in which the host was suspended. It is very large before the first view.
 	Age() time.Duration
 }
--- a/scheduler.go
+++ b/scheduler.go
@@ -2,231 +2,232 @@
 
 import "time"
 
-// Scheduler decides for one pool at one daemon: whom to serve, who waits, who
-// is refused and where work goes. It holds no clock and does no I/O, so that
-// the daemon and a trial in virtual time run the same code. It is not safe for
-// concurrent use; its owner holds one lock per pool.
+// Scheduler schedules the work of one pool at one daemon: it decides which work is dispatched to
+// which target, which work waits and which is refused. It reads no clock and does no I/O, so that
+// the daemon and the simulation run the same code. It is not safe for concurrent use; its owner
+// holds one lock per pool.
 //
-// A Scheduler returns work to give up; the owner moves its Life and writes the
-// refusal. Work that lost its Life elsewhere is skipped silently.
+// A Scheduler returns the work that is to be shed. The owner changes its Lifecycle and sends the
+// refusal. Work that has already left StateWaiting is skipped silently.
 type Scheduler interface {
-	// Offer takes work in. It appends to out what gives way: the work itself,
-	// or lower work displaced by it.
+	// Offer adds work. It appends to out the work that is shed for it: the work itself or
+	// lower work that it displaces.
 	Offer(now time.Time, w *Work, out []Shed) []Shed
-	// Next chooses the next work and its target and counts it as in flight.
-	// It reports false when nothing may be dispatched now. The placement's
-	// Considered slice is reused by the next call.
+	// Next selects the next work and its target and counts the work as in flight. It reports
+	// false if nothing may be dispatched now. The placement's Considered slice is reused by
+	// the next call.
 	Next(now time.Time, p *Placement) bool
-	// Withdraw removes waiting work; it reports false if it was not waiting here.
+	// Withdraw removes waiting work. It reports false if the work was not waiting here.
 	Withdraw(now time.Time, w *Work) bool
-	// Expire appends the waiting work that can no longer end in time.
+	// Expire appends the waiting work that can no longer finish in time.
 	Expire(now time.Time, out []Shed) []Shed
-	// Wake is when Next or Expire may have something new without an event;
-	// zero means never.
+	// Wake returns the time at which Next or Expire may return something new without an
+	// event; zero means never.
 	Wake(now time.Time) time.Time
-	// Observe learns from an event at a target.
+	// Observe processes an event at a target.
 	Observe(now time.Time, e Event)
-	// SetTargets replaces the targets and keeps what was learned of those that stay.
+	// SetTargets replaces the targets. Learned state is kept for those that remain.
 	SetTargets(now time.Time, targets []Target)
-	// SetShare sets this daemon's part of each target's window.
+	// SetShare sets this daemon's share of each target's window.
 	SetShare(now time.Time, s Share)
-	// Demand summarises waiting and running work for the other daemons.
+	// Demand summarises the waiting and running work for the other daemons.
 	Demand(now time.Time) Demand
-	// Relieve gives up waiting work of lower tiers than rank, lowest first,
-	// until tokens are freed. The owner refuses what it returns.
+	// Relieve sheds waiting work of lower tiers than rank, lowest first, until the given
+	// number of tokens is freed. The owner refuses the work that is returned.
 	Relieve(now time.Time, rank, tokens int, out []Shed) []Shed
-	// Views appends what is known of each target, for operators.
+	// Views appends the state of each target, for operators.
 	Views(now time.Time, out []TargetView) []TargetView
 }
 
-// Shed is waiting work that gives way.
+// Shed is waiting work that is given up.
 type Shed struct {
 	Work *Work
 	// Reason is ReasonFull, ReasonDeadline or ReasonEarly.
 	Reason Reason
-	// RetryAfter is when room is expected.
+	// RetryAfter is when capacity is expected.
 	RetryAfter time.Duration
-	// Detail names the bound that was met, with its figures.
+	// Detail names the limit that was reached, with its values.
 	Detail string
-	// Relief is true if peers may hold lower waiting work, so that the owner
-	// must ask them before it refuses. The work still waits meanwhile. The owner
-	// asks all peers and its own Scheduler to relieve the lowest configured tier's
-	// neighbour first, then each rank up to the work's own, so that no tier gives
-	// way before all daemons have given up the ones below it. If peers freed
-	// nothing, the owner relieves its own Scheduler for the work's rank, and then
-	// refuses and withdraws the work. Else it leaves work that was shed as full,
-	// and asks again for work that is past its time.
+	// Relief is true if peers may hold lower waiting work, so that the owner must ask them
+	// before it refuses this work. The work keeps waiting meanwhile. The owner asks all peers
+	// and its own Scheduler to relieve first the rank just above the lowest configured tier,
+	// then each higher rank up to the rank of the work, so that no tier gives way before all
+	// daemons have given up the tiers below it. If the peers freed nothing, the owner relieves
+	// its own Scheduler for the rank of the work, and then refuses and withdraws the work.
+	// Otherwise it keeps work that was shed as full, and asks again for work that is past its
+	// time.
 	Relief bool
-	// Tokens is how much lower work the owner asks the peers to give up, if Relief.
+	// Tokens is the amount of lower work that the owner asks the peers to give up, if Relief.
 	Tokens int
 }
 
-// Placement is a decision to send work to a target.
+// Placement is the decision to send work to a target.
 type Placement struct {
 	Work   *Work
 	Target string
-	// Generation is the daemon's count of the targets' state, for "why".
+	// Waited is how long the work has waited.
 	Waited time.Duration
-	// Ahead is how much waiting work stood before this when it arrived, in requests.
+	// Ahead is the number of requests that were queued before this one when it arrived.
 	Ahead int
-	// PromptAhead is the prompt in tokens that the target had to read before the work's
-	// own; First is when the answer was expected to begin, from the dispatch on.
-	// Both are 0 where they are not known.
+	// PromptAhead is the number of prompt tokens that the target had to process before the
+	// work. TimeToFirst is the expected time from the dispatch until the answer begins. Both
+	// are 0 if unknown.
 	PromptAhead int
 	TimeToFirst time.Duration
-	// Considered holds the targets weighed, the chosen one among them.
+	// Considered holds the targets that were compared, including the chosen one.
 	Considered []Candidate
 }
 
-// Candidate is a target as it looked when a placement was decided.
+// Candidate is the state of a target at the time of a placement.
 type Candidate struct {
 	Target string `json:"target"`
-	// Held is this daemon's own in-flight estimate in tokens; it is exact.
+	// Held is this daemon's own in-flight work in estimated tokens; it is always up to date.
 	Held int `json:"held"`
 	// Reported is the target's last reported load in tokens.
 	Reported int `json:"reported"`
-	// Age is how old Reported was.
+	// Age is the age of Reported.
 	Age time.Duration `json:"age"`
-	// Window is this daemon's part of the target's window in tokens.
+	// Window is this daemon's share of the target's window in tokens.
 	Window int `json:"window"`
 	// Hit is the number of prompt tokens expected in the target's prefix cache.
 	Hit int `json:"hit"`
-	// Score is lower for better targets; its unit is expected seconds.
+	// Score is the expected time in seconds; lower is better.
 	Score float64 `json:"score"`
-	// Skip says why the target could not be chosen; empty if it could.
+	// Skip is the reason why the target could not be chosen; empty if it could.
 	Skip string `json:"skip,omitempty"`
 }
 
-// EventKind names what happened at a target.
+// EventKind is the kind of an event at a target.
 type EventKind int
 
 const (
-	// EventUnsent is an attempt of which no byte left; the work waits again.
+	// EventUnsent is an attempt that failed before any byte was sent; the work waits again.
 	EventUnsent EventKind = iota
 	// EventFirst is the first token or byte of an answer.
 	EventFirst
-	// EventDone is a whole answer.
+	// EventDone is a complete answer.
 	EventDone
-	// EventFailed is an answer that will not be whole.
+	// EventFailed is an answer that will not be completed.
 	EventFailed
-	// EventRefused is a target that said that it did not run the work.
+	// EventRefused is a target that reported that it did not run the work.
 	EventRefused
 	// EventReport is a load report.
 	EventReport
-	// EventCache is a notice that blocks were cached or dropped.
+	// EventCache is a notification that blocks were cached or evicted.
 	EventCache
-	// EventLeaving is first-hand evidence that a target takes no more work.
+	// EventLeaving is first-hand evidence that a target accepts no more work.
 	EventLeaving
-	// EventStaying takes EventLeaving back.
+	// EventStaying withdraws EventLeaving.
 	EventStaying
 )
 
-// Event is something that happened at a target. Fields not named by the kind's
-// use are zero.
+// Event is something that happened at a target. Fields that the kind does not use are zero.
 type Event struct {
 	Kind   EventKind
 	Target string
-	// Incarnation is the life of the target that the event tells of. One of an
-	// earlier life says nothing of the target as it is now.
+	// Incarnation is the incarnation of the target that the event refers to. An event of an
+	// earlier incarnation says nothing about the target's current state.
 	Incarnation uint64
-	// Work is set for the kinds that end or move one request.
+	// Work is set for the kinds that end a request or change its state.
 	Work *Work
 	// Sent is when the work was dispatched.
 	Sent time.Time
 	// Tokens is the number of output tokens received, for EventDone and EventFailed.
 	Tokens int
-	// Cached is the number of prompt tokens that the target found cached, or -1.
+	// Cached is the number of prompt tokens that the target found in its cache, or -1.
 	Cached int
-	// CallerLeft is true for an EventFailed that tells nothing of the target: the
+	// CallerLeft is true for an EventFailed that says nothing about the target, because the
 	// caller left.
 	CallerLeft bool
 	// Report is set for EventReport.
 	Report Report
-	// Blocks are the cumulative hashes stored (or dropped, if Dropped), for EventCache.
+	// Blocks holds the cumulative hashes stored (or evicted, if Dropped), for EventCache.
 	Blocks  []uint64
 	Dropped bool
 }
 
-// Report is a target's own statement of its load; it arrives late.
+// Report is a load report of a target. It arrives with a delay.
 type Report struct {
-	// Measured is when the target took the reading, by the reader's clock.
+	// Measured is when the target measured its load, by the reader's clock.
 	Measured time.Time
 	// Running is the number of requests in the batch.
 	Running int
 	// Waiting is the number of requests queued in the target.
 	Waiting int
-	// Tokens is the work held, in tokens still to prefill or generate.
+	// Tokens is the outstanding work, in tokens to prefill or generate.
 	Tokens int
-	// Batch is the largest number of requests the target runs at once; 0 if unknown.
+	// Batch is the maximum number of requests that the target runs concurrently; 0 if unknown.
 	Batch int
 }
 
-// Share is one daemon's part of the windows of a pool's targets.
+// Share is one daemon's share of the windows of a pool's targets.
 type Share struct {
-	// Fractions maps a target's name to a fraction between 0 and 1; a target not
-	// named takes Default.
+	// Fractions maps a target's name to a fraction between 0 and 1. Default applies to targets
+	// that are not in it.
 	Fractions map[string]float64
-	// Default is the fraction for other targets: 1 for a daemon alone.
+	// Default is the fraction for other targets; 1 for a single daemon.
 	Default float64
-	// UnknownSenders is true if daemons that this one does not hear send work to the targets
-	// too, so that only the targets themselves know how busy they are.
+	// UnknownSenders is true if daemons that do not report to this one also send work to the
+	// targets, so that only the targets themselves know their load.
 	UnknownSenders bool
 }
 
-// Demand is a daemon's line about one pool in the summaries that daemons exchange.
+// Demand is a daemon's summary of one pool, which daemons exchange.
 type Demand struct {
 	Pool string `json:"pool"`
-	// Waiting and Running are estimated tokens by rank.
+	// Waiting and Running are in estimated tokens by rank.
 	Waiting []int `json:"waiting"`
 	Running []int `json:"running"`
-	// WaitingRequests is the number of waiting requests by rank, Busy that of running ones.
+	// WaitingRequests is the number of waiting requests by rank, RunningRequests that of
+	// running ones.
 	WaitingRequests []int `json:"requests"`
 	RunningRequests []int `json:"busy,omitempty"`
-	// Slots is the learned window of all the pool's targets in requests, not
-	// only this daemon's part; 0 if it is not known.
+	// Slots is the learned window of all the pool's targets in requests, not only this
+	// daemon's share; 0 if unknown.
 	Slots int `json:"slots,omitempty"`
 }
 
-// TargetView is what one daemon knows of a target.
+// TargetView is the state of a target as one daemon sees it.
 type TargetView struct {
 	Target string `json:"target"`
 	Pool   string `json:"pool"`
 	// State is one of ready, slow, ejected, probing, leaving, drained.
 	State string `json:"state"`
-	// Window is the learned window of the whole target in tokens; Part is this daemon's fraction.
+	// Window is the learned window of the whole target in tokens, Share this daemon's fraction
+	// of it.
 	Window int     `json:"window"`
 	Share  float64 `json:"part"`
 	// Held and Requests are this daemon's own in-flight work.
 	Held     int `json:"held"`
 	Requests int `json:"requests"`
-	// PrefillRate and DecodeRate are learned, in tokens a second.
+	// PrefillRate and DecodeRate are learned, in tokens per second.
 	PrefillRate float64 `json:"prefill_rate"`
 	DecodeRate  float64 `json:"decode_rate"`
-	// Age is how old the last report is.
+	// Age is the age of the last report.
 	Age time.Duration `json:"age"`
 }
 
-// PeerLoad is what another daemon tells of its work.
+// PeerLoad is what another daemon reports about its work.
 type PeerLoad struct {
 	Name string
-	// InFlight counts its requests at each target. Targets are named by their
-	// identity here and below, so that nothing that was told of one life of a
-	// target counts for the next.
+	// InFlight is the number of its requests at each target. Targets are keyed by their
+	// identity here and below, so that nothing reported about one incarnation of a target
+	// counts for the next.
 	InFlight map[string]int
-	// PendingPrompts is how much prompt of these requests still waits there for its
-	// prefill, in thousands of tokens; targets with little of it are left out.
+	// PendingPrompts is the amount of prompt of these requests that waits for prefill at each
+	// target, in thousands of tokens. Targets with small amounts are left out.
 	PendingPrompts map[string]int
-	// WaitingRanks is the highest rank that waits there, by pool; a pool that is not in
-	// it has nothing waiting.
+	// WaitingRanks is the highest rank that waits there, by pool. Nothing waits in a pool that
+	// is not in it.
 	WaitingRanks map[string]int
-	// Speeds is what it learned of targets.
+	// Speeds holds the speeds of targets that it learned.
 	Speeds map[string]Speed
-	// PartialView is true if it places work without knowing all that others place: its own, or
-	// that of a part of its group.
+	// PartialView is true if it places work without knowing all the work that others place:
+	// because it places its own work, or that of only a part of its group.
 	PartialView bool
 }
 
-// NewPeerLoad returns a Mate that has told nothing yet.
+// NewPeerLoad returns the load of a peer that has not reported yet.
 func NewPeerLoad(name string) PeerLoad {
 	return PeerLoad{
 		Name: name, InFlight: map[string]int{}, PendingPrompts: map[string]int{}, WaitingRanks: map[string]int{},
@@ -234,8 +235,8 @@
 	}
 }
 
-// Speed is how fast a target works for one request, in tokens a second to
-// prefill and events a second to generate.
+// Speed is the speed of a target for a single request, in tokens per second for prefill and events
+// per second for generation.
 type Speed struct {
 	Prefill int `json:"p"`
 	Decode  int `json:"d"`
--- a/store.go
+++ b/store.go
@@ -11,22 +11,22 @@
 var (
 	// ErrNotFound means that the key holds no value.
 	ErrNotFound = errors.New("key holds no value")
-	// ErrConflict means that the key's revision is another one; nothing was written.
+	// ErrConflict means that the key has another revision; nothing was written.
 	ErrConflict = errors.New("key has another revision")
-	// ErrUnavailable means that the service refused the call; nothing was written.
+	// ErrUnavailable means that the service rejected the call; nothing was written.
 	ErrUnavailable = errors.New("platform service is unavailable")
-	// ErrLimited means that the call was above the service's rate; nothing was written.
+	// ErrLimited means that the call exceeded the service's rate limit; nothing was written.
 	ErrLimited = errors.New("platform service limits the rate")
 	// ErrUnknown means that a write may or may not have taken effect.
 	ErrUnknown = errors.New("outcome of the write is unknown")
-	// ErrCompacted means that the history asked for is no longer kept.
+	// ErrCompacted means that the requested history is no longer available.
 	ErrCompacted = errors.New("history of the store is gone")
 	// ErrLeaseExpired means that a lease is no longer held.
 	ErrLeaseExpired = errors.New("lease has lapsed")
 )
 
-// MaxValue is the largest value the platform's service takes, in bytes (brief,
-// "Where it will run": values up to a megabyte).
+// MaxValue is the largest value in bytes that the platform's service accepts, which takes values up
+// to a megabyte.
 const MaxValue = 1 << 20
 
 // AnyRevision makes a Put unconditional.
@@ -36,80 +36,81 @@
 type Entry struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Revision grows with every write to the store; 0 means absent.
+	// Revision grows with every write to the store; 0 means that the key does not exist.
 	Revision uint64 `json:"revision"`
-	// Deleted is true in watch results for a removed key.
+	// Deleted is true in the results of Watch for a removed key.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// LeaseID names a lease.
+// LeaseID identifies a lease.
 type LeaseID uint64
 
-// Store is the platform's key-value service. Every method is one counted call,
-// a waiting Watch too.
+// Store is the platform's key-value service. Every method, including a blocking Watch, is one call
+// that counts towards the service's rate limit.
 type Store interface {
-	// Get reads one key, or ErrNotFound.
+	// Get reads one key. It returns ErrNotFound if the key does not exist.
 	Get(ctx context.Context, key string) (Entry, error)
-	// Put writes if the key's revision is the one given (0: absent) and returns the new one.
+	// Put writes the value if the key has the given revision (0: does not exist) and returns
+	// the new revision.
 	Put(ctx context.Context, key string, value []byte, revision uint64, lease LeaseID) (uint64, error)
-	// Delete removes the key if its revision is the one given.
+	// Delete removes the key if it has the given revision.
 	Delete(ctx context.Context, key string, revision uint64) error
 	// List reads the keys with a prefix, in order.
 	List(ctx context.Context, prefix string) ([]Entry, error)
-	// Watch waits for changes under a prefix above a revision, for at most wait.
-	// It returns none when the time passes.
+	// Watch waits up to wait for changes under a prefix after a revision. It returns no
+	// entries on a timeout.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Entry, error)
-	// Grant makes a lease; keys written under it vanish when it lapses.
+	// Grant creates a lease. Keys written under it are removed when it expires.
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew extends a lease, or ErrLeaseExpired.
+	// Renew extends a lease. It returns ErrLeaseExpired if the lease is no longer held.
 	Renew(ctx context.Context, id LeaseID) error
 	// Revoke ends a lease and removes its keys.
 	Revoke(ctx context.Context, id LeaseID) error
 }
 
-// StaleLister is a Store that also lists keys as they were some seconds ago, which
-// costs it a tenth.
+// StaleLister is a Store that can also list keys as they were some seconds ago, which costs the
+// service a tenth of a current list.
 type StaleLister interface {
 	// ListStale reads the keys with a prefix, in order.
 	ListStale(ctx context.Context, prefix string) ([]Entry, error)
 }
 
-// HostState is what the platform's list says of a host.
+// HostState is the state of a host in the platform's list.
 type HostState string
 
 const (
 	// HostLive is a host in use.
 	HostLive HostState = "live"
-	// HostLeaving is a host that will be stopped.
+	// HostLeaving is a host that is about to be stopped.
 	HostLeaving HostState = "leaving"
 )
 
-// Host is a line of the platform's list. The list lags.
+// Host is an entry of the platform's list, which lags behind.
 type Host struct {
-	// Addr is the IP number and port of what runs there.
+	// Addr is the IP address and port of the target on the host.
 	Addr   string    `json:"addr"`
 	Domain string    `json:"domain"`
 	State  HostState `json:"state"`
 }
 
-// Hosts is the platform's list of live and leaving hosts.
+// Hosts provides the platform's list of live and leaving hosts.
 type Hosts interface {
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Feed is a Store whose changes can be followed without a gap.
+// Feed is a Store whose changes can be followed without gaps.
 type Feed interface {
-	// Snapshot reads all keys with a prefix. Revision is from before the first
-	// page, so that following from there misses nothing.
+	// Snapshot reads all keys with a prefix. The revision of the listing is from before the
+	// first page, so that following from it misses no change.
 	Snapshot(ctx context.Context, prefix string) (Listing, error)
-	// Follow waits for changes above a revision like Store.Watch, and tells the
-	// store's revision. It fails with ErrCompacted if changes may be missing.
+	// Follow waits for changes after a revision like Store.Watch and also returns the store's
+	// revision. It fails with ErrCompacted if changes may be missing.
 	Follow(ctx context.Context, prefix string, after uint64, wait time.Duration) (Listing, error)
 }
 
-// ReceiveMonitor is a Feed that tells of answers while they arrive.
+// ReceiveMonitor is a Feed that reports whether answers are being received.
 type ReceiveMonitor interface {
-	// ReceivedWithin is true if bytes of an answer to Snapshot or Follow came within the
-	// given time.
+	// ReceivedWithin reports whether bytes of an answer to Snapshot or Follow arrived within
+	// the given time.
 	ReceivedWithin(within time.Duration) bool
 }
--- a/target.go
+++ b/target.go
@@ -7,49 +7,50 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of a Backend. An error that is none of these leaves the outcome unknown.
+// Errors of a Backend. After any other error the outcome is unknown.
 var (
 	// ErrUnsent means that no byte of the request left this host.
 	ErrUnsent = errors.New("request was not sent")
-	// ErrUnreachable means that the target took no connection; ErrUnsent marks
-	// the same error. Want of descriptors or ports on this host is not meant:
-	// it would make all targets look dead to a daemon under load.
+	// ErrUnreachable means that the target did not accept the connection; the error is also
+	// marked as ErrUnsent. It does not cover a lack of file descriptors or ports on this host,
+	// which would make all targets look dead to a daemon under load.
 	ErrUnreachable = errors.New("target takes no connection")
-	// ErrNotRun means that the target said that it did not run the request.
+	// ErrNotRun means that the target reported that it did not run the request.
 	ErrNotRun = errors.New("target did not run the request")
-	// ErrDraining means that the target said so because it is leaving; it wraps ErrNotRun.
+	// ErrDraining means that the target did not run the request because it is leaving; it
+	// wraps ErrNotRun.
 	ErrDraining = errors.Wrap(ErrNotRun, "target is leaving")
-	// ErrRequestMismatch means that an answer carried another request's id.
+	// ErrRequestMismatch means that an answer carried the ID of another request.
 	ErrRequestMismatch = errors.New("answer belongs to another request")
-	// ErrTruncated means that an answer ended before its end mark.
+	// ErrTruncated means that an answer ended before its end marker.
 	ErrTruncated = errors.New("answer was cut short")
-	// ErrGone means that a target no longer knows the request to resume.
+	// ErrGone means that the target no longer holds the answer that was to be resumed.
 	ErrGone = errors.New("target does not hold the answer")
 )
 
 // Call is a request as it is sent to a target.
 type Call struct {
-	// ID is the request's id; the answer must carry it.
+	// ID is the request's ID, which the answer must carry.
 	ID string
-	// Method and Path are those of the caller, the pool's prefix removed.
+	// Method and Path are those of the caller's request, without the pool's prefix.
 	Method string
 	Path   string
-	// Key is the caller's idempotency key, passed on to services.
+	// Key is the caller's idempotency key, which is forwarded to services.
 	Key string
-	// Header holds the end-to-end headers to pass on.
+	// Header holds the end-to-end headers to forward.
 	Header map[string]string
 	Body   []byte
-	// Stream is true if the caller wants the answer as it comes.
+	// Stream is true if the caller wants a streamed answer.
 	Stream bool
 }
 
 // Chunk is a piece of an answer.
 type Chunk struct {
-	// Data belongs to the receiver until the next call.
+	// Data is valid until the next call.
 	Data []byte
-	// Offset is the sequence number of the piece, from 1, for a resume.
+	// Offset is the sequence number of the chunk, starting at 1, for resuming.
 	Offset int
-	// Tokens is the number of output tokens in the piece.
+	// Tokens is the number of output tokens in the chunk.
 	Tokens int
 }
 
@@ -61,34 +62,34 @@
 	Cached int
 }
 
-// Answer is an answer being read. It is used by one goroutine.
+// Answer is an answer that is being read. It is not safe for concurrent use.
 type Answer interface {
-	// Head is available once the Answer is.
+	// Head returns the head, which is available immediately.
 	Head() Head
-	// Next returns the next piece, or io.EOF only after the whole answer.
+	// Next returns the next chunk. It returns io.EOF only after the complete answer.
 	Next(ctx context.Context) (Chunk, error)
-	// Close gives the connection up; it may be called twice.
+	// Close releases the connection. It may be called twice.
 	Close() error
 }
 
-// Backend speaks to the targets of one kind. No method sends a request twice.
+// Backend is the client of the targets of one kind. No method sends a request twice.
 type Backend interface {
 	// Dispatch sends the call once and returns when the answer begins.
 	Dispatch(ctx context.Context, t Target, c *Call) (Answer, error)
-	// Resume reads an answer again from behind the given offset on a new
-	// connection. It is no new dispatch: the target does not run the work again.
+	// Resume reads the rest of an answer after the given offset on a new connection. The
+	// target does not run the work again.
 	Resume(ctx context.Context, t Target, c *Call, offset int) (Answer, error)
-	// Cancel asks the target to stop work whose answer nobody wants.
+	// Cancel asks the target to stop work whose answer is no longer needed.
 	Cancel(ctx context.Context, t Target, id string) error
 }
 
-// Watcher learns the state of targets on its own.
+// Watcher reads the state of targets independently of requests.
 type Watcher interface {
-	// Poll reads a target's load report and cache events.
+	// Poll reads the load report and the cache events of a target.
 	Poll(ctx context.Context, t Target) ([]Event, error)
 }
 
-// OrderKind names an order to a target.
+// OrderKind is the kind of an order to a target.
 type OrderKind string
 
 // The orders that targets accept.
@@ -100,16 +101,16 @@
 	OrderRole    OrderKind = "role"
 )
 
-// Order changes what a target serves.
+// Order is a command that changes what a target serves.
 type Order struct {
-	// ID makes a repeated order harmless.
+	// ID makes repeating an order harmless.
 	ID     string    `json:"id"`
 	Kind   OrderKind `json:"kind"`
 	Target string    `json:"target"`
 	// Value is the model, adapter, version or role.
 	Value string `json:"value"`
-	// Fence grows with each holder of the order lease.
+	// Fence is the fencing number, which grows with each holder of the order lease.
 	Fence uint64 `json:"fence"`
-	// Sent is when the holder passed its last check.
+	// Sent is when the holder last verified that it holds the lease.
 	Sent time.Time `json:"sent"`
 }
