--- a/internal/route/classify/classify_test.go
+++ b/internal/route/classify/classify_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-func TestPrefix(t *testing.T) {
+// The prefix hashes of a request cover full cache blocks only.
+func TestPrefixHashesCoverFullBlocks(t *testing.T) {
 	is := is.New(t)
 	text := strings.Repeat("0123456789abcdef", 40) // two and a half blocks
 	r := newRequest(`{"model":"m","prompt":"` + text + `"}`)
--- a/internal/route/meter/meter.go
+++ b/internal/route/meter/meter.go
@@ -18,7 +18,7 @@
 // Meter holds the metrics of each tier, so that a request needs one map lookup.
 type Meter struct {
 	scope tally.Scope
-	tiers sync.Map // of string to *tier
+	tiers sync.Map // map[string]*tierMetrics
 }
 
 // tierMetrics holds the metrics of one tier.
@@ -33,7 +33,7 @@
 	// a complete answer.
 	wait    tally.Histogram
 	latency tally.Histogram
-	refused sync.Map // of fireflypath.Reason to tally.Counter
+	refused sync.Map // map[fireflypath.Reason]tally.Counter
 }
 
 // New returns a Meter that reports to the scope.
--- a/internal/route/pool/refused_test.go
+++ b/internal/route/pool/refused_test.go
@@ -29,22 +29,22 @@
 				targets = append(targets, fireflypath.Target{Name: fmt.Sprint("e", i), Pool: "chat", Drained: true})
 			}
 			p.SetTargets(targets)
-			var ring fireflypath.Recorder
+			var recorder fireflypath.Recorder
 			if on {
-				ring = record.New(0)
+				recorder = record.New(0)
 			}
 			offer := func() (*request.Request, error) {
 				r := &request.Request{Config: &fireflypath.Config{}, WaitResult: make(chan request.WaitResult, 1)}
 				r.Work.ID, r.Work.Pool, r.Work.Arrived = "d1.X", "chat", clock.Now()
 				r.Work.Deadline = r.Work.Arrived.Add(time.Hour)
 				r.Work.Cost.Prompt = 10
-				r.Draft = draft.New(ring, &r.Work, 1)
+				r.Draft = draft.New(recorder, &r.Work, 1)
 				return r, p.Wait(b.Context(), r)
 			}
-			waits := make(chan error, 1)
+			result := make(chan error, 1)
 			go func() {
 				_, err := offer()
-				waits <- err
+				result <- err
 			}()
 			for p.Demand().WaitingRequests == nil || p.Demand().WaitingRequests[0] == 0 {
 				runtime.Gosched()
@@ -58,7 +58,7 @@
 				r.Draft.End(clock.Now(), r.Work.Lifecycle.State(), 0, nil)
 			}
 			p.Close(fireflypath.Refusal{Code: fireflypath.ReasonStopping})
-			<-waits
+			<-result
 		})
 	}
 }
--- a/internal/route/pool/tier_order_test.go
+++ b/internal/route/pool/tier_order_test.go
@@ -37,12 +37,12 @@
 // before the waiting requests of both lower tiers in this pool and at peers.
 // The lowest tier is refused first, and the refusals are not delayed.
 func TestHighestTierIsRefusedLast(t *testing.T) {
-	for _, alone := range []bool{false, true} {
+	for _, singleDaemon := range []bool{false, true} {
 		is := is.New(t)
 		clock := clockwork.NewFakeClock()
 		recording := &recordingRelief{tokens: 100}
 		var relief fireflypath.Relief = recording
-		if alone {
+		if singleDaemon {
 			relief = nil
 		}
 		p := pool.New("chat", clock, sched.New(sched.Config{Pool: fireflypath.Pool{Name: "chat"}, LowestRank: 2}), relief)
@@ -70,7 +70,7 @@
 		clock.Advance(2 * time.Second)
 		wg.Wait()
 		is.Equal(works[0].Lifecycle.State(), fireflypath.StateExpired)
-		if !alone {
+		if !singleDaemon {
 			is.Equal(recording.ranks, []int{1, 0, 1, 0})
 		}
 	}
--- a/internal/route/pools/pools.go
+++ b/internal/route/pools/pools.go
@@ -319,8 +319,8 @@
 		return true
 	}
 	s := v.(fireflypath.Share)
-	if part, named := s.Fractions[t.Name]; named {
-		return part > 0
+	if fraction, ok := s.Fractions[t.Name]; ok {
+		return fraction > 0
 	}
 	return s.Default > 0
 }
--- a/internal/route/records_test.go
+++ b/internal/route/records_test.go
@@ -88,10 +88,10 @@
 // An answered request has a record under the id that its caller receives.
 func TestRecordOfAnsweredRequest(t *testing.T) {
 	is := is.New(t)
-	ring := record.New(0)
-	r := serve(newRoute(ring))
+	recorder := record.New(0)
+	r := serve(newRoute(recorder))
 	is.Equal(r.Reply.Status, 200)
-	got := ring.Find(r.Work.ID)
+	got := recorder.Find(r.Work.ID)
 	is.True(got != nil)
 	is.Equal(got.State, "answered")
 	is.Equal(got.Team, "a")
@@ -104,10 +104,10 @@
 // still waiting.
 func TestRecordOfRefusedRequest(t *testing.T) {
 	is := is.New(t)
-	ring := record.New(0)
-	r := serveAs(newRoute(ring), "unknown")
+	recorder := record.New(0)
+	r := serveAs(newRoute(recorder), "unknown")
 	is.Equal(r.Reply.Status, 401)
-	got := ring.Find(r.Work.ID)
+	got := recorder.Find(r.Work.ID)
 	is.True(got != nil)
 	is.Equal(got.State, "refused")
 }
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -105,6 +105,7 @@
 	return nil
 }
 
+// complete ends a request whose answer was read completely.
 func (l *Relay) complete(f *follower) {
 	r := f.request
 	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateAnswered)
@@ -153,6 +154,7 @@
 	_ = l.withdraw(f)
 }
 
+// withdraw ends a request whose caller left while it ran.
 func (l *Relay) withdraw(f *follower) error {
 	r := f.request
 	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
