--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := door.New(ln, 0, Crowded)
+	d := door.New(ln, 0, RefuseConnection)
 	s := New(way{}, departures.New(clockwork.NewRealClock()), limits)
 	go func() { _ = s.Serve(d) }()
 	t.Cleanup(func() { _ = d.Kill() })
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -55,7 +55,7 @@
 // Server is the callers' front door.
 type Server struct {
 	route  Route
-	gone   *departures.Departures
+	gone   *departures.Watcher
 	server *fasthttp.Server
 	bodies *bodies.Bodies
 	// largest bounds one body.
@@ -63,7 +63,7 @@
 }
 
 // New returns a server that does not listen yet.
-func New(route Route, gone *departures.Departures, limits settings.Limits) *Server {
+func New(route Route, gone *departures.Watcher, limits settings.Limits) *Server {
 	largest := orDefault(limits.Body, defaultBody)
 	s := &Server{
 		route: route, gone: gone, largest: largest,
@@ -261,8 +261,8 @@
 // Printf does nothing.
 func (silent) Printf(string, ...any) {}
 
-// Crowded answers a connection above the limit and closes it.
-func Crowded(c net.Conn) {
+// RefuseConnection answers a connection above the limit and closes it.
+func RefuseConnection(c net.Conn) {
 	defer c.Close()
 	reply := refuse.Reply(&fireflypath.Refusal{
 		Code: fireflypath.ReasonFull, Detail: "too many connections", Run: fireflypath.RunNo, RetryAfter: time.Second,
--- a/internal/caller/departures/departures.go
+++ b/internal/caller/departures/departures.go
@@ -16,16 +16,16 @@
 // caller's leaving frees its place at most this much later.
 const every = 50 * time.Millisecond
 
-// Departures looks at the sockets of held requests.
+// Watcher looks at the sockets of held requests.
 //
 // The server library reads nothing while a request is held, so a caller that
 // left would be noticed only when its answer is written. Until then its work
 // would wait, be dispatched and run for nobody. The kernel knows: POLLRDHUP
 // tells that the other side has closed, and reads no byte of a next request.
-type Departures struct {
+type Watcher struct {
 	clock clockwork.Clock
 	mu    sync.Mutex
-	held  map[*Held]struct{}
+	held  map[*Watch]struct{}
 }
 
 // Socket is a connection that knows the socket below it.
@@ -33,24 +33,24 @@
 	Raw() syscall.RawConn
 }
 
-// Held is one request whose caller is watched.
-type Held struct {
+// Watch is one request whose caller is watched.
+type Watch struct {
 	raw  syscall.RawConn
 	left func()
 }
 
 // New returns Departures that watch nobody.
-func New(clock clockwork.Clock) *Departures {
-	return &Departures{clock: clock, held: map[*Held]struct{}{}}
+func New(clock clockwork.Clock) *Watcher {
+	return &Watcher{clock: clock, held: map[*Watch]struct{}{}}
 }
 
 // Add watches the connection, if it is a Socket, and calls left once if the caller closes it.
-func (d *Departures) Add(c net.Conn, left func()) *Held {
+func (d *Watcher) Add(c net.Conn, left func()) *Watch {
 	s, ok := c.(Socket)
 	if !ok || s.Raw() == nil {
 		return nil
 	}
-	h := &Held{raw: s.Raw(), left: left}
+	h := &Watch{raw: s.Raw(), left: left}
 	d.mu.Lock()
 	d.held[h] = struct{}{}
 	d.mu.Unlock()
@@ -58,7 +58,7 @@
 }
 
 // Remove ends the watch; nil is allowed.
-func (d *Departures) Remove(h *Held) {
+func (d *Watcher) Remove(h *Watch) {
 	if h == nil {
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // Run looks until the context ends.
-func (d *Departures) Run(ctx context.Context) {
+func (d *Watcher) Run(ctx context.Context) {
 	t := d.clock.NewTicker(every)
 	defer t.Stop()
 	for {
@@ -81,9 +81,9 @@
 	}
 }
 
-func (d *Departures) look() {
+func (d *Watcher) look() {
 	d.mu.Lock()
-	held := make([]*Held, 0, len(d.held))
+	held := make([]*Watch, 0, len(d.held))
 	for h := range d.held {
 		held = append(held, h)
 	}
@@ -96,10 +96,10 @@
 	}
 }
 
-// All treats all callers as gone.
-func (d *Departures) All() {
+// DisconnectAll treats all callers as gone.
+func (d *Watcher) DisconnectAll() {
 	d.mu.Lock()
-	held := make([]*Held, 0, len(d.held))
+	held := make([]*Watch, 0, len(d.held))
 	for h := range d.held {
 		held = append(held, h)
 	}
@@ -110,7 +110,7 @@
 	}
 }
 
-func (h *Held) closed() bool {
+func (h *Watch) closed() bool {
 	closed := false
 	err := h.raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
--- a/internal/caller/door/door.go
+++ b/internal/caller/door/door.go
@@ -23,8 +23,8 @@
 	lingerBuffer = 4 << 10
 )
 
-// Door accepts at most a number of connections at once.
-type Door struct {
+// Listener accepts at most a number of connections at once.
+type Listener struct {
 	net.Listener
 	limit  int
 	refuse func(net.Conn)
@@ -36,12 +36,12 @@
 
 // New wraps the listener. A connection above the limit is given to refuse,
 // which answers and closes it; a limit of 0 means none.
-func New(ln net.Listener, limit int, refuse func(net.Conn)) *Door {
-	return &Door{Listener: ln, limit: limit, refuse: refuse, conns: map[*conn]struct{}{}}
+func New(ln net.Listener, limit int, refuse func(net.Conn)) *Listener {
+	return &Listener{Listener: ln, limit: limit, refuse: refuse, conns: map[*conn]struct{}{}}
 }
 
 // Accept waits for the next connection below the limit.
-func (d *Door) Accept() (net.Conn, error) {
+func (d *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := d.Listener.Accept()
 		if err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-func (d *Door) admit(c net.Conn) (net.Conn, bool) {
+func (d *Listener) admit(c net.Conn) (net.Conn, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.killed {
@@ -91,15 +91,15 @@
 	return c
 }
 
-// Open is the number of open connections.
-func (d *Door) Open() int {
+// OpenConns is the number of open connections.
+func (d *Listener) OpenConns() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.conns)
 }
 
 // Kill closes the listener and all connections at once.
-func (d *Door) Kill() error {
+func (d *Listener) Kill() error {
 	err := d.Close()
 	if errors.Is(err, net.ErrClosed) {
 		err = nil
@@ -117,7 +117,7 @@
 	return errors.Wrap(err, "close listener")
 }
 
-func (d *Door) remove(c *conn) {
+func (d *Listener) remove(c *conn) {
 	d.mu.Lock()
 	delete(d.conns, c)
 	d.mu.Unlock()
@@ -126,7 +126,7 @@
 // conn leaves the door's count when it closes.
 type conn struct {
 	net.Conn
-	door  *Door
+	door  *Listener
 	once  sync.Once
 	raw   syscall.RawConn
 	armed time.Time
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -21,7 +21,7 @@
 // then as many as eight callers can.
 func BenchmarkOverhead(b *testing.B) {
 	is := is.New(b)
-	e, err := engine.New(engine.Config{Addr: loopback.Free(), Batch: 512, Uncounted: true}, clockwork.NewRealClock())
+	e, err := engine.New(engine.Config{Addr: loopback.ListenAddr(), Batch: 512, Uncounted: true}, clockwork.NewRealClock())
 	is.NoErr(err)
 	b.Cleanup(func() { _ = e.Close() })
 	d, err := daemon.New(testkit.Settings(testkit.Config([]string{e.Addr()}, nil)), daemon.Deps{})
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -34,7 +34,7 @@
 	if limit == 0 {
 		limit = defaultConnections
 	}
-	d.front = door.New(ln, limit, caller.Crowded)
+	d.front = door.New(ln, limit, caller.RefuseConnection)
 	d.gone = departures.New(d.deps.Clock)
 	d.callers = caller.New(d.route, d.gone, d.cfg.Limits)
 	d.work.Go(func() { d.gone.Run(d.ctx) })
@@ -57,7 +57,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	d.deps.Log.Info("planned stop at its limit", zap.Int("connections", d.front.Open()))
+	d.deps.Log.Info("planned stop at its limit", zap.Int("connections", d.front.OpenConns()))
 	d.pools.Stop(stopping)
 	d.claims.Abort()
 	select {
@@ -66,6 +66,6 @@
 	case <-d.deps.Clock.After(flush):
 	}
 	err := d.front.Kill()
-	d.gone.All()
+	d.gone.DisconnectAll()
 	return err
 }
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -72,7 +72,7 @@
 	for range targets {
 		s.startTarget(t)
 	}
-	free := loopback.Free()
+	free := loopback.ListenAddr()
 	seed := freePeerPort(t)
 	for i := range daemons {
 		listen := settings.Listen{Callers: free, Ready: free, Peers: free, Operators: free}
@@ -113,7 +113,7 @@
 
 func freePeerPort(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", loopback.Free())
+	ln, err := net.Listen("tcp", loopback.ListenAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -97,11 +97,11 @@
 	engine   *engine.Engine
 	service  *service.Service
 	route    *route.Route
-	gone     *departures.Departures
+	gone     *departures.Watcher
 	callers  *caller.Server
-	front    *door.Door
+	front    *door.Listener
 	operator *fiber.App
-	back     *door.Door
+	back     *door.Listener
 	ready    atomic.Bool
 
 	// The fields below are those of a daemon with a gate.
@@ -198,7 +198,7 @@
 		return
 	}
 	_ = d.front.Kill()
-	d.gone.All()
+	d.gone.DisconnectAll()
 	_ = d.back.Kill()
 	if d.peers != nil {
 		d.peers.Close()
@@ -238,7 +238,7 @@
 }
 
 func addr(ln net.Listener) string {
-	if dr, ok := ln.(*door.Door); ok && dr == nil {
+	if dr, ok := ln.(*door.Listener); ok && dr == nil {
 		return ""
 	}
 	return ln.Addr().String()
--- a/internal/daemon/dead_test.go
+++ b/internal/daemon/dead_test.go
@@ -40,7 +40,7 @@
 func TestKilledTargetIsTakenOutByAll(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
-	e, err := engine.New(engine.Config{Addr: loopback.Free()}, clock)
+	e, err := engine.New(engine.Config{Addr: loopback.ListenAddr()}, clock)
 	is.NoErr(err)
 	addr := e.Addr()
 	store := testkit.NewMapStore(clock)
@@ -50,7 +50,7 @@
 	for i := range 2 {
 		set := testkit.Settings(testkit.Config([]string{addr}, nil))
 		set.Name = fmt.Sprint("d", i)
-		set.Listen.Peers, set.Peers = loopback.Free(), settings.Peers{Plain: true}
+		set.Listen.Peers, set.Peers = loopback.ListenAddr(), settings.Peers{Plain: true}
 		d, err := daemon.New(set, daemon.Deps{Store: store, Log: states(heard, set.Name)})
 		is.NoErr(err)
 		is.NoErr(d.Start(t.Context()))
--- a/internal/daemon/fault_test.go
+++ b/internal/daemon/fault_test.go
@@ -50,7 +50,7 @@
 func newRig(t *testing.T, s setup) *rig {
 	is := is.New(t)
 	r := &rig{t: t, records: make(chan *fireflypath.Record, 1024)}
-	s.engine.Addr = loopback.Free()
+	s.engine.Addr = loopback.ListenAddr()
 	s.service.Addr = s.engine.Addr
 	var engines, services []string
 	for range max(s.engines, 1) {
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -23,7 +23,7 @@
 	is := is.New(t)
 	store := httptest.NewServer(standin.New())
 	defer store.Close()
-	free := loopback.Free()
+	free := loopback.ListenAddr()
 	d, err := daemon.New(settings.Settings{
 		Name: "entry1", Domain: "a",
 		Listen:   settings.Listen{Callers: free, Ready: free, Peers: free, Operators: free},
--- a/internal/demo/start.go
+++ b/internal/demo/start.go
@@ -41,7 +41,7 @@
 
 func (d *Demo) startPlatform(context.Context) error {
 	d.platform = platform.New(platform.Config{Lag: platformLag}, d.clock)
-	return d.platform.Listen(loopback.Free())
+	return d.platform.Listen(loopback.ListenAddr())
 }
 
 func (d *Demo) startTargets(context.Context) error {
@@ -88,7 +88,7 @@
 }
 
 func (d *Demo) settings(i int) settings.Settings {
-	free := loopback.Free()
+	free := loopback.ListenAddr()
 	return settings.Settings{
 		Name:     fmt.Sprintf("entry%d", i+1),
 		Domain:   domain(i),
--- a/internal/engine/bytes_test.go
+++ b/internal/engine/bytes_test.go
@@ -53,10 +53,10 @@
 // connection, above TCP, with every fourth list of cache events.
 func BenchmarkBytes(b *testing.B) {
 	is := is.New(b)
-	e, err := stand.New(stand.Config{Addr: loopback.Free()}, clockwork.NewRealClock())
+	e, err := stand.New(stand.Config{Addr: loopback.ListenAddr()}, clockwork.NewRealClock())
 	is.NoErr(err)
 	defer e.Close()
-	ln, err := net.Listen("tcp", loopback.Free())
+	ln, err := net.Listen("tcp", loopback.ListenAddr())
 	is.NoErr(err)
 	defer ln.Close()
 	var n counted
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -108,7 +108,7 @@
 // New starts an engine.
 func New(cfg Config, clock clockwork.Clock) (*Engine, error) {
 	if cfg.Addr == "" {
-		cfg.Addr = loopback.Free()
+		cfg.Addr = loopback.ListenAddr()
 	}
 	if cfg.Batch == 0 {
 		cfg.Batch = defaultBatch
--- a/internal/fake/service/service.go
+++ b/internal/fake/service/service.go
@@ -67,7 +67,7 @@
 // New starts a service.
 func New(cfg Config, clock clockwork.Clock) (*Service, error) {
 	if cfg.Addr == "" {
-		cfg.Addr = loopback.Free()
+		cfg.Addr = loopback.ListenAddr()
 	}
 	ln, err := wire.Listen(cfg.Addr)
 	if err != nil {
--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -23,7 +23,7 @@
 )
 
 // relayAnswer forwards a target's response, unless its status or headers rule that out.
-func (g *Gate) relayAnswer(c *call, att *attempt, a *http1.Answer) (outcome, *refusal) {
+func (g *Gate) relayAnswer(c *call, att *attempt, a *http1.Response) (outcome, *refusal) {
 	if a.Header.Get(g.headers.NotRun) != "" || a.Status == http.StatusMisdirectedRequest {
 		att.result = "not run, status " + strconv.Itoa(a.Status)
 		g.discardBody(a)
@@ -54,12 +54,12 @@
 }
 
 // discardBody reads a short response body to its end, so that the connection can be reused.
-func (g *Gate) discardBody(a *http1.Answer) {
+func (g *Gate) discardBody(a *http1.Response) {
 	_, _ = io.CopyN(io.Discard, a, chunkSize)
 }
 
 // relayBuffered reads a response up to maxBufferedAnswer before forwarding it.
-func (g *Gate) relayBuffered(c *call, att *attempt, a *http1.Answer) (outcome, *refusal) {
+func (g *Gate) relayBuffered(c *call, att *attempt, a *http1.Response) (outcome, *refusal) {
 	body, err := io.ReadAll(io.LimitReader(a, maxBufferedAnswer))
 	g.recordFirstByte(c, att)
 	if err != nil {
@@ -88,8 +88,8 @@
 
 // relayLong forwards a response that is too long to buffer: first what was buffered of it,
 // then the rest as it arrives.
-func (g *Gate) relayLong(c *call, att *attempt, a *http1.Answer, buffered []byte) (outcome, *refusal) {
-	g.writeHeader(c, a, a.Length)
+func (g *Gate) relayLong(c *call, att *attempt, a *http1.Response, buffered []byte) (outcome, *refusal) {
+	g.writeHeader(c, a, a.ContentLength)
 	if _, err := c.w.Write(buffered); err != nil {
 		return g.callerLeft(c, att)
 	}
@@ -121,7 +121,7 @@
 }
 
 // relayStream forwards complete events as they arrive.
-func (g *Gate) relayStream(c *call, att *attempt, a *http1.Answer) (outcome, *refusal) {
+func (g *Gate) relayStream(c *call, att *attempt, a *http1.Response) (outcome, *refusal) {
 	src := events.NewReader(a, c.lastEvent)
 	for {
 		chunk, err := src.Next()
@@ -172,7 +172,7 @@
 }
 
 // writeHeader writes the response's status and headers.
-func (g *Gate) writeHeader(c *call, a *http1.Answer, length int64) {
+func (g *Gate) writeHeader(c *call, a *http1.Response, length int64) {
 	h := c.w.Header()
 	drop := connectionNamed(a.Header)
 	for name, values := range a.Header {
--- a/internal/gate/call.go
+++ b/internal/gate/call.go
@@ -87,7 +87,7 @@
 
 // savedAnswer is a fully read response of a target.
 type savedAnswer struct {
-	answer *http1.Answer
+	answer *http1.Response
 	body   []byte
 }
 
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -199,7 +199,7 @@
 func (g *Gate) sendAttempt(c *call, att *attempt) (outcome, *refusal) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
-	var a *http1.Answer
+	var a *http1.Response
 	for unsent := 0; ; unsent++ {
 		var err error
 		stop := g.watchForSilence(c, att, cancel)
@@ -285,7 +285,7 @@
 }
 
 // observeLoad passes the load that the target reports in its response to the pools.
-func (g *Gate) observeLoad(att *attempt, a *http1.Answer) {
+func (g *Gate) observeLoad(att *attempt, a *http1.Response) {
 	l, ok := g.deps.Codec.Load(a.Header.Get(g.headers.Load))
 	if !ok {
 		return
@@ -317,11 +317,11 @@
 		h[g.headers.Team] = []string{c.team.Name}
 	}
 	if c.lastEvent != "" {
-		h[http1.Canonical(g.headers.Event)] = []string{c.lastEvent}
+		h[http1.CanonicalHeader(g.headers.Event)] = []string{c.lastEvent}
 	}
 	return &http1.Request{
 		ID: c.id, Method: c.r.Method, URI: c.requestURI(), Host: c.r.Host, Header: h, Body: c.body,
-		Length: c.r.ContentLength != 0 || c.r.Header.Get("Content-Length") != "" || c.r.Method == http.MethodPost,
+		HasBody: c.r.ContentLength != 0 || c.r.Header.Get("Content-Length") != "" || c.r.Method == http.MethodPost,
 	}
 }
 
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -87,13 +87,13 @@
 		g.deps.Quarantine = noQuarantine{}
 	}
 	for _, name := range g.headers.DaemonOnly {
-		g.ownedHeaders[http1.Canonical(name)] = true
+		g.ownedHeaders[http1.CanonicalHeader(name)] = true
 	}
 	for _, name := range hopByHop {
 		g.ownedHeaders[name] = true
 	}
-	g.ownedHeaders[http1.Canonical(g.headers.Key)] = true
-	g.ownedHeaders[http1.Canonical(g.headers.Deadline)] = true
+	g.ownedHeaders[http1.CanonicalHeader(g.headers.Key)] = true
+	g.ownedHeaders[http1.CanonicalHeader(g.headers.Deadline)] = true
 	g.steps = []step{
 		{"match", g.matchRoute},
 		{"identify", g.identifyTeam},
--- a/internal/gate/quarantine.go
+++ b/internal/gate/quarantine.go
@@ -40,7 +40,7 @@
 // reportCrash reports an attempt whose connection was ended by the target, or whose target's
 // host fell silent.
 func (g *Gate) reportCrash(c *call, att *attempt, err error) {
-	if c.ctx.Err() != nil || att.timedOut.Load() || !http1.Ended(err) {
+	if c.ctx.Err() != nil || att.timedOut.Load() || !http1.ConnectionLost(err) {
 		return // the connection was ended by this daemon or the caller
 	}
 	g.deps.Quarantine.TargetCrashed(c.digest, att.target, att.Sent)
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -12,12 +12,12 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Answer is an answer being read. It is used by one goroutine.
-type Answer struct {
+// Response is an answer being read. It is used by one goroutine.
+type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1 if only its end will tell.
-	Length int64
+	// ContentLength is the body's length, or -1 if only its end will tell.
+	ContentLength int64
 
 	client *Client
 	peer   peer
@@ -36,7 +36,7 @@
 
 // write sends the request. A large body is written beside the reading of the
 // answer: a target may answer before it has read all of it.
-func (a *Answer) write(r *Request) error {
+func (a *Response) write(r *Request) error {
 	b := r.head()
 	if len(r.Body) <= whole {
 		_, err := a.conn.Write(append(b, r.Body...))
@@ -62,7 +62,7 @@
 			b = append(b, name+": "+v+"\r\n"...)
 		}
 	}
-	if r.Length || len(r.Body) > 0 {
+	if r.HasBody || len(r.Body) > 0 {
 		b = append(b, "Content-Length: "+strconv.Itoa(len(r.Body))+"\r\n"...)
 	}
 	return append(b, "\r\n"...)
@@ -70,7 +70,7 @@
 
 // readHeader reads the answer's header. Answers of other requests that come
 // first are read past: the target sent one twice, or late.
-func (a *Answer) readHeader(r *Request) error {
+func (a *Response) readHeader(r *Request) error {
 	req := &http.Request{Method: r.Method}
 	for range maxCrossed {
 		resp, err := http.ReadResponse(a.conn.reader, req) //nolint:bodyclose // the connection is closed instead, by Close
@@ -95,17 +95,17 @@
 	return fireflypath.ErrRequestMismatch
 }
 
-func (a *Answer) accept(resp *http.Response) {
+func (a *Response) accept(resp *http.Response) {
 	a.resp = resp
 	a.Status = resp.StatusCode
 	a.Header = resp.Header
-	a.Length = resp.ContentLength
+	a.ContentLength = resp.ContentLength
 	a.bounded = resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	a.whole = resp.ContentLength == 0
 }
 
 // Read reads the body. It returns io.EOF only after the whole body.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	if a.whole {
 		return 0, io.EOF
 	}
@@ -119,13 +119,13 @@
 	return n, err
 }
 
-// Bounded is false for a body that ends with its connection.
-func (a *Answer) Bounded() bool {
+// SelfDelimited is false for a body that ends with its connection.
+func (a *Response) SelfDelimited() bool {
 	return a.bounded
 }
 
 // Close gives the connection back if the whole answer was read, else closes it.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.closed {
 		return
 	}
@@ -141,7 +141,7 @@
 
 // reusable is true if the connection is between two answers: the answer was
 // read to its end, the body was written to its end, and nothing came besides.
-func (a *Answer) reusable() bool {
+func (a *Response) reusable() bool {
 	if a.resp == nil || !a.whole || !a.bounded || a.resp.Close || a.conn.reader.Buffered() > 0 {
 		return false
 	}
@@ -159,11 +159,11 @@
 }
 
 // SetReadDeadline bounds the reads to come; zero takes the bound back.
-func (a *Answer) SetReadDeadline(t time.Time) error {
+func (a *Response) SetReadDeadline(t time.Time) error {
 	return a.conn.SetReadDeadline(t)
 }
 
-// Canonical is the form in which header names are compared.
-func Canonical(name string) string {
+// CanonicalHeader is the form in which header names are compared.
+func CanonicalHeader(name string) string {
 	return textproto.CanonicalMIMEHeaderKey(name)
 }
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -74,9 +74,9 @@
 	return &Client{clock: clock, id: id, idle: map[peer][]*conn{}}
 }
 
-// Ended is true for an error of a connection that the target ended while it ran a
+// ConnectionLost is true for an error of a connection that the target ended while it ran a
 // request, or whose host fell silent.
-func Ended(err error) bool {
+func ConnectionLost(err error) bool {
 	if errors.Is(err, fireflypath.ErrUnsent) || errors.Is(err, fireflypath.ErrRequestMismatch) {
 		return false
 	}
@@ -98,20 +98,20 @@
 	// Header holds the lines to send; no Host, no framing.
 	Header http.Header
 	Body   []byte
-	// Length is true if the caller sent a body, even an empty one.
-	Length bool
+	// HasBody is true if the caller sent a body, even an empty one.
+	HasBody bool
 }
 
 // Send writes the request once and reads the answer's header. The error is
 // fireflypath.ErrUnsent if no byte left, and fireflypath.ErrUnreached besides if
 // the target took no connection; any other error leaves the outcome unknown.
-func (c *Client) Send(ctx context.Context, t fireflypath.Target, r *Request) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, t fireflypath.Target, r *Request) (*Response, error) {
 	to := peerOf(t)
 	k, err := c.acquire(ctx, to)
 	if err != nil {
 		return nil, err
 	}
-	a := &Answer{client: c, peer: to, conn: k}
+	a := &Response{client: c, peer: to, conn: k}
 	a.stop = context.AfterFunc(ctx, func() { k.Close() })
 	before := k.written.Load()
 	if err := a.write(r); err != nil {
--- a/internal/http1/client_test.go
+++ b/internal/http1/client_test.go
@@ -66,7 +66,7 @@
 func client() *http1.Client { return http1.New(clockwork.NewRealClock(), id) }
 
 func request(name string) *http1.Request {
-	return &http1.Request{ID: name, Method: http.MethodPost, URI: "/a/b?c=%2F", Host: "h", Header: http.Header{id: {name}}, Body: []byte("x"), Length: true}
+	return &http1.Request{ID: name, Method: http.MethodPost, URI: "/a/b?c=%2F", Host: "h", Header: http.Header{id: {name}}, Body: []byte("x"), HasBody: true}
 }
 
 func text(t *testing.T, c *http1.Client, addr, name string) (string, error) {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("127.%d.%d.%d", 1+(pid>>16)&0x7f, (pid>>8)&0xff, pid&0xff)
 }
 
-// Free is Addr with port 0, for a listener on a free port.
-func Free() string {
+// ListenAddr is Addr with port 0, for a listener on a free port.
+func ListenAddr() string {
 	return Addr() + ":0"
 }
--- a/internal/send/unreached_test.go
+++ b/internal/send/unreached_test.go
@@ -18,7 +18,7 @@
 // second for each request that they place there.
 func TestRefusedConnectionIsUnreached(t *testing.T) {
 	is := is.New(t)
-	ln, err := net.Listen("tcp", loopback.Free())
+	ln, err := net.Listen("tcp", loopback.ListenAddr())
 	is.NoErr(err)
 	addr := ln.Addr().String()
 	is.NoErr(ln.Close())
--- a/internal/soak/ports.go
+++ b/internal/soak/ports.go
@@ -29,7 +29,7 @@
 // listen listens on a free port that is not a daemon's.
 func (p *ports) listen() (net.Listener, error) {
 	for range portTries {
-		ln, err := net.Listen("tcp", loopback.Free())
+		ln, err := net.Listen("tcp", loopback.ListenAddr())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testkit/daemon.go
+++ b/internal/testkit/daemon.go
@@ -55,6 +55,6 @@
 func Settings(cfg *fireflypath.Config) settings.Settings {
 	return settings.Settings{
 		Name: "d0", Domain: "d0", Initial: cfg,
-		Listen: settings.Listen{Callers: loopback.Free(), Operators: loopback.Addr() + ":0"},
+		Listen: settings.Listen{Callers: loopback.ListenAddr(), Operators: loopback.Addr() + ":0"},
 	}
 }
