--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -31,7 +31,7 @@
 const maxRecordedTargets = 16
 
 // Pool guards its scheduler with one lock. Every state change of a waiting
-// request's Life is made while that lock is held.
+// request's Lifecycle is made while that lock is held.
 type Pool struct {
 	name   string
 	clock  clockwork.Clock
@@ -62,10 +62,10 @@
 }
 
 // New returns a pool without targets. A nil relief means that the daemon has no peers.
-func New(name string, clock clockwork.Clock, sched fireflypath.Scheduler, relief fireflypath.Relief) *Pool {
+func New(name string, clock clockwork.Clock, scheduler fireflypath.Scheduler, relief fireflypath.Relief) *Pool {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Pool{
-		name: name, clock: clock, relief: relief, scheduler: sched, bytes: &atomic.Int64{},
+		name: name, clock: clock, relief: relief, scheduler: scheduler, bytes: &atomic.Int64{},
 		waiting: map[*fireflypath.Work]*request.Request{},
 		running: map[*fireflypath.Work]runningRequest{},
 		targets: map[string]fireflypath.Target{},
@@ -85,12 +85,12 @@
 	return p.ctx.Done()
 }
 
-// Wait queues the request and blocks until it has a target. Its Life is then in
+// Wait queues the request and blocks until it has a target. Its Lifecycle is then in
 // StateDispatched. Otherwise the error is the refusal that ended the wait, with
 // ReasonWithdrawn if the context ended first.
 func (p *Pool) Wait(ctx context.Context, r *request.Request) error {
 	p.offer(r)
-	return p.awaitTurn(ctx, r)
+	return p.awaitResult(ctx, r)
 }
 
 // Requeue returns a request to the queue if its dispatch failed before any byte
@@ -114,7 +114,7 @@
 	p.refuseIfClosed(r)
 	p.dispatchReady()
 	p.mu.Unlock()
-	return p.awaitTurn(ctx, r)
+	return p.awaitResult(ctx, r)
 }
 
 func (p *Pool) offer(r *request.Request) {
@@ -132,10 +132,10 @@
 	p.dispatchReady()
 }
 
-func (p *Pool) awaitTurn(ctx context.Context, r *request.Request) error {
+func (p *Pool) awaitResult(ctx context.Context, r *request.Request) error {
 	select {
-	case t := <-r.Turn:
-		return p.applyTurn(r, t)
+	case result := <-r.WaitResult:
+		return p.applyResult(r, result)
 	case <-ctx.Done():
 	}
 	p.mu.Lock()
@@ -144,11 +144,11 @@
 	if err != nil {
 		return err
 	}
-	return p.applyTurn(r, <-r.Turn)
+	return p.applyResult(r, <-r.WaitResult)
 }
 
 // withdraw removes the request from the queue and returns its refusal. It
-// returns nil if the request no longer waits and its Turn is about to be sent.
+// returns nil if the request no longer waits and its WaitResult is about to be sent.
 // The lock must be held.
 func (p *Pool) withdraw(r *request.Request) error {
 	if !r.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
@@ -169,11 +169,11 @@
 	p.bytes.Add(-int64(r.Work.Bytes))
 }
 
-func (p *Pool) applyTurn(r *request.Request, t request.Turn) error {
-	if t.Refusal != nil {
-		return t.Refusal
+func (p *Pool) applyResult(r *request.Request, result request.WaitResult) error {
+	if result.Refusal != nil {
+		return result.Refusal
 	}
-	r.Target = t.Target
+	r.Target = result.Target
 	return nil
 }
 
@@ -204,7 +204,7 @@
 	r.Sent = now
 	p.running[w] = runningRequest{request: r, target: p.placement.Target}
 	r.Draft.Placed(now, &p.placement)
-	r.Turn <- request.Turn{Target: p.targets[p.placement.Target]}
+	r.WaitResult <- request.WaitResult{Target: p.targets[p.placement.Target]}
 }
 
 // scheduleWake resets the timer if the scheduler wants to be woken earlier than
@@ -284,7 +284,7 @@
 	if r.Draft != nil {
 		r.Draft.Refused(p.targetViews(now))
 	}
-	r.Turn <- request.Turn{Refusal: p.newRefusal(r, s)}
+	r.WaitResult <- request.WaitResult{Refusal: p.newRefusal(r, s)}
 }
 
 // targetViews returns the views of the least loaded targets, at most maxViewAge
