--- a/cmd/fireflypath/do.go
+++ b/cmd/fireflypath/do.go
@@ -42,7 +42,7 @@
 				return err
 			}
 			d := doer{client: c, json: cmd.String("output") == "json"}
-			return d.run(cmd.Root().Writer, wire.Do{ID: cmd.String("id"), Words: text, Base: cmd.Uint64("base")})
+			return d.run(cmd.Root().Writer, wire.CommandRequest{ID: cmd.String("id"), Text: text, Base: cmd.Uint64("base")})
 		},
 	}
 }
@@ -61,17 +61,17 @@
 
 // outcome is what -o json prints.
 type outcome struct {
-	wire.Done
+	wire.CommandResult
 	Keys []issued `json:"keys,omitempty"`
 }
 
-func (d doer) run(w io.Writer, req wire.Do) error {
+func (d doer) run(w io.Writer, req wire.CommandRequest) error {
 	repeat := req.ID != ""
 	if !repeat {
 		req.ID = ulid.Make().String()
 	}
 	var made []issued
-	text, err := command.Issue(req.Words, func(owner string) string {
+	text, err := command.Issue(req.Text, func(owner string) string {
 		key, hash := keys.Generate()
 		made = append([]issued{{owner, key}}, made...)
 		return hash
@@ -82,7 +82,7 @@
 	if repeat && len(made) > 0 {
 		return coded{errors.New("a repeated key command must name the hash: a new key would not be the one that the id created"), exitInput}
 	}
-	req.Words = text
+	req.Text = text
 	done := d.client.Do(req)
 	if done.Outcome != wire.OutcomeDone && done.Outcome != wire.OutcomeUnknown {
 		made = nil
@@ -102,7 +102,7 @@
 		writePlan(&b, o.Plan)
 	}
 	if o.Outcome == wire.OutcomeDone {
-		fmt.Fprintln(&b, summary(o.Done))
+		fmt.Fprintln(&b, summary(o.CommandResult))
 	}
 	for _, k := range o.Keys {
 		fmt.Fprintf(&b, "key of %s, shown only now: %s\n", k.Owner, k.Key)
@@ -123,7 +123,7 @@
 	}
 }
 
-func summary(done wire.Done) string {
+func summary(done wire.CommandResult) string {
 	s := "done " + done.ID
 	if done.Generation > 0 {
 		s += fmt.Sprintf(", generation %d", done.Generation)
@@ -135,11 +135,11 @@
 }
 
 // verdict turns an outcome into the exit code.
-func verdict(done wire.Done) error {
+func verdict(done wire.CommandResult) error {
 	switch done.Outcome {
 	case wire.OutcomeDone, wire.OutcomePlanned:
 		return nil
-	case wire.OutcomeBad:
+	case wire.OutcomeInvalid:
 		return coded{errors.New(done.Detail), exitInput}
 	case wire.OutcomeUnknown:
 		return coded{errors.Newf("unknown: %s\nask 'settle %s' later, or repeat it with --id %s", done.Detail, done.ID, done.ID), exitUnknown}
--- a/cmd/fireflypath/shell.go
+++ b/cmd/fireflypath/shell.go
@@ -88,7 +88,7 @@
 	case "ask":
 		return s.ask.run(s.w, rest)
 	case "do":
-		return s.do.run(s.w, wire.Do{Words: rest})
+		return s.do.run(s.w, wire.CommandRequest{Text: rest})
 	case "help":
 		return s.help()
 	}
@@ -97,7 +97,7 @@
 			return s.ask.run(s.w, text)
 		}
 	}
-	return s.do.run(s.w, wire.Do{Words: text})
+	return s.do.run(s.w, wire.CommandRequest{Text: text})
 }
 
 // help lists the words that begin a line.
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -79,8 +79,8 @@
 
 // Do has a command done. The answer's outcome is OutcomeUnknown unless a daemon
 // said otherwise, and OutcomeUnavailable if none was reached at all.
-func (c *Client) Do(d wire.Do) wire.Done {
-	best := wire.Done{ID: d.ID, Outcome: wire.OutcomeUnavailable, Detail: "no address is given"}
+func (c *Client) Do(d wire.CommandRequest) wire.CommandResult {
+	best := wire.CommandResult{ID: d.ID, Outcome: wire.OutcomeUnavailable, Detail: "no address is given"}
 	for i := range tries {
 		addr := c.opts.Addrs[i%len(c.opts.Addrs)]
 		done := c.doOnce(addr, d)
@@ -99,8 +99,8 @@
 	return best
 }
 
-func (c *Client) doOnce(addr string, d wire.Do) wire.Done {
-	done := wire.Done{ID: d.ID}
+func (c *Client) doOnce(addr string, d wire.CommandRequest) wire.CommandResult {
+	done := wire.CommandResult{ID: d.ID}
 	r, err := c.post(addr, wire.PathDo, d)
 	if errors.Is(err, ErrUnreached) {
 		done.Outcome, done.Detail = wire.OutcomeUnavailable, "nothing was changed: "+err.Error()
@@ -114,7 +114,7 @@
 		return done
 	}
 	done.Outcome, done.Detail = wire.OutcomeUnknown, "the answer cannot be read"
-	var f wire.Failure
+	var f wire.ErrorResponse
 	if json.Unmarshal(r.body, &f) == nil && f.Detail != "" {
 		done.Outcome, done.Detail = wire.OutcomeRefused, f.Detail
 	}
@@ -125,7 +125,7 @@
 func (c *Client) Ask(words string) (*eval.Answer, error) {
 	var last error
 	for _, addr := range c.opts.Addrs {
-		r, err := c.post(addr, wire.PathAsk, wire.Ask{Words: words})
+		r, err := c.post(addr, wire.PathAsk, wire.QueryRequest{Text: words})
 		if err != nil {
 			last = errors.Mark(err, ErrUnreached)
 			continue
@@ -137,13 +137,13 @@
 
 // Held lists the requests that are held or suspected since they end targets.
 func (c *Client) Held() ([]quarantine.Row, error) {
-	var h wire.Held
+	var h wire.HeldResponse
 	return h.Rows, c.call(wire.PathHeld, struct{}{}, &h)
 }
 
 // Release lets a held request run again at all daemons.
 func (c *Client) Release(digest string) error {
-	return c.call(wire.PathRelease, wire.Release{Digest: digest}, &wire.Release{})
+	return c.call(wire.PathRelease, wire.ReleaseRequest{Digest: digest}, &wire.ReleaseRequest{})
 }
 
 // call tries the daemons in turn. What it asks for may be asked twice.
@@ -173,7 +173,7 @@
 
 // failure is the error of a refusal.
 func failure(r *reply) error {
-	var f wire.Failure
+	var f wire.ErrorResponse
 	if err := json.Unmarshal(r.body, &f); err != nil || f.Detail == "" {
 		return errors.Wrapf(ErrRefused, "with status %d", r.status)
 	}
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -51,9 +51,9 @@
 			Recorder: d.deps.Recorder, Committer: committer,
 			Views: d.pools.Views, Demands: d.pools.Demands, Open: d.pools.OpenRequests, Clock: d.deps.Clock,
 		},
-		Orderer: d.deps.Orderer,
-		Forward: forward.New(secure),
-		Scope:   d.scope,
+		Orderer:   d.deps.Orderer,
+		Forwarder: forward.New(secure),
+		Scope:     d.scope,
 	}
 	if d.quarantine != nil {
 		deps.Quarantine = d.quarantine
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -31,8 +31,8 @@
 	eval.Sources
 	// Orderer sends orders; nil refuses them.
 	Orderer fireflypath.Orderer
-	// Forward asks another daemon; nil says that it is out of reach.
-	Forward Forwarder
+	// Forwarder asks another daemon; nil says that it is out of reach.
+	Forwarder Forwarder
 	// Quarantine is nil where no request is held.
 	Quarantine Quarantine
 	Scope      tally.Scope
@@ -86,6 +86,6 @@
 	r.Post(wire.PathRelease, a.release)
 }
 
-func failure(c fiber.Ctx, status int, f wire.Failure) error {
+func failure(c fiber.Ctx, status int, f wire.ErrorResponse) error {
 	return c.Status(status).JSON(f)
 }
--- a/internal/operator/api_test.go
+++ b/internal/operator/api_test.go
@@ -97,7 +97,7 @@
 			Views:   func() []fireflypath.TargetView { return nil },
 			Demands: func() []fireflypath.Demand { return nil },
 		},
-		Orderer: o, Forward: forward.New(nil), Scope: tally.NoopScope, Quarantine: d.held,
+		Orderer: o, Forwarder: forward.New(nil), Scope: tally.NoopScope, Quarantine: d.held,
 	})
 }
 
@@ -105,8 +105,8 @@
 	return testkit.NewLedger(&fireflypath.Config{Generation: 1}, clock.Now)
 }
 
-func do(c *client.Client, text string) wire.Done {
-	return c.Do(wire.Do{ID: ulid.Make().String(), Words: text})
+func do(c *client.Client, text string) wire.CommandResult {
+	return c.Do(wire.CommandRequest{ID: ulid.Make().String(), Text: text})
 }
 
 func ask(t *testing.T, c *client.Client, text string) string {
@@ -139,10 +139,10 @@
 	done := do(c, pool)
 	is.Equal(done.Outcome, wire.OutcomeDone)
 	is.Equal(done.Generation, uint64(2))
-	again := c.Do(wire.Do{ID: done.ID, Words: pool})
+	again := c.Do(wire.CommandRequest{ID: done.ID, Text: pool})
 	is.True(again.Repeated)
 	is.Equal(l.Current().Generation, uint64(2)) // nothing was done twice
-	other := c.Do(wire.Do{ID: done.ID, Words: "drain target e1"})
+	other := c.Do(wire.CommandRequest{ID: done.ID, Text: "drain target e1"})
 	is.Equal(other.Outcome, wire.OutcomeRefused) // the id is another command's
 	is.True(strings.Contains(other.Detail, pool))
 	is.Equal(ask(t, c, "settle "+done.ID), "done: in force from generation 2")
@@ -154,7 +154,7 @@
 	is.True(strings.Contains(ask(t, c, "changes where result ~ refused"), refused.ID+"/refused"))
 
 	bad := do(c, "set tear gold")
-	is.Equal(bad.Outcome, wire.OutcomeBad)
+	is.Equal(bad.Outcome, wire.OutcomeInvalid)
 	is.Equal(bad.Syntax.Column, 5)
 	is.Equal(bad.Syntax.Expected, []string{"tier", "team", "pool", "target", "rule", "operator"})
 
@@ -173,7 +173,7 @@
 	l := newLedger(clock)
 	one, two := dial(start(t, "d1", l, clock, nil).addr), dial(start(t, "d2", l, clock, nil).addr)
 	do(one, pool)
-	results := make(chan wire.Done, 2)
+	results := make(chan wire.CommandResult, 2)
 	go func() { results <- do(one, "at 2 set pool chat models m,n") }()
 	go func() { results <- do(two, "at 2 set pool chat models m,o") }()
 	won, lost := <-results, <-results
@@ -182,7 +182,7 @@
 	}
 	is.Equal(won.Outcome, wire.OutcomeDone)
 	is.Equal(lost.Outcome, wire.OutcomeRefused)
-	is.Equal(lost.Lost, won.ID)
+	is.Equal(lost.ConflictingID, won.ID)
 	is.True(strings.Contains(lost.Detail, won.ID+" was committed first by local: at 2 set pool chat"))
 	trail := ask(t, two, "changes")
 	is.True(strings.Contains(trail, won.ID))
@@ -418,11 +418,11 @@
 	l := newLedger(clock)
 	c := dial(start(t, "d1", l, clock, nil).addr)
 	old := ulid.MustNew(ulid.Timestamp(clock.Now().Add(-48*time.Hour)), ulid.DefaultEntropy()).String()
-	is.Equal(c.Do(wire.Do{ID: old, Words: pool}).Outcome, wire.OutcomeDone)
+	is.Equal(c.Do(wire.CommandRequest{ID: old, Text: pool}).Outcome, wire.OutcomeDone)
 	for i := range eval.SettleLines {
 		is.NoErr(l.AppendAudit(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), At: clock.Now()}))
 	}
-	done := c.Do(wire.Do{ID: old, Words: pool})
+	done := c.Do(wire.CommandRequest{ID: old, Text: pool})
 	is.Equal(done.Outcome, wire.OutcomeRefused)
 	is.True(strings.Contains(done.Detail, "older than the trail"))
 	is.Equal(l.Current().Generation, uint64(2))
--- a/internal/operator/ask.go
+++ b/internal/operator/ask.go
@@ -19,11 +19,11 @@
 	if who == nil {
 		return err
 	}
-	var req wire.Ask
+	var req wire.QueryRequest
 	if err := json.Unmarshal(c.Body(), &req); err != nil {
-		return failure(c, fiber.StatusBadRequest, wire.Failure{Detail: "the body is no query: " + err.Error()})
+		return failure(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "the body is no query: " + err.Error()})
 	}
-	return a.answer(c, req.Words)
+	return a.answer(c, req.Text)
 }
 
 // settle is the query "settle ID" as an address.
@@ -57,7 +57,7 @@
 // fail answers with the status that fits the error.
 func (a *API) fail(c fiber.Ctx, err error) error {
 	a.count.failed.Inc(1)
-	f := wire.Failure{Detail: err.Error()}
+	f := wire.ErrorResponse{Detail: err.Error()}
 	status := fiber.StatusInternalServerError
 	switch {
 	case errors.As(err, &f.Syntax):
@@ -74,15 +74,15 @@
 // daemons that each take the other for its owner would pass it on for ever.
 func (a *API) forward(c fiber.Ctx, daemon, words string) error {
 	addr := a.address(daemon)
-	if c.Get(wire.HeaderForwarded) != "" || addr == "" || a.deps.Forward == nil {
+	if c.Get(wire.HeaderForwarded) != "" || addr == "" || a.deps.Forwarder == nil {
 		detail := "daemon " + daemon + " is gone or not known, and its records with it; the refusal that the caller got says why"
-		return failure(c, fiber.StatusNotFound, wire.Failure{Detail: detail})
+		return failure(c, fiber.StatusNotFound, wire.ErrorResponse{Detail: detail})
 	}
 	a.count.forwarded.Inc(1)
-	status, body, err := a.deps.Forward.Ask(addr, c.Get(fiber.HeaderAuthorization), words, askTimeout)
+	status, body, err := a.deps.Forwarder.Ask(addr, c.Get(fiber.HeaderAuthorization), words, askTimeout)
 	if err != nil {
 		detail := "daemon " + daemon + " took the request and cannot be asked now: " + err.Error()
-		return failure(c, fiber.StatusBadGateway, wire.Failure{Detail: detail})
+		return failure(c, fiber.StatusBadGateway, wire.ErrorResponse{Detail: detail})
 	}
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
 	return c.Status(status).Send(body)
--- a/internal/operator/auth.go
+++ b/internal/operator/auth.go
@@ -43,7 +43,7 @@
 		a.count.denied.Inc(1)
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 		detail := fmt.Sprintf("too many failed keys from %s: wait %s", addr, wait.Round(time.Millisecond))
-		return nil, failure(c, fiber.StatusTooManyRequests, wire.Failure{Detail: detail})
+		return nil, failure(c, fiber.StatusTooManyRequests, wire.ErrorResponse{Detail: detail})
 	}
 	a.tries.Fail(addr)
 	return nil, a.deny(c, "the operator's key is missing, unknown or ended")
@@ -51,7 +51,7 @@
 
 func (a *API) deny(c fiber.Ctx, detail string) error {
 	a.count.denied.Inc(1)
-	return failure(c, fiber.StatusUnauthorized, wire.Failure{Detail: detail})
+	return failure(c, fiber.StatusUnauthorized, wire.ErrorResponse{Detail: detail})
 }
 
 // own is true for a connection from the daemon's host: over loopback, or from
--- a/internal/operator/do.go
+++ b/internal/operator/do.go
@@ -25,7 +25,7 @@
 	wire.OutcomePlanned:     fiber.StatusOK,
 	wire.OutcomeRefused:     fiber.StatusConflict,
 	wire.OutcomeUnavailable: fiber.StatusServiceUnavailable,
-	wire.OutcomeBad:         fiber.StatusBadRequest,
+	wire.OutcomeInvalid:     fiber.StatusBadRequest,
 	wire.OutcomeUnknown:     fiber.StatusGatewayTimeout,
 }
 
@@ -34,16 +34,16 @@
 	if who == nil {
 		return err
 	}
-	var req wire.Do
+	var req wire.CommandRequest
 	if err := json.Unmarshal(c.Body(), &req); err != nil {
-		return a.finish(c, bad(wire.Done{}, "the body is no command: "+err.Error()))
+		return a.finish(c, bad(wire.CommandResult{}, "the body is no command: "+err.Error()))
 	}
-	done := wire.Done{ID: req.ID}
+	done := wire.CommandResult{ID: req.ID}
 	id, err := ulid.ParseStrict(req.ID)
 	if err != nil {
 		return a.finish(c, bad(done, "the command's id is not a ULID"))
 	}
-	script, err := command.Parse(req.Words)
+	script, err := command.Parse(req.Text)
 	if err != nil {
 		return a.finish(c, unparsed(done, err))
 	}
@@ -92,12 +92,12 @@
 	}
 }
 
-func (a *API) finish(c fiber.Ctx, done wire.Done) error {
+func (a *API) finish(c fiber.Ctx, done wire.CommandResult) error {
 	a.count.outcomes.Counter(string(done.Outcome)).Inc(1)
 	return c.Status(statuses[done.Outcome]).JSON(done)
 }
 
-func (a *API) run(ctx context.Context, who string, req wire.Do, s *command.Script) wire.Done {
+func (a *API) run(ctx context.Context, who string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
 	switch {
 	case s.Plan:
 		return a.plan(req, s)
@@ -108,8 +108,8 @@
 	}
 }
 
-func (a *API) plan(req wire.Do, s *command.Script) wire.Done {
-	done := wire.Done{ID: req.ID}
+func (a *API) plan(req wire.CommandRequest, s *command.Script) wire.CommandResult {
+	done := wire.CommandResult{ID: req.ID}
 	old := a.deps.Configs.Current()
 	done.Generation = old.Generation
 	if s.Order != nil {
@@ -130,16 +130,16 @@
 	return done
 }
 
-func (a *API) change(ctx context.Context, who string, req wire.Do, s *command.Script) wire.Done {
+func (a *API) change(ctx context.Context, who string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
 	now := a.deps.Clock.Now()
 	commit, err := a.deps.Committer.Commit(ctx, fireflypath.Change{
-		ID: req.ID, Operator: who, Command: req.Words, Base: s.Base,
+		ID: req.ID, Operator: who, Command: req.Text, Base: s.Base,
 		Apply: func(old *fireflypath.Config) (*fireflypath.Config, error) { return s.Apply(old, now) },
 	})
-	done := wire.Done{ID: req.ID, Generation: commit.Generation, Repeated: commit.Repeated, Lost: commit.ConflictingID}
+	done := wire.CommandResult{ID: req.ID, Generation: commit.Generation, Repeated: commit.Repeated, ConflictingID: commit.ConflictingID}
 	switch {
 	case err == nil && commit.ConflictingID == "":
-		return a.committed(ctx, done, req.Words)
+		return a.committed(ctx, done, req.Text)
 	case commit.ConflictingID != "":
 		done = a.lost(ctx, done, s.Base)
 	case errors.Is(err, fireflypath.ErrUnknown):
@@ -159,7 +159,7 @@
 // committed checks that a repeated command is the one that its id was made for.
 // A script that uses an id twice for two commands would otherwise read that the
 // second was done.
-func (a *API) committed(ctx context.Context, done wire.Done, words string) wire.Done {
+func (a *API) committed(ctx context.Context, done wire.CommandResult, words string) wire.CommandResult {
 	done.Outcome = wire.OutcomeDone
 	if !done.Repeated {
 		return done
@@ -178,8 +178,8 @@
 // at the letter's 4,200 changes a day.
 const repeatLines = 175
 
-func (a *API) noteRefusal(ctx context.Context, who string, req wire.Do, done wire.Done) wire.Done {
-	done.Unnoted = a.note(ctx, eval.RefusedID(req.ID), who, req.Words, "refused: "+done.Detail) != nil
+func (a *API) noteRefusal(ctx context.Context, who string, req wire.CommandRequest, done wire.CommandResult) wire.CommandResult {
+	done.AuditFailed = a.note(ctx, eval.RefusedID(req.ID), who, req.Text, "refused: "+done.Detail) != nil
 	return done
 }
 
@@ -191,12 +191,12 @@
 
 // lost names the change that was committed first, with its author and words if
 // the trail tells them.
-func (a *API) lost(ctx context.Context, done wire.Done, base uint64) wire.Done {
+func (a *API) lost(ctx context.Context, done wire.CommandResult, base uint64) wire.CommandResult {
 	done.Outcome = wire.OutcomeRefused
-	done.Detail = fmt.Sprintf("generation %d is no longer in force: change %s was committed first", base, done.Lost)
+	done.Detail = fmt.Sprintf("generation %d is no longer in force: change %s was committed first", base, done.ConflictingID)
 	lines, _ := a.deps.Committer.Trail(ctx, lostLines)
 	for _, l := range lines {
-		if l.ID == done.Lost {
+		if l.ID == done.ConflictingID {
 			done.Detail += fmt.Sprintf(" by %s: %s", l.Operator, l.Command)
 		}
 	}
@@ -206,7 +206,7 @@
 // lostLines bounds where the words of a change that won are looked for.
 const lostLines = 64
 
-func refused(done wire.Done, err error) wire.Done {
+func refused(done wire.CommandResult, err error) wire.CommandResult {
 	done.Outcome = wire.OutcomeRefused
 	done.Detail = err.Error()
 	if problems, ok := check.From(err); ok {
@@ -216,12 +216,12 @@
 	return done
 }
 
-func bad(done wire.Done, detail string) wire.Done {
-	done.Outcome, done.Detail = wire.OutcomeBad, detail
+func bad(done wire.CommandResult, detail string) wire.CommandResult {
+	done.Outcome, done.Detail = wire.OutcomeInvalid, detail
 	return done
 }
 
-func unparsed(done wire.Done, err error) wire.Done {
+func unparsed(done wire.CommandResult, err error) wire.CommandResult {
 	done = bad(done, err.Error())
 	var at *syntax.Error
 	if errors.As(err, &at) {
--- a/internal/operator/forward/forward.go
+++ b/internal/operator/forward/forward.go
@@ -34,7 +34,7 @@
 
 // Ask sends the query once with the asker's own key.
 func (c *Client) Ask(addr, authorization, words string, timeout time.Duration) (int, []byte, error) {
-	body, err := json.Marshal(wire.Ask{Words: words})
+	body, err := json.Marshal(wire.QueryRequest{Text: words})
 	if err != nil {
 		return 0, nil, errors.Wrap(err, "write the query")
 	}
--- a/internal/operator/held.go
+++ b/internal/operator/held.go
@@ -26,9 +26,9 @@
 	}
 	a.count.asked.Inc(1)
 	if a.deps.Quarantine == nil {
-		return c.JSON(wire.Held{})
+		return c.JSON(wire.HeldResponse{})
 	}
-	return c.JSON(wire.Held{Rows: a.deps.Quarantine.List()})
+	return c.JSON(wire.HeldResponse{Rows: a.deps.Quarantine.List()})
 }
 
 // release lets a request run again at all daemons.
@@ -38,18 +38,18 @@
 		return err
 	}
 	if !may(who.Role, fireflypath.RoleChange) {
-		return failure(c, fiber.StatusForbidden, wire.Failure{Detail: "operator " + who.Name + " has the role " + string(who.Role) + "; this needs change"})
+		return failure(c, fiber.StatusForbidden, wire.ErrorResponse{Detail: "operator " + who.Name + " has the role " + string(who.Role) + "; this needs change"})
 	}
-	var r wire.Release
+	var r wire.ReleaseRequest
 	if err := json.Unmarshal(c.Body(), &r); err != nil {
-		return failure(c, fiber.StatusBadRequest, wire.Failure{Detail: "the body is no release: " + err.Error()})
+		return failure(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "the body is no release: " + err.Error()})
 	}
 	d, err := digest.Parse(r.Digest)
 	if err != nil {
-		return failure(c, fiber.StatusBadRequest, wire.Failure{Detail: "a digest has 16 hexadecimal digits"})
+		return failure(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "a digest has 16 hexadecimal digits"})
 	}
 	if a.deps.Quarantine == nil || !a.deps.Quarantine.Release(d) {
-		return failure(c, fiber.StatusNotFound, wire.Failure{Detail: "no request with the digest " + r.Digest + " is held"})
+		return failure(c, fiber.StatusNotFound, wire.ErrorResponse{Detail: "no request with the digest " + r.Digest + " is held"})
 	}
 	a.count.outcomes.Counter("released").Inc(1)
 	return c.JSON(r)
--- a/internal/operator/order.go
+++ b/internal/operator/order.go
@@ -15,15 +15,15 @@
 // order sends an order to a target. Its line goes into the trail before it is
 // sent, and a second one with the result afterwards: an order of which nobody
 // can say who gave it is not sent.
-func (a *API) order(ctx context.Context, who string, req wire.Do, s *command.Script) wire.Done {
-	done := wire.Done{ID: req.ID}
+func (a *API) order(ctx context.Context, who string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
+	done := wire.CommandResult{ID: req.ID}
 	o := *s.Order
 	o.ID = req.ID
 	if why := a.unsendable(o); why != "" {
 		done.Outcome, done.Detail = wire.OutcomeRefused, why
 		return a.noteRefusal(ctx, who, req, done)
 	}
-	if err := a.note(ctx, req.ID, who, req.Words, eval.Ordered); err != nil {
+	if err := a.note(ctx, req.ID, who, req.Text, eval.Ordered); err != nil {
 		done.Outcome = wire.OutcomeUnavailable
 		done.Detail = "the order was not sent, because the trail cannot be written: " + err.Error()
 		return done
@@ -33,7 +33,7 @@
 	if done.Detail != "" {
 		result += ": " + done.Detail
 	}
-	done.Unnoted = a.note(ctx, eval.ResultID(req.ID), who, req.Words, result) != nil
+	done.AuditFailed = a.note(ctx, eval.ResultID(req.ID), who, req.Text, result) != nil
 	return done
 }
 
@@ -48,7 +48,7 @@
 	return ""
 }
 
-func sent(done wire.Done, err error) wire.Done {
+func sent(done wire.CommandResult, err error) wire.CommandResult {
 	switch {
 	case err == nil:
 		done.Outcome = wire.OutcomeDone
--- a/internal/operator/wire/wire.go
+++ b/internal/operator/wire/wire.go
@@ -35,25 +35,25 @@
 	// OutcomeUnavailable was not done because the platform's service is down or
 	// slow; it may be tried again.
 	OutcomeUnavailable Outcome = "unavailable"
-	// OutcomeBad could not be parsed.
-	OutcomeBad Outcome = "bad"
+	// OutcomeInvalid could not be parsed.
+	OutcomeInvalid Outcome = "bad"
 	// OutcomeUnknown must be settled by the command's id.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Do asks for a command to be done.
-type Do struct {
+// CommandRequest asks for a command to be done.
+type CommandRequest struct {
 	// ID makes a repetition harmless; a ULID.
 	ID string `json:"id"`
-	// Words are the command as given.
-	Words string `json:"words"`
+	// Text are the command as given.
+	Text string `json:"words"`
 	// Base is the generation it was written against; 0 means any. "at" in the
 	// words goes first.
 	Base uint64 `json:"base,omitempty"`
 }
 
-// Done is the answer to Do.
-type Done struct {
+// CommandResult is the answer to Do.
+type CommandResult struct {
 	ID      string  `json:"id"`
 	Outcome Outcome `json:"outcome"`
 	// Detail is a sentence for people.
@@ -62,37 +62,37 @@
 	Generation uint64 `json:"generation,omitempty"`
 	// Repeated is true if the id had been done before.
 	Repeated bool `json:"repeated,omitempty"`
-	// Lost names the change that was committed first.
-	Lost string `json:"lost,omitempty"`
+	// ConflictingID names the change that was committed first.
+	ConflictingID string `json:"lost,omitempty"`
 	// Problems are all that is wrong with a refused change.
 	Problems check.Problems `json:"problems,omitempty"`
-	// Syntax is set for OutcomeBad.
+	// Syntax is set for OutcomeInvalid.
 	Syntax *syntax.Error `json:"syntax,omitempty"`
 	// Plan is set for OutcomePlanned.
 	Plan *plan.Plan `json:"plan,omitempty"`
-	// Unnoted is true if a refusal or an order's result could not be written
+	// AuditFailed is true if a refusal or an order's result could not be written
 	// to the audit trail, because the service is down.
-	Unnoted bool `json:"unnoted,omitempty"`
+	AuditFailed bool `json:"unnoted,omitempty"`
 }
 
-// Ask is a query.
-type Ask struct {
-	Words string `json:"words"`
+// QueryRequest is a query.
+type QueryRequest struct {
+	Text string `json:"words"`
 }
 
-// Failure is the answer to a query that cannot be answered, and to a request
+// ErrorResponse is the answer to a query that cannot be answered, and to a request
 // without the right key.
-type Failure struct {
+type ErrorResponse struct {
 	Detail string        `json:"detail"`
 	Syntax *syntax.Error `json:"syntax,omitempty"`
 }
 
-// Held lists the requests that are held or suspected since they end targets.
-type Held struct {
+// HeldResponse lists the requests that are held or suspected since they end targets.
+type HeldResponse struct {
 	Rows []quarantine.Row `json:"rows"`
 }
 
-// Release lets a request run again.
-type Release struct {
+// ReleaseRequest lets a request run again.
+type ReleaseRequest struct {
 	Digest string `json:"digest"`
 }
