--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -45,9 +45,11 @@
 	{"store down", func(r *run, ctx context.Context, d time.Duration) { r.harmStore(ctx, d, standin.Fault{Down: true}) }},
 	{"store silent", func(r *run, ctx context.Context, d time.Duration) { r.harmStore(ctx, d, standin.Fault{Silent: true}) }},
 	{"store slow", func(r *run, ctx context.Context, d time.Duration) {
-		r.harmStore(ctx, d, standin.Fault{Slow: 200 * time.Millisecond})
+		r.harmStore(ctx, d, standin.Fault{Delay: 200 * time.Millisecond})
+	}},
+	{"store loses answers", func(r *run, ctx context.Context, d time.Duration) {
+		r.harmStore(ctx, d, standin.Fault{DropWriteResponses: true})
 	}},
-	{"store loses answers", func(r *run, ctx context.Context, d time.Duration) { r.harmStore(ctx, d, standin.Fault{Lost: true}) }},
 	{"history dropped", func(r *run, _ context.Context, _ time.Duration) { r.store.Compact() }},
 	{"daemon cut off", func(r *run, ctx context.Context, d time.Duration) {
 		p := r.daemons[r.pick(len(r.daemons))]
