--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,4 +1,4 @@
-// Package platform speaks to the platform's key-value service and host list.
+// Package platform is a client of the platform's key-value service and host list.
 package platform
 
 import (
@@ -14,49 +14,50 @@
 )
 
 const (
-	// defaultTimeout bounds a call. The service answers in milliseconds (brief,
-	// "Where it will run"), so a second is far outside its usual times.
+	// defaultTimeout limits a call. The service responds within milliseconds (brief,
+	// "Where it will run"), so 1 s is far above its usual response times.
 	defaultTimeout = time.Second
-	// idle is how long a connection is kept unused. It is below what servers
-	// usually allow, so that few writes meet a connection that was just closed.
-	idle = 5 * time.Second
-	// maxConns bounds open connections: a daemon has a handful of watches and
-	// group-committed writes under way at once.
+	// idleTimeout is how long an unused connection is kept. It is shorter than the usual
+	// idle timeout of servers, so that few writes are sent on a connection that the server
+	// has just closed.
+	idleTimeout = 5 * time.Second
+	// maxConns limits the open connections: a daemon has a handful of watches and
+	// group-committed writes in progress at once.
 	maxConns = 64
 )
 
-// errDial marks a connection that could not be made, so no byte left.
+// errDial marks a failure to connect, so that no byte of the request was sent.
 var errDial = errors.New("dial failed")
 
 // Client implements fireflypath.Store and fireflypath.Hosts over HTTP.
 //
-// It never sends a request twice. fasthttp would repeat GETs and PUTs on a
-// broken connection: a compare-and-swap whose answer was lost would then come
-// back as a conflict with itself. A repeated write shows up in the service's
-// count; with one attempt the caller reads ErrUnknown and settles it.
+// It never sends a request twice. fasthttp would repeat GETs and PUTs on a broken
+// connection: a compare-and-swap whose response was lost would then conflict with itself.
+// A repeated write is also visible in the service's call counts. With a single attempt,
+// the caller gets ErrUnknown and determines the outcome itself.
 type Client struct {
 	base    string
 	timeout time.Duration
 	host    *fasthttp.HostClient
 
 	mu    sync.Mutex
-	conns map[*conn]struct{}
+	conns map[*trackedConn]struct{}
 }
 
-// New makes a client for the service at an IP number and port; a timeout of 0
-// takes the default.
+// New returns a client of the service at an IP address and port. A timeout of 0 selects
+// the default.
 func New(addr string, timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	c := &Client{base: "http://" + addr, timeout: timeout, conns: make(map[*conn]struct{})}
+	c := &Client{base: "http://" + addr, timeout: timeout, conns: make(map[*trackedConn]struct{})}
 	c.host = &fasthttp.HostClient{
 		Addr:                      addr,
 		Dial:                      c.dial,
 		MaxConns:                  maxConns,
-		MaxIdleConnDuration:       idle,
+		MaxIdleConnDuration:       idleTimeout,
 		MaxIdemponentCallAttempts: 1,
-		RetryIfErr:                never,
+		RetryIfErr:                noRetry,
 		MaxResponseBodySize:       0,
 		DisablePathNormalizing:    true,
 		NoDefaultUserAgentHeader:  true,
@@ -64,113 +65,113 @@
 	return c
 }
 
-func never(*fasthttp.Request, int, error) (resetTimeout, retry bool) {
+func noRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) {
 	return false, false
 }
 
-// Close cuts all connections; calls under way fail.
+// Close closes all connections. Calls in progress fail.
 func (c *Client) Close() error {
 	c.host.CloseIdleConnections()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for k := range c.conns {
-		k.Conn.Close()
+	for conn := range c.conns {
+		conn.Conn.Close()
 	}
 	return nil
 }
 
 func (c *Client) dial(addr string) (net.Conn, error) {
-	nc, err := net.DialTimeout("tcp", addr, c.timeout)
+	conn, err := net.DialTimeout("tcp", addr, c.timeout)
 	if err != nil {
 		return nil, errors.Mark(err, errDial)
 	}
-	k := &conn{Conn: nc, owner: c}
+	tracked := &trackedConn{Conn: conn, client: c}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.conns[k] = struct{}{}
-	return k, nil
+	c.conns[tracked] = struct{}{}
+	return tracked, nil
 }
 
-// conn is an open connection that Client.Close can cut.
-type conn struct {
+// trackedConn is an open connection that Client.Close can close.
+type trackedConn struct {
 	net.Conn
-	owner *Client
+	client *Client
 }
 
-func (k *conn) Close() error {
-	k.owner.mu.Lock()
-	delete(k.owner.conns, k)
-	k.owner.mu.Unlock()
-	return k.Conn.Close()
+func (c *trackedConn) Close() error {
+	c.client.mu.Lock()
+	delete(c.client.conns, c)
+	c.client.mu.Unlock()
+	return c.Conn.Close()
 }
 
-// answer is what the service said.
-type answer struct {
+// response is the part of an HTTP response that callers use.
+type response struct {
 	status   int
 	revision string
 	body     []byte
 }
 
 type result struct {
-	answer answer
-	err    error
+	response response
+	err      error
 }
 
-// do sends one call, waits for its answer, and turns what went wrong into the
-// given error. The call is bounded by the client's timeout, added to wait, and
-// by the context's deadline.
-func (c *Client) do(ctx context.Context, k call) (answer, error) {
-	timeout := c.timeout + k.wait
+// roundTrip sends one request, waits for the response and maps transport failures to the
+// errors of fireflypath.Store. The call is limited by the client's timeout plus op.wait,
+// and by the deadline of the context.
+func (c *Client) roundTrip(ctx context.Context, op operation) (response, error) {
+	timeout := c.timeout + op.wait
 	if end, ok := ctx.Deadline(); ok {
 		timeout = min(timeout, time.Until(end))
 	}
 	if timeout <= 0 || ctx.Err() != nil {
-		return answer{}, errors.Wrapf(fireflypath.ErrUnavailable, "%s %s: no time left", k.method, k.path)
+		return response{}, errors.Wrapf(fireflypath.ErrUnavailable, "%s %s: no time left", op.method, op.path)
 	}
 	done := make(chan result, 1)
 	go func() {
-		a, err := c.send(k, timeout)
-		done <- result{a, err}
+		resp, err := c.send(op, timeout)
+		done <- result{resp, err}
 	}()
 	select {
 	case r := <-done:
-		return r.answer, c.translate(k, r.err)
+		return r.response, c.transportError(op, r.err)
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.host.CloseIdleConnections()
 		}
-		return answer{}, errors.Wrapf(k.lost(), "%s %s: %s", k.method, k.path, ctx.Err())
+		return response{}, errors.Wrapf(op.lostResponseError(), "%s %s: %s", op.method, op.path, ctx.Err())
 	}
 }
 
-func (c *Client) send(k call, timeout time.Duration) (answer, error) {
+func (c *Client) send(op operation, timeout time.Duration) (response, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(k.method)
-	req.SetRequestURI(c.base + k.path)
-	req.SetBody(k.body)
+	req.Header.SetMethod(op.method)
+	req.SetRequestURI(c.base + op.path)
+	req.SetBody(op.body)
 	if err := c.host.DoTimeout(req, resp, timeout); err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return answer{
+	return response{
 		status:   resp.StatusCode(),
 		revision: string(resp.Header.Peek("Revision")),
 		body:     append([]byte(nil), resp.Body()...),
 	}, nil
 }
 
-// translate says what a failed exchange means for the call.
-func (c *Client) translate(k call, err error) error {
+// transportError maps the error of a failed round trip to the outcome of the operation.
+func (c *Client) transportError(op operation, err error) error {
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, errDial), errors.Is(err, fasthttp.ErrNoFreeConns):
-		return errors.Wrapf(fireflypath.ErrUnavailable, "%s %s: %s", k.method, k.path, err)
+		return errors.Wrapf(fireflypath.ErrUnavailable, "%s %s: %s", op.method, op.path, err)
 	}
-	// A connection can go silent for good while new ones work; one notices by
-	// calls that time out. The idle ones may have gone the same way, so the
-	// next call dials.
+	// A timeout may mean that the connection has silently stopped delivering data,
+	// although new connections work. The idle connections may be affected as well,
+	// so they are closed and the next call opens a new one.
 	c.host.CloseIdleConnections()
-	return errors.Wrapf(k.lost(), "%s %s: %s", k.method, k.path, err)
+	return errors.Wrapf(op.lostResponseError(), "%s %s: %s", op.method, op.path, err)
 }
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -15,8 +15,8 @@
 	"github.com/fireflypath/fireflypath/internal/platform"
 )
 
-// start runs the stand-in and a client for it.
-func start(t *testing.T, cfg fake.Config, clock clockwork.Clock) (*fake.Fake, *platform.Client) {
+// startClient starts the fake service and a client of it.
+func startClient(t *testing.T, cfg fake.Config, clock clockwork.Clock) (*fake.Fake, *platform.Client) {
 	t.Helper()
 	f := fake.New(cfg, clock)
 	if err := f.Listen("127.0.0.1:0"); err != nil {
@@ -30,12 +30,12 @@
 	return f, c
 }
 
-// both runs a test over HTTP and in-process.
-func both(t *testing.T, cfg fake.Config, run func(*is.I, *fake.Fake, fireflypath.Store, *clockwork.FakeClock)) {
+// testBothStores runs a test against the store over HTTP and in process.
+func testBothStores(t *testing.T, cfg fake.Config, run func(*is.I, *fake.Fake, fireflypath.Store, *clockwork.FakeClock)) {
 	t.Helper()
 	t.Run("http", func(t *testing.T) {
 		clock := clockwork.NewFakeClock()
-		f, c := start(t, cfg, clock)
+		f, c := startClient(t, cfg, clock)
 		run(is.New(t), f, c, clock)
 	})
 	t.Run("in process", func(t *testing.T) {
@@ -46,7 +46,7 @@
 }
 
 func TestStoreCompareAndSwap(t *testing.T) {
-	both(t, fake.Config{}, func(is *is.I, _ *fake.Fake, s fireflypath.Store, _ *clockwork.FakeClock) {
+	testBothStores(t, fake.Config{}, func(is *is.I, _ *fake.Fake, s fireflypath.Store, _ *clockwork.FakeClock) {
 		ctx := t.Context()
 		_, err := s.Get(ctx, "a/b c")
 		is.True(errors.Is(err, fireflypath.ErrNotFound))
@@ -73,42 +73,42 @@
 }
 
 func TestStoreWatch(t *testing.T) {
-	both(t, fake.Config{}, func(is *is.I, f *fake.Fake, s fireflypath.Store, clock *clockwork.FakeClock) {
+	testBothStores(t, fake.Config{}, func(is *is.I, f *fake.Fake, s fireflypath.Store, clock *clockwork.FakeClock) {
 		ctx := t.Context()
 		at, err := s.Put(ctx, "w/gone", []byte("x"), 0, 0)
 		is.NoErr(err)
-		type seen struct {
+		type watchResult struct {
 			entries []fireflypath.Entry
 			err     error
 		}
-		got := make(chan seen, 1)
+		results := make(chan watchResult, 1)
 		go func() {
 			entries, err := s.Watch(ctx, "w/", at, time.Minute)
-			got <- seen{entries, err}
+			results <- watchResult{entries, err}
 		}()
 		is.NoErr(clock.BlockUntilContext(ctx, 1))
 		is.NoErr(f.Store().Delete(ctx, "w/gone", at))
-		w := <-got
-		is.NoErr(w.err)
-		is.Equal(w.entries, []fireflypath.Entry{{Key: "w/gone", Revision: at + 1, Deleted: true}})
+		result := <-results
+		is.NoErr(result.err)
+		is.Equal(result.entries, []fireflypath.Entry{{Key: "w/gone", Revision: at + 1, Deleted: true}})
 		go func() {
 			entries, err := s.Watch(ctx, "w/", at+1, time.Minute)
-			got <- seen{entries, err}
+			results <- watchResult{entries, err}
 		}()
 		is.NoErr(clock.BlockUntilContext(ctx, 1))
 		clock.Advance(time.Minute)
-		w = <-got
-		is.NoErr(w.err)
-		is.Equal(len(w.entries), 0)
+		result = <-results
+		is.NoErr(result.err)
+		is.Equal(len(result.entries), 0)
 		is.Equal(f.Counts().Watch, 2)
 	})
 }
 
-// A lease's holder pauses for longer than the lease lasts and believes that it
-// still holds it. Its key must be gone for others, and the holder must read so
-// at its next renewal, not a success.
-func TestStoreLeaseLapses(t *testing.T) {
-	both(t, fake.Config{}, func(is *is.I, _ *fake.Fake, s fireflypath.Store, clock *clockwork.FakeClock) {
+// The holder of a lease pauses for longer than the lease's TTL and assumes that it still
+// holds it. Its key must be gone for others, and the next renewal must fail instead of
+// succeeding.
+func TestStoreLeaseExpires(t *testing.T) {
+	testBothStores(t, fake.Config{}, func(is *is.I, _ *fake.Fake, s fireflypath.Store, clock *clockwork.FakeClock) {
 		ctx := t.Context()
 		id, err := s.Grant(ctx, 5*time.Second)
 		is.NoErr(err)
@@ -128,11 +128,11 @@
 	})
 }
 
-// The service takes a write and its connection breaks before the answer. Were
-// the write sent again, the writer would read a conflict with itself and an
-// operator's accepted command would be called refused.
-func TestStoreLostAnswer(t *testing.T) {
-	both(t, fake.Config{}, func(is *is.I, f *fake.Fake, s fireflypath.Store, _ *clockwork.FakeClock) {
+// The service applies a write and the connection breaks before the response. If the write
+// were sent again, it would conflict with itself, and an accepted command of an operator
+// would be reported as refused.
+func TestStoreLostResponse(t *testing.T) {
+	testBothStores(t, fake.Config{}, func(is *is.I, f *fake.Fake, s fireflypath.Store, _ *clockwork.FakeClock) {
 		ctx := t.Context()
 		is.NoErr(f.Fault(fault.Fault{Name: fault.Lost, Count: 1}))
 		_, err := s.Put(ctx, "k", []byte("v"), 0, 0)
@@ -144,10 +144,11 @@
 	})
 }
 
-// The service is down, over its rate, or has come back with older data. A
-// caller that mistook a refusal for an unknown outcome would wait for nothing.
-func TestStoreRefuses(t *testing.T) {
-	both(t, fake.Config{Rate: 4}, func(is *is.I, f *fake.Fake, s fireflypath.Store, clock *clockwork.FakeClock) {
+// The service is down, over its rate limit, or was restored with older data. If a refusal
+// were reported as an unknown outcome, the caller would wait for a write that never
+// happens.
+func TestStoreRejectsCalls(t *testing.T) {
+	testBothStores(t, fake.Config{Rate: 4}, func(is *is.I, f *fake.Fake, s fireflypath.Store, clock *clockwork.FakeClock) {
 		ctx := t.Context()
 		is.NoErr(f.Fault(fault.Fault{Name: fault.Outage}))
 		_, err := s.Put(ctx, "k", nil, 0, 0)
@@ -167,11 +168,11 @@
 	})
 }
 
-// Something between the two ends loses track of the open connections. Calls on
-// them get no answer; the next ones must get through on new connections.
+// A network device loses track of the open connections. Calls on them get no response, and
+// the next calls must succeed on new connections.
 func TestClientReplacesSilentConnections(t *testing.T) {
 	is := is.New(t)
-	f, c := start(t, fake.Config{}, clockwork.NewRealClock())
+	f, c := startClient(t, fake.Config{}, clockwork.NewRealClock())
 	_, err := c.Put(t.Context(), "k", []byte("v"), 0, 0)
 	is.NoErr(err)
 	is.NoErr(f.Fault(fault.Fault{Name: fault.Silent}))
@@ -184,11 +185,11 @@
 	is.Equal(string(e.Value), "v")
 }
 
-// The service is gone altogether. A write that never left is not an unknown
-// outcome: nobody needs to settle it.
+// The service cannot be reached at all. A write that was never sent must not be reported
+// as an unknown outcome, because there is nothing to settle.
 func TestClientDialRefused(t *testing.T) {
 	is := is.New(t)
-	f, c := start(t, fake.Config{}, clockwork.NewRealClock())
+	f, c := startClient(t, fake.Config{}, clockwork.NewRealClock())
 	is.NoErr(f.Fault(fault.Fault{Name: fault.Refuse}))
 	_, err := c.Put(t.Context(), "k", []byte("v"), 0, 0)
 	is.True(errors.Is(err, fireflypath.ErrUnavailable))
@@ -200,7 +201,7 @@
 func TestHostsLag(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	f, c := start(t, fake.Config{Lag: 10 * time.Second}, clock)
+	f, c := startClient(t, fake.Config{Lag: 10 * time.Second}, clock)
 	host := fireflypath.Host{Addr: "127.0.0.1:1", Domain: "a", State: fireflypath.HostLeaving}
 	f.SetHosts(host)
 	got, err := c.Hosts(t.Context())
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -14,54 +14,56 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Errors of this layer that no caller acts on.
+// Errors that callers do not handle.
 var (
-	errStatus = errors.New("platform service gave an unexpected status")
-	errAnswer = errors.New("platform service gave an answer that cannot be read")
+	errUnexpectedStatus  = errors.New("platform service gave an unexpected status")
+	errMalformedResponse = errors.New("platform service gave an answer that cannot be read")
 )
 
-// call is one request to the service.
-type call struct {
+// operation is one request to the service.
+type operation struct {
 	method string
 	path   string
 	body   []byte
-	// wait is how long the service may hold the call back.
+	// wait is how long the service may delay its response.
 	wait time.Duration
 }
 
-// lost is what a call without an answer means: a read had no effect, a write may have.
-func (k call) lost() error {
-	if k.method == http.MethodGet {
+// lostResponseError returns the error for a request without a response. A read had no
+// effect; a write may have been applied.
+func (op operation) lostResponseError() error {
+	if op.method == http.MethodGet {
 		return fireflypath.ErrUnavailable
 	}
 	return fireflypath.ErrUnknown
 }
 
-// check turns a status into an error.
-func check(k call, a answer) error {
-	errs := map[int]error{
+// checkStatus returns the error for the status of a response, or nil for success.
+func checkStatus(op operation, resp response) error {
+	errByStatus := map[int]error{
 		http.StatusNotFound:           fireflypath.ErrNotFound,
 		http.StatusConflict:           fireflypath.ErrConflict,
 		http.StatusGone:               fireflypath.ErrLeaseExpired,
 		http.StatusTooManyRequests:    fireflypath.ErrLimited,
 		http.StatusServiceUnavailable: fireflypath.ErrUnavailable,
 	}
-	if a.status == http.StatusOK {
+	if resp.status == http.StatusOK {
 		return nil
 	}
-	err, ok := errs[a.status]
+	err, ok := errByStatus[resp.status]
 	if !ok {
-		err = errStatus
+		err = errUnexpectedStatus
 	}
-	return errors.Wrapf(err, "%s %s: status %d", k.method, k.path, a.status)
+	return errors.Wrapf(err, "%s %s: status %d", op.method, op.path, resp.status)
 }
 
-func (c *Client) exchange(ctx context.Context, k call) (answer, error) {
-	a, err := c.do(ctx, k)
+// execute sends an operation and checks the status of the response.
+func (c *Client) execute(ctx context.Context, op operation) (response, error) {
+	resp, err := c.roundTrip(ctx, op)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return a, check(k, a)
+	return resp, checkStatus(op, resp)
 }
 
 func keyPath(key string, revision uint64, lease fireflypath.LeaseID) string {
@@ -81,43 +83,43 @@
 
 // Get implements fireflypath.Store.
 func (c *Client) Get(ctx context.Context, key string) (fireflypath.Entry, error) {
-	a, err := c.exchange(ctx, call{method: http.MethodGet, path: keyPath(key, fireflypath.AnyRevision, 0)})
+	resp, err := c.execute(ctx, operation{method: http.MethodGet, path: keyPath(key, fireflypath.AnyRevision, 0)})
 	if err != nil {
 		return fireflypath.Entry{}, err
 	}
-	revision, err := strconv.ParseUint(a.revision, 10, 64)
+	revision, err := strconv.ParseUint(resp.revision, 10, 64)
 	if err != nil {
-		return fireflypath.Entry{}, errors.Wrapf(errAnswer, "revision %q of %s", a.revision, key)
+		return fireflypath.Entry{}, errors.Wrapf(errMalformedResponse, "revision %q of %s", resp.revision, key)
 	}
-	return fireflypath.Entry{Key: key, Value: a.body, Revision: revision}, nil
+	return fireflypath.Entry{Key: key, Value: resp.body, Revision: revision}, nil
 }
 
 // Put implements fireflypath.Store.
 func (c *Client) Put(
 	ctx context.Context, key string, value []byte, revision uint64, lease fireflypath.LeaseID,
 ) (uint64, error) {
-	a, err := c.exchange(ctx, call{method: http.MethodPut, path: keyPath(key, revision, lease), body: value})
+	resp, err := c.execute(ctx, operation{method: http.MethodPut, path: keyPath(key, revision, lease), body: value})
 	if err != nil {
 		return 0, err
 	}
-	got, err := strconv.ParseUint(a.revision, 10, 64)
+	newRevision, err := strconv.ParseUint(resp.revision, 10, 64)
 	if err != nil {
-		return 0, errors.Wrapf(fireflypath.ErrUnknown, "revision %q of %s", a.revision, key)
+		return 0, errors.Wrapf(fireflypath.ErrUnknown, "revision %q of %s", resp.revision, key)
 	}
-	return got, nil
+	return newRevision, nil
 }
 
 // Delete implements fireflypath.Store.
 func (c *Client) Delete(ctx context.Context, key string, revision uint64) error {
-	_, err := c.exchange(ctx, call{method: http.MethodDelete, path: keyPath(key, revision, 0)})
+	_, err := c.execute(ctx, operation{method: http.MethodDelete, path: keyPath(key, revision, 0)})
 	return err
 }
 
 // List implements fireflypath.Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]fireflypath.Entry, error) {
-	var found []fireflypath.Entry
-	err := c.read(ctx, call{method: http.MethodGet, path: "/kv?prefix=" + url.QueryEscape(prefix)}, &found)
-	return found, err
+	var entries []fireflypath.Entry
+	err := c.executeJSON(ctx, operation{method: http.MethodGet, path: "/kv?prefix=" + url.QueryEscape(prefix)}, &entries)
+	return entries, err
 }
 
 // Watch implements fireflypath.Store.
@@ -125,32 +127,32 @@
 	ctx context.Context, prefix string, after uint64, wait time.Duration,
 ) ([]fireflypath.Entry, error) {
 	path := fmt.Sprintf("/watch?prefix=%s&after=%d&wait=%s", url.QueryEscape(prefix), after, wait)
-	var found []fireflypath.Entry
-	err := c.read(ctx, call{method: http.MethodGet, path: path, wait: wait}, &found)
-	return found, err
+	var entries []fireflypath.Entry
+	err := c.executeJSON(ctx, operation{method: http.MethodGet, path: path, wait: wait}, &entries)
+	return entries, err
 }
 
 // Grant implements fireflypath.Store.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (fireflypath.LeaseID, error) {
-	var got struct {
+	var created struct {
 		ID fireflypath.LeaseID `json:"id"`
 	}
-	err := c.read(ctx, call{method: http.MethodPost, path: "/leases?ttl=" + ttl.String()}, &got)
-	return got.ID, err
+	err := c.executeJSON(ctx, operation{method: http.MethodPost, path: "/leases?ttl=" + ttl.String()}, &created)
+	return created.ID, err
 }
 
 // Renew implements fireflypath.Store.
 func (c *Client) Renew(ctx context.Context, id fireflypath.LeaseID) error {
-	return c.lease(ctx, http.MethodPut, id)
+	return c.leaseRequest(ctx, http.MethodPut, id)
 }
 
 // Revoke implements fireflypath.Store.
 func (c *Client) Revoke(ctx context.Context, id fireflypath.LeaseID) error {
-	return c.lease(ctx, http.MethodDelete, id)
+	return c.leaseRequest(ctx, http.MethodDelete, id)
 }
 
-func (c *Client) lease(ctx context.Context, method string, id fireflypath.LeaseID) error {
-	_, err := c.exchange(ctx, call{method: method, path: "/leases/" + strconv.FormatUint(uint64(id), 10)})
+func (c *Client) leaseRequest(ctx context.Context, method string, id fireflypath.LeaseID) error {
+	_, err := c.execute(ctx, operation{method: method, path: "/leases/" + strconv.FormatUint(uint64(id), 10)})
 	if errors.Is(err, fireflypath.ErrNotFound) {
 		return errors.Wrapf(fireflypath.ErrLeaseExpired, "lease %d", id)
 	}
@@ -160,18 +162,18 @@
 // Hosts implements fireflypath.Hosts.
 func (c *Client) Hosts(ctx context.Context) ([]fireflypath.Host, error) {
 	var hosts []fireflypath.Host
-	err := c.read(ctx, call{method: http.MethodGet, path: "/hosts"}, &hosts)
+	err := c.executeJSON(ctx, operation{method: http.MethodGet, path: "/hosts"}, &hosts)
 	return hosts, err
 }
 
-// read does a call whose answer is JSON.
-func (c *Client) read(ctx context.Context, k call, v any) error {
-	a, err := c.exchange(ctx, k)
+// executeJSON executes an operation and decodes its JSON response into out.
+func (c *Client) executeJSON(ctx context.Context, op operation, out any) error {
+	resp, err := c.execute(ctx, op)
 	if err != nil {
 		return err
 	}
-	if err := json.Unmarshal(a.body, v); err != nil {
-		return errors.Wrapf(errAnswer, "%s %s: %s", k.method, k.path, err)
+	if err := json.Unmarshal(resp.body, out); err != nil {
+		return errors.Wrapf(errMalformedResponse, "%s %s: %s", op.method, op.path, err)
 	}
 	return nil
 }
