--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -1,4 +1,5 @@
-// Package http1 gives requests to targets over HTTP/1.1, each at most once per call.
+// Package http1 is an HTTP/1.1 client that sends requests to targets and never retries
+// one by itself.
 package http1
 
 import (
@@ -20,194 +21,201 @@
 )
 
 const (
-	// dialTimeout bounds a new connection. Targets are a few milliseconds away;
-	// a target whose host is gone takes none, and the request goes elsewhere.
+	// dialTimeout bounds the time to connect. Targets are a few milliseconds away. The
+	// host of a target that is down accepts no connection, and the request is then sent
+	// to another target.
 	dialTimeout = 400 * time.Millisecond
-	// userTimeout ends a connection whose bytes nobody acknowledges: a target
-	// without power answers nothing, not even a reset.
+	// userTimeout closes a connection whose bytes are not acknowledged: a host that lost
+	// power sends nothing, not even a reset.
 	userTimeout = 2 * time.Second
-	// probeIdle, probeEvery and probeCount find a connection that went silent
-	// while a target works on a long answer.
-	probeIdle  = time.Second
-	probeEvery = time.Second
-	probeCount = 2
-	// maxIdle is how long an unused connection is kept; targets commonly close
-	// theirs after 5 s at the earliest.
-	maxIdle = 4 * time.Second
-	// keepIdle is how many unused connections are kept to one target: its batch
-	// is about five, and other daemons hold some too.
-	keepIdle = 6
-	// readBuffer holds an answer's header and some events.
-	readBuffer = 4 << 10
-	// whole is the size of a body that is written before the answer is read;
-	// the kernel takes it at once, so that no target can be stuck on both.
-	whole = 16 << 10
-	// headSize holds most requests' headers.
-	headSize = 1 << 10
-	// maxCrossed bounds the answers of other requests that are read past.
-	maxCrossed = 3
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure the TCP keep-alive
+	// probes. They detect a dead connection while a target works on a long response and
+	// sends nothing.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	// maxIdleTime is how long an idle connection is kept. Targets commonly close idle
+	// connections after 5 s at the earliest.
+	maxIdleTime = 4 * time.Second
+	// maxIdlePerTarget is how many idle connections are kept per target. A target's
+	// batch is about five, and other daemons also keep connections to it.
+	maxIdlePerTarget = 6
+	// readBufferSize is enough for the header of a response and some events.
+	readBufferSize = 4 << 10
+	// maxInlineBody is the size up to which a request body is written before the
+	// response is read. The kernel buffers this much at once, so client and target
+	// cannot block on writing to each other.
+	maxInlineBody = 16 << 10
+	// requestHeadSize is the initial buffer size for the request line and the header; it
+	// is enough for most requests.
+	requestHeadSize = 1 << 10
+	// maxMismatched is how many responses are read in search of the one with the
+	// request's id.
+	maxMismatched = 3
 )
 
-// Client keeps connections to targets.
+// Client sends requests to targets and pools idle connections.
 type Client struct {
 	clock clockwork.Clock
-	// id is the name of the header that holds a request's id.
-	id string
+	// idHeader is the name of the header that carries a request's id.
+	idHeader string
 
 	mu   sync.Mutex
-	idle map[peer][]*conn
+	idle map[endpoint][]*conn
 }
 
-// peer is one life of a target at an address. A connection to an earlier life, or
-// to another target that had the address before, is dead: a request written to it
-// would be lost with an unknown outcome.
-type peer struct {
+// endpoint identifies one incarnation of a target at an address. A connection to an
+// earlier incarnation, or to another target that used the address before, is dead: a
+// request written to it would be lost with an unknown outcome.
+type endpoint struct {
 	addr, identity string
 }
 
-func peerOf(t fireflypath.Target) peer {
-	return peer{addr: t.Addr, identity: t.Identity()}
+func endpointOf(target fireflypath.Target) endpoint {
+	return endpoint{addr: target.Addr, identity: target.Identity()}
 }
 
-// New returns a client without connections; id names the header of request ids.
-func New(clock clockwork.Clock, id string) *Client {
-	return &Client{clock: clock, id: id, idle: map[peer][]*conn{}}
+// New returns a client without connections. idHeader is the name of the header that
+// carries a request's id.
+func New(clock clockwork.Clock, idHeader string) *Client {
+	return &Client{clock: clock, idHeader: idHeader, idle: map[endpoint][]*conn{}}
 }
 
-// ConnectionLost is true for an error of a connection that the target ended while it ran a
-// request, or whose host fell silent.
+// ConnectionLost reports whether err says that the target closed or reset the connection
+// while it ran a request, or that its host stopped responding.
 func ConnectionLost(err error) bool {
 	if errors.Is(err, fireflypath.ErrUnsent) || errors.Is(err, fireflypath.ErrRequestMismatch) {
 		return false
 	}
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT} {
-		if errors.Is(err, end) {
+	for _, lost := range []error{io.EOF, io.ErrUnexpectedEOF, unix.ECONNRESET, unix.EPIPE, unix.ETIMEDOUT} {
+		if errors.Is(err, lost) {
 			return true
 		}
 	}
 	return false
 }
 
-// Request is what is written to a target.
+// Request is a request to a target.
 type Request struct {
 	ID     string
 	Method string
-	// URI is the path and query as the caller wrote them.
+	// URI is the path and query exactly as the caller sent them.
 	URI  string
 	Host string
-	// Header holds the lines to send; no Host, no framing.
+	// Header holds the header fields to send, without Host and Content-Length.
 	Header http.Header
 	Body   []byte
 	// HasBody is true if the caller sent a body, even an empty one.
 	HasBody bool
 }
 
-// Send writes the request once and reads the answer's header. The error is
-// fireflypath.ErrUnsent if no byte left, and fireflypath.ErrUnreached besides if
-// the target took no connection; any other error leaves the outcome unknown.
-func (c *Client) Send(ctx context.Context, t fireflypath.Target, r *Request) (*Response, error) {
-	to := peerOf(t)
-	k, err := c.acquire(ctx, to)
+// Send writes the request once and reads the header of the response. The error is marked
+// with fireflypath.ErrUnsent if no byte was sent, and also with
+// fireflypath.ErrUnreachable if the target accepted no connection. After any other error
+// it is not known whether the request ran.
+func (c *Client) Send(ctx context.Context, target fireflypath.Target, req *Request) (*Response, error) {
+	ep := endpointOf(target)
+	cn, err := c.acquire(ctx, ep)
 	if err != nil {
 		return nil, err
 	}
-	a := &Response{client: c, peer: to, conn: k}
-	a.stop = context.AfterFunc(ctx, func() { k.Close() })
-	before := k.written.Load()
-	if err := a.write(r); err != nil {
-		sent := k.written.Load() != before
-		a.Close()
+	resp := &Response{client: c, endpoint: ep, conn: cn}
+	resp.stopWatch = context.AfterFunc(ctx, func() { cn.Close() })
+	writtenBefore := cn.written.Load()
+	if err := resp.write(req); err != nil {
+		sent := cn.written.Load() != writtenBefore
+		resp.Close()
 		if !sent {
 			return nil, errors.Mark(err, fireflypath.ErrUnsent)
 		}
 		return nil, errors.Wrap(err, "write request")
 	}
-	if err := a.readHeader(r); err != nil {
-		a.Close()
+	if err := resp.readHeader(req); err != nil {
+		resp.Close()
 		return nil, errors.Wrap(err, "read answer header")
 	}
-	return a, nil
+	return resp, nil
 }
 
-// acquire takes an idle connection that is not stale, or dials.
-func (c *Client) acquire(ctx context.Context, to peer) (*conn, error) {
+// acquire returns an idle connection that is not stale, or a new one.
+func (c *Client) acquire(ctx context.Context, ep endpoint) (*conn, error) {
 	now := c.clock.Now()
 	for {
-		k := c.pop(to)
-		if k == nil {
-			return dial(ctx, to.addr)
+		cn := c.pop(ep)
+		if cn == nil {
+			return dial(ctx, ep.addr)
 		}
-		if now.Sub(k.since) < maxIdle && !k.stale(now) {
-			return k, nil
+		if now.Sub(cn.idleSince) < maxIdleTime && !cn.stale(now) {
+			return cn, nil
 		}
-		k.Close()
+		cn.Close()
 	}
 }
 
-func (c *Client) pop(from peer) *conn {
+func (c *Client) pop(ep endpoint) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := c.idle[from]
-	if len(list) == 0 {
+	conns := c.idle[ep]
+	if len(conns) == 0 {
 		return nil
 	}
-	k := list[len(list)-1]
-	c.idle[from] = list[:len(list)-1]
-	return k
+	cn := conns[len(conns)-1]
+	c.idle[ep] = conns[:len(conns)-1]
+	return cn
 }
 
-func (c *Client) push(to peer, k *conn) {
-	k.since = c.clock.Now()
+func (c *Client) push(ep endpoint, cn *conn) {
+	cn.idleSince = c.clock.Now()
 	c.mu.Lock()
-	list := c.idle[to]
-	if len(list) < keepIdle {
-		c.idle[to] = append(list, k)
-		k = nil
+	conns := c.idle[ep]
+	if len(conns) < maxIdlePerTarget {
+		c.idle[ep] = append(conns, cn)
+		cn = nil
 	}
 	c.mu.Unlock()
-	if k != nil {
-		k.Close()
+	if cn != nil {
+		cn.Close()
 	}
 }
 
-// Sweep closes the connections that were idle for long, and those to others than
-// the targets.
+// Sweep closes the connections that have been idle for maxIdleTime, and those to
+// endpoints that are not among the targets.
 func (c *Client) Sweep(targets []fireflypath.Target) {
-	keep := make(map[peer]bool, len(targets))
+	current := make(map[endpoint]bool, len(targets))
 	for _, t := range targets {
-		keep[peerOf(t)] = true
+		current[endpointOf(t)] = true
 	}
 	now := c.clock.Now()
-	var old []*conn
+	var unused []*conn
 	c.mu.Lock()
-	for to, list := range c.idle {
-		rest := list[:0]
-		for _, k := range list {
-			if !keep[to] || now.Sub(k.since) >= maxIdle {
-				old = append(old, k)
+	for ep, conns := range c.idle {
+		kept := conns[:0]
+		for _, cn := range conns {
+			if !current[ep] || now.Sub(cn.idleSince) >= maxIdleTime {
+				unused = append(unused, cn)
 				continue
 			}
-			rest = append(rest, k)
+			kept = append(kept, cn)
 		}
-		c.idle[to] = rest
-		if len(rest) == 0 {
-			delete(c.idle, to)
+		c.idle[ep] = kept
+		if len(kept) == 0 {
+			delete(c.idle, ep)
 		}
 	}
 	c.mu.Unlock()
-	for _, k := range old {
-		k.Close()
+	for _, cn := range unused {
+		cn.Close()
 	}
 }
 
 func dial(ctx context.Context, addr string) (*conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
-		Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount,
+		Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 	}}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		err = errors.Mark(err, fireflypath.ErrUnsent)
-		if ctx.Err() == nil && unreached(err) {
+		if ctx.Err() == nil && isUnreachable(err) {
 			err = errors.Mark(err, fireflypath.ErrUnreachable)
 		}
 		return nil, err
@@ -217,24 +225,25 @@
 		nc.Close()
 		return nil, errors.Mark(err, fireflypath.ErrUnsent)
 	}
-	// Without it the connection works as well, only its end is found later.
+	// The connection works without the option as well, but a dead one is detected later.
 	_ = raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
-	return &conn{Conn: nc, raw: raw, reader: bufio.NewReaderSize(nc, readBuffer)}, nil
+	return &conn{Conn: nc, raw: raw, reader: bufio.NewReaderSize(nc, readBufferSize)}, nil
 }
 
-// unreached is true for errors of a dial that tell of the target or the way to
-// it, not of want of descriptors here.
-func unreached(err error) bool {
-	var late net.Error
-	return errors.As(err, &late) && late.Timeout() ||
+// isUnreachable reports whether dialing failed because of the target or the network, and
+// not because of a local cause such as a lack of file descriptors.
+func isUnreachable(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout() ||
 		errors.IsAny(err, unix.ECONNREFUSED, unix.ECONNRESET, unix.EHOSTUNREACH, unix.ENETUNREACH)
 }
 
-// keepAlive is when a target that named a time in its answer closes the idle
-// connection; a tenth of it and a little more is left for the way.
-func keepAlive(h http.Header, now time.Time) time.Time {
+// keepAliveDeadline returns until when an idle connection may be used if the response
+// announced a Keep-Alive timeout, or zero. A tenth of the timeout and another 50 ms are
+// left for the transmission.
+func keepAliveDeadline(h http.Header, now time.Time) time.Time {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
--- a/internal/http1/client_test.go
+++ b/internal/http1/client_test.go
@@ -20,15 +20,16 @@
 	"github.com/fireflypath/fireflypath/internal/http1"
 )
 
-const id = "Request-Id"
+const idHeader = "Request-Id"
 
-// target serves raw bytes: answer is called for each request on a connection.
+// target is a server that writes raw bytes. Its callback is called with the index of each
+// request on a connection, and closes the connection by returning false.
 type target struct {
 	ln    net.Listener
 	conns atomic.Int32
 }
 
-func listen(t *testing.T, answer func(c net.Conn, n int, r *http.Request) bool) *target {
+func startTarget(t *testing.T, answer func(c net.Conn, n int, r *http.Request) bool) *target {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,15 +64,15 @@
 
 func (t *target) addr() string { return t.ln.Addr().String() }
 
-func client() *http1.Client { return http1.New(clockwork.NewRealClock(), id) }
+func newClient() *http1.Client { return http1.New(clockwork.NewRealClock(), idHeader) }
 
-func request(name string) *http1.Request {
-	return &http1.Request{ID: name, Method: http.MethodPost, URI: "/a/b?c=%2F", Host: "h", Header: http.Header{id: {name}}, Body: []byte("x"), HasBody: true}
+func newRequest(name string) *http1.Request {
+	return &http1.Request{ID: name, Method: http.MethodPost, URI: "/a/b?c=%2F", Host: "h", Header: http.Header{idHeader: {name}}, Body: []byte("x"), HasBody: true}
 }
 
-func text(t *testing.T, c *http1.Client, addr, name string) (string, error) {
+func readBody(t *testing.T, c *http1.Client, addr, name string) (string, error) {
 	t.Helper()
-	a, err := c.Send(t.Context(), fireflypath.Target{Name: "t", Addr: addr}, request(name))
+	a, err := c.Send(t.Context(), fireflypath.Target{Name: "t", Addr: addr}, newRequest(name))
 	if err != nil {
 		return "", err
 	}
@@ -80,63 +81,63 @@
 	return string(b), err
 }
 
-// A connection is used again for the next request, and what was written arrives
-// byte by byte as it was.
-func TestConnectionIsKept(t *testing.T) {
+// A connection is reused for the next request, and the request arrives byte for byte as it
+// was written.
+func TestIdleConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	tg := listen(t, func(c net.Conn, _ int, r *http.Request) bool {
+	tg := startTarget(t, func(c net.Conn, _ int, r *http.Request) bool {
 		b, _ := io.ReadAll(r.Body)
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+id+": "+r.Header.Get(id)+"\r\nContent-Length: 2\r\n\r\n"+string(b)+"y")
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+idHeader+": "+r.Header.Get(idHeader)+"\r\nContent-Length: 2\r\n\r\n"+string(b)+"y")
 		return r.RequestURI == "/a/b?c=%2F" && r.Host == "h"
 	})
-	c := client()
+	c := newClient()
 	for _, name := range []string{"1", "2", "3"} {
-		got, err := text(t, c, tg.addr(), name)
+		got, err := readBody(t, c, tg.addr(), name)
 		is.NoErr(err)
 		is.Equal(got, "xy")
 	}
 	is.Equal(tg.conns.Load(), int32(1))
 }
 
-// A target sends a second answer to a request, late. It comes where the next
-// request's answer is due; the ids tell them apart. Without that a caller would
-// get another caller's answer.
-func TestLateAnswerOfAnotherRequestIsReadPast(t *testing.T) {
+// A target sends a second, late response to a request, which arrives before the response
+// to the next request. Only the request ids tell them apart: without the check a caller
+// would receive the response to another caller's request.
+func TestLateResponseOfAnotherRequestIsDiscarded(t *testing.T) {
 	is := is.New(t)
-	tg := listen(t, func(c net.Conn, n int, r *http.Request) bool {
+	tg := startTarget(t, func(c net.Conn, n int, r *http.Request) bool {
 		if n > 0 {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+id+": 1\r\nContent-Length: 3\r\n\r\nold")
+			io.WriteString(c, "HTTP/1.1 200 OK\r\n"+idHeader+": 1\r\nContent-Length: 3\r\n\r\nold")
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+id+": "+r.Header.Get(id)+"\r\nContent-Length: 1\r\n\r\n"+r.Header.Get(id))
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+idHeader+": "+r.Header.Get(idHeader)+"\r\nContent-Length: 1\r\n\r\n"+r.Header.Get(idHeader))
 		return true
 	})
-	c := client()
+	c := newClient()
 	for _, name := range []string{"1", "2"} {
-		got, err := text(t, c, tg.addr(), name)
+		got, err := readBody(t, c, tg.addr(), name)
 		is.NoErr(err)
 		is.Equal(got, name)
 	}
 }
 
-// Bytes follow a whole answer. The connection must not be used again.
-func TestExtraBytesEndTheConnection(t *testing.T) {
+// Extra bytes follow a complete response. The connection must not be reused.
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	is := is.New(t)
-	tg := listen(t, func(c net.Conn, _ int, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+id+": "+r.Header.Get(id)+"\r\nContent-Length: 1\r\n\r\nyHTTP/1.1 200 OK\r\n\r\n")
+	tg := startTarget(t, func(c net.Conn, _ int, r *http.Request) bool {
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+idHeader+": "+r.Header.Get(idHeader)+"\r\nContent-Length: 1\r\n\r\nyHTTP/1.1 200 OK\r\n\r\n")
 		return true
 	})
-	c := client()
+	c := newClient()
 	for _, name := range []string{"1", "2"} {
-		got, err := text(t, c, tg.addr(), name)
+		got, err := readBody(t, c, tg.addr(), name)
 		is.NoErr(err)
 		is.Equal(got, "y")
 	}
 	is.Equal(tg.conns.Load(), int32(2))
 }
 
-// An answer ends before its length, or is reset, or is no HTTP. None of them
-// may look whole.
-func TestBrokenAnswersAreErrors(t *testing.T) {
+// A response ends before its declared length or its last chunk, is not HTTP, or is
+// missing. None of them may be taken for a complete one.
+func TestBrokenResponsesAreErrors(t *testing.T) {
 	is := is.New(t)
 	for name, answer := range map[string]string{
 		"short":   "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab",
@@ -144,50 +145,51 @@
 		"garbage": "\x00\x01 not http\r\n\r\n",
 		"nothing": "",
 	} {
-		tg := listen(t, func(c net.Conn, _ int, _ *http.Request) bool {
+		tg := startTarget(t, func(c net.Conn, _ int, _ *http.Request) bool {
 			io.WriteString(c, answer)
 			return false
 		})
-		_, err := text(t, client(), tg.addr(), "1")
-		is.True(err != nil) // each is an error
+		_, err := readBody(t, newClient(), tg.addr(), "1")
+		is.True(err != nil) // broken response accepted
 		is.True(!errors.Is(err, fireflypath.ErrUnsent))
 		_ = name
 	}
 }
 
-// A body without a length ends with its connection; a reset is no end.
-func TestUnboundedAnswer(t *testing.T) {
+// A body without a declared length ends when the connection closes. A reset is an error
+// and not the end of the body.
+func TestCloseDelimitedResponse(t *testing.T) {
 	is := is.New(t)
 	var reset atomic.Bool
-	tg := listen(t, func(c net.Conn, _ int, _ *http.Request) bool {
+	tg := startTarget(t, func(c net.Conn, _ int, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nabc")
 		if reset.Load() {
 			_ = c.(*net.TCPConn).SetLinger(0)
 		}
 		return false
 	})
-	got, err := text(t, client(), tg.addr(), "1")
+	got, err := readBody(t, newClient(), tg.addr(), "1")
 	is.NoErr(err)
 	is.Equal(got, "abc")
 	reset.Store(true)
-	_, err = text(t, client(), tg.addr(), "1")
+	_, err = readBody(t, newClient(), tg.addr(), "1")
 	is.True(err != nil)
 }
 
-// The target closes an idle connection. The next request goes out on a new one;
-// written to the old one, nobody would know whether it ran.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+// The target closes an idle connection. The next request must use a new connection: if it
+// were written to the old one, it would not be known whether it ran.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{}, 2)
-	tg := listen(t, func(c net.Conn, _ int, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+id+": "+r.Header.Get(id)+"\r\nContent-Length: 1\r\n\r\ny")
+	tg := startTarget(t, func(c net.Conn, _ int, r *http.Request) bool {
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+idHeader+": "+r.Header.Get(idHeader)+"\r\nContent-Length: 1\r\n\r\ny")
 		c.Close()
 		closed <- struct{}{}
 		return false
 	})
-	c := client()
+	c := newClient()
 	for _, name := range []string{"1", "2"} {
-		got, err := text(t, c, tg.addr(), name)
+		got, err := readBody(t, c, tg.addr(), name)
 		is.NoErr(err)
 		is.Equal(got, "y")
 		<-closed
@@ -195,47 +197,48 @@
 	is.Equal(tg.conns.Load(), int32(2))
 }
 
-// The target answers before it has read a long body. The answer comes through,
-// and the connection, on which the rest of the body is still due, is closed.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// The target responds before it has read a long body. The response is returned, and the
+// connection is closed, because the rest of the body would have to follow on it.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	is := is.New(t)
-	tg := listen(t, func(c net.Conn, _ int, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 503 Full\r\n"+id+": "+r.Header.Get(id)+"\r\nContent-Length: 1\r\n\r\nn")
+	tg := startTarget(t, func(c net.Conn, _ int, r *http.Request) bool {
+		io.WriteString(c, "HTTP/1.1 503 Full\r\n"+idHeader+": "+r.Header.Get(idHeader)+"\r\nContent-Length: 1\r\n\r\nn")
 		buf := make([]byte, 1)
 		_, _ = c.Read(buf)
 		return false
 	})
-	c := client()
-	r := request("1")
+	c := newClient()
+	r := newRequest("1")
 	r.Body = []byte(strings.Repeat("x", 32<<20))
 	a, err := c.Send(t.Context(), fireflypath.Target{Name: "t", Addr: tg.addr()}, r)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusServiceUnavailable)
 	a.Close()
-	_, err = text(t, c, tg.addr(), "2")
+	_, err = readBody(t, c, tg.addr(), "2")
 	is.NoErr(err)
 	is.Equal(tg.conns.Load(), int32(2))
 }
 
-// Nobody listens at the address: no byte left, so the request may go elsewhere.
+// Nothing listens at the address. No byte was sent, so the request may be sent to another
+// target.
 func TestRefusedConnectionIsUnsent(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	addr := ln.Addr().String()
 	is.NoErr(ln.Close())
-	_, err = client().Send(t.Context(), fireflypath.Target{Name: "t", Addr: addr}, request("1"))
+	_, err = newClient().Send(t.Context(), fireflypath.Target{Name: "t", Addr: addr}, newRequest("1"))
 	is.True(errors.Is(err, fireflypath.ErrUnsent))
 	is.True(errors.Is(err, fireflypath.ErrUnreachable))
 }
 
-// The caller leaves while the target works. The target sees its connection end,
-// and can stop.
-func TestCallersLeavingReachesTheTarget(t *testing.T) {
+// The context is canceled while the target works, because the caller disconnected. The
+// connection must be closed, so that the target notices and can stop.
+func TestCanceledContextClosesConnection(t *testing.T) {
 	is := is.New(t)
 	ended := make(chan struct{})
 	got := make(chan struct{})
-	tg := listen(t, func(c net.Conn, _ int, _ *http.Request) bool {
+	tg := startTarget(t, func(c net.Conn, _ int, _ *http.Request) bool {
 		close(got)
 		buf := make([]byte, 1)
 		_, _ = c.Read(buf)
@@ -247,34 +250,34 @@
 		<-got
 		cancel()
 	}()
-	_, err := client().Send(ctx, fireflypath.Target{Name: "t", Addr: tg.addr()}, request("1"))
+	_, err := newClient().Send(ctx, fireflypath.Target{Name: "t", Addr: tg.addr()}, newRequest("1"))
 	is.True(err != nil)
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the target still has its connection")
+		t.Fatal("connection to the target still open after cancellation")
 	}
 }
 
-// A target starts again under its name and address, and the end of its old
-// connections is not heard of: the host lost its power. A request written to such a
-// connection would be lost, with its outcome unknown.
-func TestConnectionOfAnEarlierLifeIsNotUsed(t *testing.T) {
+// A target restarts under the same name and address after its host lost power, so its old
+// connections were never closed. A request written to one of them would be lost, and its
+// outcome would be unknown.
+func TestConnectionToEarlierIncarnationIsNotReused(t *testing.T) {
 	is := is.New(t)
-	tg := listen(t, func(c net.Conn, _ int, r *http.Request) bool {
-		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+id+": "+r.Header.Get(id)+"\r\nContent-Length: 0\r\n\r\n")
+	tg := startTarget(t, func(c net.Conn, _ int, r *http.Request) bool {
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n"+idHeader+": "+r.Header.Get(idHeader)+"\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	c := client()
-	for i, life := range []uint64{1, 1, 2} {
-		a, err := c.Send(t.Context(), fireflypath.Target{Name: "t", Addr: tg.addr(), Incarnation: life}, request(strconv.Itoa(i)))
+	c := newClient()
+	for i, incarnation := range []uint64{1, 1, 2} {
+		a, err := c.Send(t.Context(), fireflypath.Target{Name: "t", Addr: tg.addr(), Incarnation: incarnation}, newRequest(strconv.Itoa(i)))
 		is.NoErr(err)
 		a.Close()
 	}
 	is.Equal(tg.conns.Load(), int32(2))
 	c.Sweep([]fireflypath.Target{{Name: "t", Addr: tg.addr(), Incarnation: 2}})
-	a, err := c.Send(t.Context(), fireflypath.Target{Name: "t", Addr: tg.addr(), Incarnation: 2}, request("4"))
+	a, err := c.Send(t.Context(), fireflypath.Target{Name: "t", Addr: tg.addr(), Incarnation: 2}, newRequest("4"))
 	is.NoErr(err)
 	a.Close()
-	is.Equal(tg.conns.Load(), int32(2)) // that of the life in force was kept
+	is.Equal(tg.conns.Load(), int32(2)) // connection to the current incarnation not kept
 }
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -15,25 +15,27 @@
 	net.Conn
 	raw    syscall.RawConn
 	reader *bufio.Reader
-	// written counts the bytes that the kernel took; only 0 proves that nothing left.
+	// written counts the bytes that the kernel accepted. Only 0 proves that nothing
+	// was sent.
 	written atomic.Int64
-	// since is when it became idle; until is when the target closes it, if it said so.
-	since, until time.Time
+	// idleSince is when the connection became idle. closesAt is when the target may close
+	// it, or zero if the target announced no time.
+	idleSince, closesAt time.Time
 }
 
-// Write counts the bytes that leave.
+// Write counts the bytes that the kernel accepts.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-// stale reports whether an idle connection has anything to read: its end, or
-// bytes of an answer that nobody asked for. Those would be taken for the next
-// request's answer, and a request written to a closed connection may or may not
-// have been read, so that it could not be sent again.
+// stale reports whether an idle connection must not be used: the target closed it or is
+// about to, or unsolicited bytes arrived. Such bytes would be read as the response to the
+// next request. A request written to a closed connection may or may not have been
+// read, so it could not be sent again.
 func (c *conn) stale(now time.Time) bool {
-	if c.reader.Buffered() > 0 || !c.until.IsZero() && !now.Before(c.until) {
+	if c.reader.Buffered() > 0 || !c.closesAt.IsZero() && !now.Before(c.closesAt) {
 		return true
 	}
 	return socket.Readable(c.raw)
--- /dev/null
+++ b/internal/http1/response.go
@@ -0,0 +1,175 @@
+package http1
+
+import (
+	"io"
+	"net/http"
+	"net/textproto"
+	"strconv"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/fireflypath/fireflypath"
+)
+
+// Response is a response whose body is read from its connection. It must be used by one
+// goroutine only.
+type Response struct {
+	Status int
+	Header http.Header
+	// ContentLength is the length of the body, or -1 if it is not known in advance.
+	ContentLength int64
+
+	client    *Client
+	endpoint  endpoint
+	conn      *conn
+	stopWatch func() bool
+	httpResp  *http.Response
+	// bodyWritten is closed once a request body that is written concurrently with
+	// reading the response has been written or has failed with writeErr. It is nil
+	// for a body that was written before.
+	bodyWritten chan struct{}
+	writeErr    error
+	complete    bool
+	// selfDelimited is true if the body has a Content-Length or is chunked; any
+	// other body ends when the connection closes.
+	selfDelimited bool
+	closed        bool
+}
+
+// write writes the request. A large body is written concurrently with reading the
+// response, because a target may respond before it has read the whole body.
+func (resp *Response) write(req *Request) error {
+	b := req.encodeHead()
+	if len(req.Body) <= maxInlineBody {
+		_, err := resp.conn.Write(append(b, req.Body...))
+		return err
+	}
+	if _, err := resp.conn.Write(b); err != nil {
+		return err
+	}
+	resp.bodyWritten = make(chan struct{})
+	go func() {
+		defer close(resp.bodyWritten)
+		_, resp.writeErr = resp.conn.Write(req.Body)
+	}()
+	return nil
+}
+
+// encodeHead returns the request line and the header.
+func (r *Request) encodeHead() []byte {
+	b := make([]byte, 0, requestHeadSize+min(len(r.Body), maxInlineBody))
+	b = append(b, r.Method+" "+r.URI+" HTTP/1.1\r\nHost: "+r.Host+"\r\n"...)
+	for name, values := range r.Header {
+		for _, v := range values {
+			b = append(b, name+": "+v+"\r\n"...)
+		}
+	}
+	if r.HasBody || len(r.Body) > 0 {
+		b = append(b, "Content-Length: "+strconv.Itoa(len(r.Body))+"\r\n"...)
+	}
+	return append(b, "\r\n"...)
+}
+
+// readHeader reads the header of the response. Responses to other requests that arrive
+// before it are discarded: a target may send a response twice or late.
+func (resp *Response) readHeader(req *Request) error {
+	httpReq := &http.Request{Method: req.Method}
+	for range maxMismatched {
+		httpResp, err := http.ReadResponse(resp.conn.reader, httpReq) //nolint:bodyclose // the connection is closed instead, by Close
+		if err != nil {
+			return err
+		}
+		if httpResp.StatusCode < http.StatusOK {
+			continue
+		}
+		id := httpResp.Header.Get(resp.client.idHeader)
+		if id == "" || id == req.ID {
+			resp.setHeader(httpResp)
+			return nil
+		}
+		if httpResp.ContentLength < 0 && len(httpResp.TransferEncoding) == 0 {
+			return fireflypath.ErrRequestMismatch
+		}
+		if _, err := io.Copy(io.Discard, httpResp.Body); err != nil {
+			return errors.Mark(err, fireflypath.ErrRequestMismatch)
+		}
+	}
+	return fireflypath.ErrRequestMismatch
+}
+
+func (resp *Response) setHeader(httpResp *http.Response) {
+	resp.httpResp = httpResp
+	resp.Status = httpResp.StatusCode
+	resp.Header = httpResp.Header
+	resp.ContentLength = httpResp.ContentLength
+	resp.selfDelimited = httpResp.ContentLength >= 0 || len(httpResp.TransferEncoding) > 0
+	resp.complete = httpResp.ContentLength == 0
+}
+
+// Read reads from the body. It returns io.EOF only after the complete body.
+func (resp *Response) Read(b []byte) (int, error) {
+	if resp.complete {
+		return 0, io.EOF
+	}
+	n, err := resp.httpResp.Body.Read(b)
+	switch {
+	case errors.Is(err, io.EOF):
+		resp.complete = true
+	case errors.Is(err, io.ErrUnexpectedEOF):
+		err = errors.Mark(err, fireflypath.ErrTruncated)
+	}
+	return n, err
+}
+
+// SelfDelimited reports whether the message itself marks the end of the body. It is
+// false for a body that ends when the connection closes.
+func (resp *Response) SelfDelimited() bool {
+	return resp.selfDelimited
+}
+
+// Close returns the connection to the pool if the complete response was read, and
+// otherwise closes it.
+func (resp *Response) Close() {
+	if resp.closed {
+		return
+	}
+	resp.closed = true
+	contextAlive := resp.stopWatch()
+	if !resp.reusable() || !contextAlive {
+		resp.conn.Close()
+		return
+	}
+	resp.conn.closesAt = keepAliveDeadline(resp.Header, resp.client.clock.Now())
+	resp.client.push(resp.endpoint, resp.conn)
+}
+
+// reusable reports whether the connection can carry another request: the response was
+// read and the request body written completely, and no further bytes arrived.
+func (resp *Response) reusable() bool {
+	if resp.httpResp == nil || !resp.complete || !resp.selfDelimited || resp.httpResp.Close || resp.conn.reader.Buffered() > 0 {
+		return false
+	}
+	if resp.bodyWritten == nil {
+		return true
+	}
+	select {
+	case <-resp.bodyWritten:
+		return resp.writeErr == nil
+	default:
+		// The target responded early and may still read the rest of the body, so
+		// nothing else may be written to the connection.
+		return false
+	}
+}
+
+// SetReadDeadline sets the deadline of future reads; a zero time removes it.
+func (resp *Response) SetReadDeadline(t time.Time) error {
+	return resp.conn.SetReadDeadline(t)
+}
+
+// CanonicalHeader returns the canonical form of a header name, which is the one to
+// compare.
+func CanonicalHeader(name string) string {
+	return textproto.CanonicalMIMEHeaderKey(name)
+}
