--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -23,9 +23,9 @@
 	return errors.Wrap(check.Config(nil, s.Initial), "check initial configuration")
 }
 
-var validate = rules()
+var validate = newValidator()
 
-func rules() *validator.Validate {
+func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(jsonName)
 	err := v.RegisterValidation("ipport", func(f validator.FieldLevel) bool {
@@ -41,44 +41,44 @@
 
 // check adds what the structs' tags and the configuration's own rules refuse.
 func (d *decoder) check(s *Settings) {
-	var fields validator.ValidationErrors
-	if errors.As(validate.Struct(s), &fields) {
-		for _, f := range fields {
-			d.field(f)
+	var fieldErrs validator.ValidationErrors
+	if errors.As(validate.Struct(s), &fieldErrs) {
+		for _, f := range fieldErrs {
+			d.addFieldError(f)
 		}
 	}
 	if len(d.problems) > 0 {
 		return
 	}
-	var found check.Problems
-	if s.Initial != nil && errors.As(check.Config(nil, s.Initial), &found) {
-		for _, p := range found {
-			at := d.item(s, p.Subject)
-			d.add(at.offset, at.setting, "%s", p.Subject+" "+p.Detail)
+	var problems check.Problems
+	if s.Initial != nil && errors.As(check.Config(nil, s.Initial), &problems) {
+		for _, p := range problems {
+			loc := d.findItem(s, p.Subject)
+			d.addProblem(loc.offset, loc.setting, "%s", p.Subject+" "+p.Detail)
 		}
 	}
 }
 
-// field shows a missing setting at the object that lacks it.
-func (d *decoder) field(f validator.FieldError) {
+// addFieldError shows a missing setting at the object that lacks it.
+func (d *decoder) addFieldError(f validator.FieldError) {
 	name := f.StructNamespace()
-	if p, ok := d.places[name]; ok {
-		if !d.unread[p.setting] {
-			d.add(p.offset, p.setting, "%s", reason(f))
+	if loc, ok := d.locations[name]; ok {
+		if !d.undecodable[loc.setting] {
+			d.addProblem(loc.offset, loc.setting, "%s", fieldReason(f))
 		}
 		return
 	}
 	for name != "" {
-		cut := max(strings.LastIndexByte(name, '.'), 0)
-		name = name[:cut]
-		if p, ok := d.places[name]; ok {
-			d.add(p.offset, join(p.setting, f.Field()), "%s", reason(f))
+		end := max(strings.LastIndexByte(name, '.'), 0)
+		name = name[:end]
+		if loc, ok := d.locations[name]; ok {
+			d.addProblem(loc.offset, joinPath(loc.setting, f.Field()), "%s", fieldReason(f))
 			return
 		}
 	}
 }
 
-func reason(f validator.FieldError) string {
+func fieldReason(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "is missing"
@@ -105,18 +105,18 @@
 	}
 }
 
-// item finds what a subject like "pool engines" names in the initial configuration.
-func (d *decoder) item(s *Settings, subject string) place {
+// findItem finds what a subject like "pool engines" names in the initial configuration.
+func (d *decoder) findItem(s *Settings, subject string) location {
 	kind, name, _ := strings.Cut(subject, " ")
 	list := reflect.ValueOf(s.Initial).Elem().FieldByName(strings.ToUpper(kind[:1]) + kind[1:] + "s")
-	at := d.places[rootName+".Initial"]
+	loc := d.locations[rootName+".Initial"]
 	if !list.IsValid() || list.Kind() != reflect.Slice {
-		return at
+		return loc
 	}
 	for i := range list.Len() {
 		if list.Index(i).FieldByName("Name").String() == name {
-			at = d.places[rootName+".Initial."+strings.ToUpper(kind[:1])+kind[1:]+"s["+strconv.Itoa(i)+"]"]
+			loc = d.locations[rootName+".Initial."+strings.ToUpper(kind[:1])+kind[1:]+"s["+strconv.Itoa(i)+"]"]
 		}
 	}
-	return at
+	return loc
 }
--- a/pkg/settings/decode.go
+++ b/pkg/settings/decode.go
@@ -20,34 +20,34 @@
 	path     string
 	text     []byte
 	problems Problems
-	// places maps the validator's name of a field (Settings.Listen.Callers) to
+	// locations maps the validator's name of a field (Settings.Listen.Callers) to
 	// its place.
-	places map[string]place
-	// unread holds the settings that could not be decoded: what they are
+	locations map[string]location
+	// undecodable holds the settings that could not be decoded: what they are
 	// missing is no second problem.
-	unread map[string]bool
+	undecodable map[string]bool
 }
 
-type place struct {
+type location struct {
 	offset int
 	// setting is the path in the file's own names.
 	setting string
 }
 
 func newDecoder(path string, text []byte) *decoder {
-	return &decoder{path: path, text: text, places: map[string]place{}, unread: map[string]bool{}}
+	return &decoder{path: path, text: text, locations: map[string]location{}, undecodable: map[string]bool{}}
 }
 
-// value decodes into the struct that v points to.
-func (d *decoder) value(name string, v any, tree hujson.Value) {
+// decodeRoot decodes into the struct that v points to.
+func (d *decoder) decodeRoot(name string, v any, tree hujson.Value) {
 	d.decode(name, "", reflect.ValueOf(v).Elem(), tree)
 }
 
-var unmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
+var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
 func (d *decoder) decode(name, setting string, v reflect.Value, tree hujson.Value) {
-	d.places[name] = place{offset: tree.StartOffset, setting: setting}
-	isText := reflect.PointerTo(v.Type()).Implements(unmarshaler)
+	d.locations[name] = location{offset: tree.StartOffset, setting: setting}
+	isText := reflect.PointerTo(v.Type()).Implements(textUnmarshaler)
 	switch {
 	case v.Kind() == reflect.Struct && !isText:
 		d.object(name, setting, v, tree)
@@ -64,20 +64,20 @@
 func (d *decoder) object(name, setting string, v reflect.Value, tree hujson.Value) {
 	o, ok := tree.Value.(*hujson.Object)
 	if !ok {
-		d.add(tree.StartOffset, orRoot(setting), "is not an object")
+		d.addProblem(tree.StartOffset, settingOrRoot(setting), "is not an object")
 		return
 	}
-	fields := fieldsOf(v.Type())
+	fields := fieldsByName(v.Type())
 	seen := map[string]bool{}
 	for _, m := range o.Members {
 		key := m.Name.Value.(hujson.Literal).String()
-		path := join(setting, key)
+		path := joinPath(setting, key)
 		f, known := fields[key]
 		switch {
 		case !known:
-			d.add(m.Name.StartOffset, path, "is not a setting; known here are %s", strings.Join(names(v.Type()), ", "))
+			d.addProblem(m.Name.StartOffset, path, "is not a setting; known here are %s", strings.Join(fieldNames(v.Type()), ", "))
 		case seen[key]:
-			d.add(m.Name.StartOffset, path, "is set twice")
+			d.addProblem(m.Name.StartOffset, path, "is set twice")
 		default:
 			d.decode(name+"."+f.Name, path, v.FieldByIndex(f.Index), m.Value)
 		}
@@ -88,8 +88,8 @@
 func (d *decoder) array(name, setting string, v reflect.Value, tree hujson.Value) {
 	a, ok := tree.Value.(*hujson.Array)
 	if !ok {
-		d.unread[setting] = true
-		d.add(tree.StartOffset, setting, "is not a list")
+		d.undecodable[setting] = true
+		d.addProblem(tree.StartOffset, setting, "is not a list")
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(a.Elements), len(a.Elements)))
@@ -102,24 +102,24 @@
 func (d *decoder) literal(setting string, v reflect.Value, tree hujson.Value) {
 	l, ok := tree.Value.(hujson.Literal)
 	if !ok {
-		d.unread[setting] = true
-		d.add(tree.StartOffset, setting, "is not a %s", kind(v))
+		d.undecodable[setting] = true
+		d.addProblem(tree.StartOffset, setting, "is not a %s", typeDescription(v))
 		return
 	}
 	if err := json.Unmarshal(l, v.Addr().Interface()); err != nil {
-		d.unread[setting] = true
+		d.undecodable[setting] = true
 		var t *json.UnmarshalTypeError
 		if errors.As(err, &t) {
-			d.add(tree.StartOffset, setting, "is not a %s", kind(v))
+			d.addProblem(tree.StartOffset, setting, "is not a %s", typeDescription(v))
 			return
 		}
-		d.add(tree.StartOffset, setting, "cannot be read: %v", err)
+		d.addProblem(tree.StartOffset, setting, "cannot be read: %v", err)
 	}
 }
 
-// kind is what a user calls the type.
-func kind(v reflect.Value) string {
-	if reflect.PointerTo(v.Type()).Implements(unmarshaler) {
+// typeDescription is what a user calls the type.
+func typeDescription(v reflect.Value) string {
+	if reflect.PointerTo(v.Type()).Implements(textUnmarshaler) {
 		return "text in quotes, like \"1.5s\""
 	}
 	switch v.Kind() {
@@ -132,8 +132,8 @@
 	}
 }
 
-// fieldsOf maps the names in a file to the struct's fields.
-func fieldsOf(t reflect.Type) map[string]reflect.StructField {
+// fieldsByName maps the names in a file to the struct's fields.
+func fieldsByName(t reflect.Type) map[string]reflect.StructField {
 	out := map[string]reflect.StructField{}
 	for _, f := range reflect.VisibleFields(t) {
 		out[jsonName(f)] = f
@@ -141,7 +141,7 @@
 	return out
 }
 
-func names(t reflect.Type) []string {
+func fieldNames(t reflect.Type) []string {
 	var out []string
 	for _, f := range reflect.VisibleFields(t) {
 		out = append(out, jsonName(f))
@@ -154,14 +154,14 @@
 	return name
 }
 
-func join(setting, key string) string {
+func joinPath(setting, key string) string {
 	if setting == "" {
 		return key
 	}
 	return setting + "." + key
 }
 
-func orRoot(setting string) string {
+func settingOrRoot(setting string) string {
 	if setting == "" {
 		return "settings"
 	}
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -20,14 +20,14 @@
 func Parse(path string, text []byte) (*Settings, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
-		return nil, syntax(path, err)
+		return nil, syntaxProblems(path, err)
 	}
 	d := newDecoder(path, text)
 	var s Settings
-	d.value(rootName, &s, root)
+	d.decodeRoot(rootName, &s, root)
 	d.check(&s)
 	if len(d.problems) > 0 {
-		return nil, d.sorted()
+		return nil, d.sortedProblems()
 	}
 	return &s, nil
 }
--- a/pkg/settings/load_test.go
+++ b/pkg/settings/load_test.go
@@ -12,18 +12,18 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-const good = `{"name": "d", "domain": "x", "listen": {"callers": "127.0.0.1:0", "operators": "127.0.0.1:0"}`
+const validSettings = `{"name": "d", "domain": "x", "listen": {"callers": "127.0.0.1:0", "operators": "127.0.0.1:0"}`
 
 // An operator mistypes a setting. Ignored, the daemon would run with a default
 // that nobody chose; told one by one, ten mistakes take ten tries.
-func TestProblems(t *testing.T) {
+func TestParseReportsAllProblems(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
 		want []string
 	}{
-		{"unknown", good + `, "lisen": 1}`, []string{`f:1:96: lisen: is not a setting`}},
-		{"twice", good + `, "name": "e"}`, []string{`f:1:96: name: is set twice`}},
+		{"unknown", validSettings + `, "lisen": 1}`, []string{`f:1:96: lisen: is not a setting`}},
+		{"twice", validSettings + `, "name": "e"}`, []string{`f:1:96: name: is set twice`}},
 		{"syntax", "{\n  \"name\" 1}", []string{`f:2:10: syntax: `}},
 		{"missing", `{"name": "d", "domain": "x", "listen": {}}`, []string{
 			`f:1:40: listen.callers: is missing`, `f:1:40: listen.operators: is missing`,
@@ -36,13 +36,13 @@
 			`f:3:20: limits.body: is below the least, 0`,
 			`f:3:35: limits.silence: cannot be read`,
 		}},
-		{"quarantine", good + `, "gate": {"revoked": "5s", "force": "2s", "grace": "8s", "retries": {"window": "10s"},` +
+		{"quarantine", validSettings + `, "gate": {"revoked": "5s", "force": "2s", "grace": "8s", "retries": {"window": "10s"},` +
 			"\n" + `"quarantine": {"targets": 1, "time": "1ms", "of": true}}}`, []string{
 			`f:2:27: gate.quarantine.targets: is below the least, 2`,
 			`f:2:38: gate.quarantine.time: is below the least`,
 			`f:2:45: gate.quarantine.of: is not a setting`,
 		}},
-		{"configuration", good + `, "initial": {"pools": [{"name": "p", "kind": "service"}, {"name": "p", "kind": "service"}]}}`, []string{
+		{"configuration", validSettings + `, "initial": {"pools": [{"name": "p", "kind": "service"}, {"name": "p", "kind": "service"}]}}`, []string{
 			`f:1:152: initial.pools[1]: pool p is defined twice`,
 		}},
 	}
@@ -53,16 +53,16 @@
 			var got settings.Problems
 			is.True(errors.As(err, &got))
 			is.Equal(len(got), len(tt.want))
-			for i, w := range tt.want {
-				if !strings.HasPrefix(got[i].Error(), w) {
-					t.Errorf("got %q, want %q", got[i].Error(), w)
+			for i, want := range tt.want {
+				if !strings.HasPrefix(got[i].Error(), want) {
+					t.Errorf("got %q, want %q", got[i].Error(), want)
 				}
 			}
 		})
 	}
 }
 
-func TestExamples(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../settings/*.jsonc")
 	is.New(t).NoErr(err)
 	is.New(t).Equal(len(files), 2)
@@ -75,8 +75,8 @@
 			is.Equal(len(s.Initial.Teams), 5)
 			is.Equal(len(s.Initial.Targets), 15)
 			domains := map[string]bool{}
-			for _, tg := range s.Initial.Targets {
-				domains[tg.Domain] = true
+			for _, target := range s.Initial.Targets {
+				domains[target.Domain] = true
 			}
 			is.Equal(len(domains), 3)
 		})
@@ -89,7 +89,7 @@
 		is.New(f).NoErr(err)
 		f.Add(text)
 	}
-	f.Add([]byte(good + `, "initial": {"teams": [{"keys": null}], "tiers": {}}, "records": [], "log": {}}`))
+	f.Add([]byte(validSettings + `, "initial": {"teams": [{"keys": null}], "tiers": {}}, "records": [], "log": {}}`))
 	f.Add([]byte(`{"listen": null, "peers": {"seeds": [1, null, {}], "tls": 1}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := settings.Parse("f", text)
--- a/pkg/settings/problem.go
+++ b/pkg/settings/problem.go
@@ -31,26 +31,26 @@
 // Error has a line for each.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
-	for i, one := range p {
-		lines[i] = one.Error()
+	for i, problem := range p {
+		lines[i] = problem.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
 // position counts lines and columns from 1; columns are bytes.
 func position(text []byte, offset int) (line, column int) {
-	before := text[:min(offset, len(text))]
-	line = 1 + bytes.Count(before, []byte("\n"))
-	column = len(before) - bytes.LastIndexByte(before, '\n')
+	preceding := text[:min(offset, len(text))]
+	line = 1 + bytes.Count(preceding, []byte("\n"))
+	column = len(preceding) - bytes.LastIndexByte(preceding, '\n')
 	return line, column
 }
 
-// where finds the position in a message of the parser.
-var where = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
+// parserPosition finds the position in a message of the parser.
+var parserPosition = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
-func syntax(path string, err error) Problems {
+func syntaxProblems(path string, err error) Problems {
 	p := Problem{File: path, Line: 1, Column: 1, Setting: "syntax", Reason: err.Error()}
-	if m := where.FindStringSubmatch(err.Error()); m != nil {
+	if m := parserPosition.FindStringSubmatch(err.Error()); m != nil {
 		// Both numbers were matched as digits.
 		p.Line, _ = strconv.Atoi(m[1])
 		p.Column, _ = strconv.Atoi(m[2])
@@ -59,14 +59,14 @@
 	return Problems{p}
 }
 
-func (d *decoder) add(offset int, setting, format string, args ...any) {
+func (d *decoder) addProblem(offset int, setting, format string, args ...any) {
 	line, column := position(d.text, offset)
 	d.problems = append(d.problems, Problem{
 		File: d.path, Line: line, Column: column, Setting: setting, Reason: fmt.Sprintf(format, args...),
 	})
 }
 
-func (d *decoder) sorted() Problems {
+func (d *decoder) sortedProblems() Problems {
 	slices.SortStableFunc(d.problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
