--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -1,4 +1,4 @@
-// Package operator serves operators' commands and queries over HTTP.
+// Package operator provides the HTTP API through which operators run commands and queries.
 package operator
 
 import (
@@ -16,76 +16,79 @@
 )
 
 const (
-	// doTimeout bounds a command: the platform's service answers in
-	// milliseconds, so what takes longer is an outage, and an operator waits no
-	// longer than this to read that the outcome is unknown.
-	doTimeout = 5 * time.Second
-	// askTimeout bounds a query, a forwarded one too.
-	askTimeout = 5 * time.Second
+	// commandTimeout limits the duration of a command. The platform's store
+	// responds within milliseconds, so anything slower is an outage, and the
+	// operator learns after this time that the outcome is unknown.
+	commandTimeout = 5 * time.Second
+	// queryTimeout limits the duration of a query, and of forwarding it.
+	queryTimeout = 5 * time.Second
 )
 
-// Deps are what the endpoints work with.
+// Deps holds the dependencies of the API.
 type Deps struct {
-	// Sources answer queries; Name, Configs, Committer, Members and Clock of
-	// them serve commands too.
+	// Sources provides the data for queries. Commands also use its Name,
+	// Configs, Committer, Members and Clock.
 	eval.Sources
-	// Orderer sends orders; nil refuses them.
+	// Orderer sends orders to targets. If it is nil, orders are refused.
 	Orderer fireflypath.Orderer
-	// Forwarder asks another daemon; nil says that it is out of reach.
+	// Forwarder sends a query to another daemon. If it is nil, other daemons are
+	// treated as unreachable.
 	Forwarder Forwarder
-	// Quarantine is nil where no request is held.
+	// Quarantine lists and releases held requests. It is nil if the daemon does
+	// not hold requests.
 	Quarantine Quarantine
 	Scope      tally.Scope
 	Log        *zap.Logger
 }
 
-// Forwarder asks the daemon with an operators' address once.
+// Forwarder sends queries to other daemons.
 type Forwarder interface {
-	// Ask returns the other daemon's status and body.
-	Ask(addr, authorization, words string, timeout time.Duration) (status int, body []byte, err error)
+	// Ask sends a query once to the operator API at addr and returns the status
+	// and body of the response.
+	Ask(addr, authorization, text string, timeout time.Duration) (status int, body []byte, err error)
 }
 
-// API is the operators' endpoints.
+// API implements the endpoints for operators.
 type API struct {
-	deps  Deps
-	eval  *eval.Evaluator
-	ring  *keys.Keyring
-	tries *tries.Tries
-	count counters
+	deps    Deps
+	eval    *eval.Evaluator
+	keyring *keys.Keyring
+	tries   *tries.Tries
+	metrics metrics
 }
 
-type counters struct {
-	asked, failed, forwarded, denied tally.Counter
-	outcomes                         tally.Scope
+type metrics struct {
+	queries, failedQueries, forwardedQueries, denied tally.Counter
+	outcomes                                         tally.Scope
 }
 
-// New returns the endpoints.
+// New returns an API with the given dependencies.
 func New(deps Deps) *API {
 	scope := deps.Scope.SubScope("operator")
 	return &API{
-		deps:  deps,
-		eval:  eval.New(deps.Sources),
-		ring:  keys.New(deps.Configs),
-		tries: tries.New(deps.Clock),
-		count: counters{
-			asked:     scope.Counter("asked"),
-			failed:    scope.Counter("failed"),
-			forwarded: scope.Counter("forwarded"),
-			denied:    scope.Counter("denied"),
-			outcomes:  scope,
+		deps:    deps,
+		eval:    eval.New(deps.Sources),
+		keyring: keys.New(deps.Configs),
+		tries:   tries.New(deps.Clock),
+		metrics: metrics{
+			queries:          scope.Counter("asked"),
+			failedQueries:    scope.Counter("failed"),
+			forwardedQueries: scope.Counter("forwarded"),
+			denied:           scope.Counter("denied"),
+			outcomes:         scope,
 		},
 	}
 }
 
-// Register adds the endpoints to the operators' listener.
+// Register adds the endpoints to r.
 func (a *API) Register(r fiber.Router) {
-	r.Post(wire.PathDo, a.do)
-	r.Post(wire.PathAsk, a.ask)
-	r.Get(wire.PathSettle+"/:id", a.settle)
-	r.Post(wire.PathHeld, a.held)
-	r.Post(wire.PathRelease, a.release)
+	r.Post(wire.PathDo, a.handleCommand)
+	r.Post(wire.PathAsk, a.handleQuery)
+	r.Get(wire.PathSettle+"/:id", a.handleSettle)
+	r.Post(wire.PathHeld, a.handleHeld)
+	r.Post(wire.PathRelease, a.handleRelease)
 }
 
-func failure(c fiber.Ctx, status int, f wire.ErrorResponse) error {
+func sendError(c fiber.Ctx, status int, f wire.ErrorResponse) error {
 	return c.Status(status).JSON(f)
 }
--- a/internal/operator/ask.go
+++ b/internal/operator/ask.go
@@ -14,49 +14,49 @@
 	"github.com/fireflypath/fireflypath/internal/query/eval"
 )
 
-func (a *API) ask(c fiber.Ctx) error {
-	who, err := a.operator(c)
-	if who == nil {
+func (a *API) handleQuery(c fiber.Ctx) error {
+	operator, err := a.authenticate(c)
+	if operator == nil {
 		return err
 	}
 	var req wire.QueryRequest
 	if err := json.Unmarshal(c.Body(), &req); err != nil {
-		return failure(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "the body is no query: " + err.Error()})
+		return sendError(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "the body is no query: " + err.Error()})
 	}
-	return a.answer(c, req.Text)
+	return a.answerQuery(c, req.Text)
 }
 
-// settle is the query "settle ID" as an address.
-func (a *API) settle(c fiber.Ctx) error {
-	who, err := a.operator(c)
-	if who == nil {
+// handleSettle answers the query "settle ID" for the ID in the path.
+func (a *API) handleSettle(c fiber.Ctx) error {
+	operator, err := a.authenticate(c)
+	if operator == nil {
 		return err
 	}
-	return a.answer(c, "settle "+c.Params("id"))
+	return a.answerQuery(c, "settle "+c.Params("id"))
 }
 
-func (a *API) answer(c fiber.Ctx, words string) error {
-	a.count.asked.Inc(1)
-	ctx, cancel := context.WithTimeout(c.Context(), askTimeout)
+func (a *API) answerQuery(c fiber.Ctx, text string) error {
+	a.metrics.queries.Inc(1)
+	ctx, cancel := context.WithTimeout(c.Context(), queryTimeout)
 	defer cancel()
-	q, err := query.Parse(words)
+	q, err := query.Parse(text)
 	if err != nil {
-		return a.fail(c, err)
+		return a.sendQueryError(c, err)
 	}
 	ans, err := a.eval.Ask(ctx, q)
 	var elsewhere *eval.Elsewhere
 	if errors.As(err, &elsewhere) {
-		return a.forward(c, elsewhere.Daemon, words)
+		return a.forwardQuery(c, elsewhere.Daemon, text)
 	}
 	if err != nil {
-		return a.fail(c, err)
+		return a.sendQueryError(c, err)
 	}
 	return c.JSON(ans)
 }
 
-// fail answers with the status that fits the error.
-func (a *API) fail(c fiber.Ctx, err error) error {
-	a.count.failed.Inc(1)
+// sendQueryError responds with the HTTP status that matches the error.
+func (a *API) sendQueryError(c fiber.Ctx, err error) error {
+	a.metrics.failedQueries.Inc(1)
 	f := wire.ErrorResponse{Detail: err.Error()}
 	status := fiber.StatusInternalServerError
 	switch {
@@ -67,28 +67,29 @@
 	case errors.Is(err, eval.ErrTrail):
 		status = fiber.StatusServiceUnavailable
 	}
-	return failure(c, status, f)
+	return sendError(c, status, f)
 }
 
-// forward passes a question about another daemon's request on, once: two
-// daemons that each take the other for its owner would pass it on for ever.
-func (a *API) forward(c fiber.Ctx, daemon, words string) error {
-	addr := a.address(daemon)
+// forwardQuery forwards a query about a request that another daemon received. A
+// forwarded query is not forwarded again, because two daemons that each consider the
+// other responsible would forward it forever.
+func (a *API) forwardQuery(c fiber.Ctx, daemon, text string) error {
+	addr := a.operatorAddr(daemon)
 	if c.Get(wire.HeaderForwarded) != "" || addr == "" || a.deps.Forwarder == nil {
 		detail := "daemon " + daemon + " is gone or not known, and its records with it; the refusal that the caller got says why"
-		return failure(c, fiber.StatusNotFound, wire.ErrorResponse{Detail: detail})
+		return sendError(c, fiber.StatusNotFound, wire.ErrorResponse{Detail: detail})
 	}
-	a.count.forwarded.Inc(1)
-	status, body, err := a.deps.Forwarder.Ask(addr, c.Get(fiber.HeaderAuthorization), words, askTimeout)
+	a.metrics.forwardedQueries.Inc(1)
+	status, body, err := a.deps.Forwarder.Ask(addr, c.Get(fiber.HeaderAuthorization), text, queryTimeout)
 	if err != nil {
 		detail := "daemon " + daemon + " took the request and cannot be asked now: " + err.Error()
-		return failure(c, fiber.StatusBadGateway, wire.ErrorResponse{Detail: detail})
+		return sendError(c, fiber.StatusBadGateway, wire.ErrorResponse{Detail: detail})
 	}
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
 	return c.Status(status).Send(body)
 }
 
-func (a *API) address(daemon string) string {
+func (a *API) operatorAddr(daemon string) string {
 	live := a.deps.Members.Live()
 	i := slices.IndexFunc(live, func(m fireflypath.Member) bool { return m.Name == daemon })
 	if i < 0 {
--- a/internal/operator/auth.go
+++ b/internal/operator/auth.go
@@ -15,55 +15,57 @@
 	"github.com/fireflypath/fireflypath/internal/operator/wire"
 )
 
-// local is who acts while the configuration holds no operator.
-const local = "local"
+// localOperator is the name of the operator who acts while the configuration defines
+// no operators.
+const localOperator = "local"
 
-// operator returns who asks, or writes the answer to somebody without a key
-// and returns nil.
+// authenticate returns the operator who sent the request. If the request has no valid
+// key, it writes an error response and returns a nil operator.
 //
-// With no operator in the configuration, callers from the daemon's own host may
-// do everything: somebody must create the first operator, and whoever has a
-// shell on the host could read its settings anyway. Others are refused.
-func (a *API) operator(c fiber.Ctx) (*fireflypath.Operator, error) {
-	addr := source(c)
+// While the configuration defines no operators, connections from the daemon's own
+// host have full access and all others are refused: the first operator must be created
+// somehow, and anyone with a shell on the host can already read the daemon's settings.
+func (a *API) authenticate(c fiber.Ctx) (*fireflypath.Operator, error) {
+	addr := sourceAddr(c)
 	if len(a.deps.Configs.Current().Operators) == 0 {
-		if own(c, addr) {
-			return &fireflypath.Operator{Name: local, Role: fireflypath.RoleOrder}, nil
+		if isLocal(c, addr) {
+			return &fireflypath.Operator{Name: localOperator, Role: fireflypath.RoleOrder}, nil
 		}
-		return nil, a.deny(c, "no operator is configured: create the first one from the daemon's host")
+		return nil, a.sendUnauthorized(c, "no operator is configured: create the first one from the daemon's host")
 	}
 	key := keys.Bearer(c.Get(fiber.HeaderAuthorization))
-	who := a.ring.Operator(key, a.deps.Clock.Now())
+	operator := a.keyring.Operator(key, a.deps.Clock.Now())
 	wait := a.tries.Wait(addr)
-	if who != nil && (wait == 0 || a.tries.Known(addr, who.Name)) {
-		a.tries.Passed(addr, who.Name)
-		return who, nil
+	if operator != nil && (wait == 0 || a.tries.Known(addr, operator.Name)) {
+		a.tries.Passed(addr, operator.Name)
+		return operator, nil
 	}
 	if wait > 0 {
-		a.count.denied.Inc(1)
+		a.metrics.denied.Inc(1)
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 		detail := fmt.Sprintf("too many failed keys from %s: wait %s", addr, wait.Round(time.Millisecond))
-		return nil, failure(c, fiber.StatusTooManyRequests, wire.ErrorResponse{Detail: detail})
+		return nil, sendError(c, fiber.StatusTooManyRequests, wire.ErrorResponse{Detail: detail})
 	}
 	a.tries.Fail(addr)
-	return nil, a.deny(c, "the operator's key is missing, unknown or ended")
+	return nil, a.sendUnauthorized(c, "the operator's key is missing, unknown or ended")
 }
 
-func (a *API) deny(c fiber.Ctx, detail string) error {
-	a.count.denied.Inc(1)
-	return failure(c, fiber.StatusUnauthorized, wire.ErrorResponse{Detail: detail})
+func (a *API) sendUnauthorized(c fiber.Ctx, detail string) error {
+	a.metrics.denied.Inc(1)
+	return sendError(c, fiber.StatusUnauthorized, wire.ErrorResponse{Detail: detail})
 }
 
-// own is true for a connection from the daemon's host: over loopback, or from
-// the address that it was made to, which the kernel takes from no wire.
-func own(c fiber.Ctx, addr netip.Addr) bool {
+// isLocal reports whether a connection comes from the daemon's own host: over
+// loopback, or from the same address that it connects to. The kernel accepts no packets
+// from the network with one of the host's own addresses as source.
+func isLocal(c fiber.Ctx, addr netip.Addr) bool {
 	tcp, ok := c.RequestCtx().LocalAddr().(*net.TCPAddr)
 	return addr.IsLoopback() || ok && tcp.AddrPort().Addr().Unmap() == addr
 }
 
-// source is the address of the connection; headers that claim another one are
-// not believed.
-func source(c fiber.Ctx) netip.Addr {
+// sourceAddr returns the peer address of the connection. Headers that claim another
+// address are ignored.
+func sourceAddr(c fiber.Ctx) netip.Addr {
 	tcp, ok := c.RequestCtx().RemoteAddr().(*net.TCPAddr)
 	if !ok {
 		return netip.Addr{}
@@ -71,13 +73,13 @@
 	return tcp.AddrPort().Addr().Unmap()
 }
 
-// may says whether a role allows what another one names: order includes
-// change, and change includes ask.
-func may(has, needs fireflypath.Role) bool {
-	return level(has) >= level(needs)
+// allows reports whether a role includes another one. The role order includes change,
+// and change includes ask.
+func allows(has, needs fireflypath.Role) bool {
+	return roleLevel(has) >= roleLevel(needs)
 }
 
-func level(r fireflypath.Role) int {
+func roleLevel(r fireflypath.Role) int {
 	switch r {
 	case fireflypath.RoleOrder:
 		return 3
--- a/internal/operator/do.go
+++ b/internal/operator/do.go
@@ -19,8 +19,9 @@
 	"github.com/fireflypath/fireflypath/internal/syntax"
 )
 
-// statuses maps outcomes to HTTP; the body's outcome is what counts.
-var statuses = map[wire.Outcome]int{
+// httpStatuses maps outcomes to HTTP status codes. Clients rely on the outcome in
+// the body.
+var httpStatuses = map[wire.Outcome]int{
 	wire.OutcomeDone:        fiber.StatusOK,
 	wire.OutcomePlanned:     fiber.StatusOK,
 	wire.OutcomeRefused:     fiber.StatusConflict,
@@ -29,59 +30,61 @@
 	wire.OutcomeUnknown:     fiber.StatusGatewayTimeout,
 }
 
-func (a *API) do(c fiber.Ctx) error {
-	who, err := a.operator(c)
-	if who == nil {
+func (a *API) handleCommand(c fiber.Ctx) error {
+	operator, err := a.authenticate(c)
+	if operator == nil {
 		return err
 	}
 	var req wire.CommandRequest
 	if err := json.Unmarshal(c.Body(), &req); err != nil {
-		return a.finish(c, bad(wire.CommandResult{}, "the body is no command: "+err.Error()))
+		return a.respond(c, invalidResult(wire.CommandResult{}, "the body is no command: "+err.Error()))
 	}
-	done := wire.CommandResult{ID: req.ID}
+	result := wire.CommandResult{ID: req.ID}
 	id, err := ulid.ParseStrict(req.ID)
 	if err != nil {
-		return a.finish(c, bad(done, "the command's id is not a ULID"))
+		return a.respond(c, invalidResult(result, "the command's id is not a ULID"))
 	}
 	script, err := command.Parse(req.Text)
 	if err != nil {
-		return a.finish(c, unparsed(done, err))
+		return a.respond(c, syntaxErrorResult(result, err))
 	}
 	if script.Base == 0 {
 		script.Base = req.Base
 	}
-	ctx, cancel := context.WithTimeout(c.Context(), doTimeout)
+	ctx, cancel := context.WithTimeout(c.Context(), commandTimeout)
 	defer cancel()
-	if need := needed(script); !may(who.Role, need) {
-		done.Outcome = wire.OutcomeRefused
-		done.Detail = fmt.Sprintf("operator %s has the role %s; this needs %s", who.Name, who.Role, need)
-		return a.finish(c, a.noteRefusal(ctx, who.Name, req, done))
+	if needed := requiredRole(script); !allows(operator.Role, needed) {
+		result.Outcome = wire.OutcomeRefused
+		result.Detail = fmt.Sprintf("operator %s has the role %s; this needs %s", operator.Name, operator.Role, needed)
+		return a.respond(c, a.auditRefusal(ctx, operator.Name, req, result))
 	}
-	if a.stale(ctx, id) {
-		done.Outcome = wire.OutcomeRefused
-		done.Detail = "the id is older than the trail that is looked through, so the command may have been done: look, and give it anew"
-		return a.finish(c, done)
+	if a.predatesAuditTrail(ctx, id) {
+		result.Outcome = wire.OutcomeRefused
+		result.Detail = "the id is older than the trail that is looked through, so the command may have been done: look, and give it anew"
+		return a.respond(c, result)
 	}
-	return a.finish(c, a.run(ctx, who.Name, req, script))
+	return a.respond(c, a.execute(ctx, operator.Name, req, script))
 }
 
-// fresh is the age up to which an id is certainly within reach of the trail.
-const fresh = time.Minute
+// recentIDAge is the age up to which predatesAuditTrail accepts an ID without
+// reading the trail.
+const recentIDAge = time.Minute
 
-// stale is true for an id that was made before the oldest line a committer looks
-// through. Repeating such a command could do it twice.
-func (a *API) stale(ctx context.Context, id ulid.ULID) bool {
-	made := ulid.Time(id.Time())
-	if a.deps.Clock.Now().Sub(made) < fresh {
+// predatesAuditTrail reports whether an ID was created before the oldest audit line
+// that a committer searches for repeated IDs. Repeating such a command could execute
+// it twice.
+func (a *API) predatesAuditTrail(ctx context.Context, id ulid.ULID) bool {
+	createdAt := ulid.Time(id.Time())
+	if a.deps.Clock.Now().Sub(createdAt) < recentIDAge {
 		return false
 	}
-	// Without the trail nothing is committed either.
+	// The error is ignored: if the trail is unreadable, the commit fails too.
 	lines, _ := a.deps.Committer.Trail(ctx, eval.SettleLines)
 	n := len(lines)
-	return n == eval.SettleLines && made.Before(lines[n-1].At)
+	return n == eval.SettleLines && createdAt.Before(lines[n-1].At)
 }
 
-func needed(s *command.Script) fireflypath.Role {
+func requiredRole(s *command.Script) fireflypath.Role {
 	switch {
 	case s.Order != nil:
 		return fireflypath.RoleOrder
@@ -92,147 +95,148 @@
 	}
 }
 
-func (a *API) finish(c fiber.Ctx, done wire.CommandResult) error {
-	a.count.outcomes.Counter(string(done.Outcome)).Inc(1)
-	return c.Status(statuses[done.Outcome]).JSON(done)
+func (a *API) respond(c fiber.Ctx, result wire.CommandResult) error {
+	a.metrics.outcomes.Counter(string(result.Outcome)).Inc(1)
+	return c.Status(httpStatuses[result.Outcome]).JSON(result)
 }
 
-func (a *API) run(ctx context.Context, who string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
+func (a *API) execute(ctx context.Context, operator string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
 	switch {
 	case s.Plan:
-		return a.plan(req, s)
+		return a.planChange(req, s)
 	case s.Order != nil:
-		return a.order(ctx, who, req, s)
+		return a.sendOrder(ctx, operator, req, s)
 	default:
-		return a.change(ctx, who, req, s)
+		return a.commitChange(ctx, operator, req, s)
 	}
 }
 
-func (a *API) plan(req wire.CommandRequest, s *command.Script) wire.CommandResult {
-	done := wire.CommandResult{ID: req.ID}
+func (a *API) planChange(req wire.CommandRequest, s *command.Script) wire.CommandResult {
+	result := wire.CommandResult{ID: req.ID}
 	old := a.deps.Configs.Current()
-	done.Generation = old.Generation
+	result.Generation = old.Generation
 	if s.Order != nil {
-		done.Outcome = wire.OutcomePlanned
-		done.Plan = &plan.Plan{Lines: []string{fmt.Sprintf("order %s %s to target %s", s.Order.Kind, s.Order.Value, s.Order.Target)}}
-		return done
+		result.Outcome = wire.OutcomePlanned
+		result.Plan = &plan.Plan{Lines: []string{fmt.Sprintf("order %s %s to target %s", s.Order.Kind, s.Order.Value, s.Order.Target)}}
+		return result
 	}
 	if s.Base != 0 && s.Base != old.Generation {
-		done.Outcome = wire.OutcomeRefused
-		done.Detail = fmt.Sprintf("it was written against generation %d, and %d is in force here", s.Base, old.Generation)
-		return done
+		result.Outcome = wire.OutcomeRefused
+		result.Detail = fmt.Sprintf("it was written against generation %d, and %d is in force here", s.Base, old.Generation)
+		return result
 	}
 	next, err := s.Apply(old, a.deps.Clock.Now())
 	if err != nil {
-		return refused(done, err)
+		return refusedResult(result, err)
 	}
-	done.Outcome, done.Plan = wire.OutcomePlanned, plan.New(old, next)
-	return done
+	result.Outcome, result.Plan = wire.OutcomePlanned, plan.New(old, next)
+	return result
 }
 
-func (a *API) change(ctx context.Context, who string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
+func (a *API) commitChange(ctx context.Context, operator string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
 	now := a.deps.Clock.Now()
 	commit, err := a.deps.Committer.Commit(ctx, fireflypath.Change{
-		ID: req.ID, Operator: who, Command: req.Text, Base: s.Base,
+		ID: req.ID, Operator: operator, Command: req.Text, Base: s.Base,
 		Apply: func(old *fireflypath.Config) (*fireflypath.Config, error) { return s.Apply(old, now) },
 	})
-	done := wire.CommandResult{ID: req.ID, Generation: commit.Generation, Repeated: commit.Repeated, ConflictingID: commit.ConflictingID}
+	result := wire.CommandResult{ID: req.ID, Generation: commit.Generation, Repeated: commit.Repeated, ConflictingID: commit.ConflictingID}
 	switch {
 	case err == nil && commit.ConflictingID == "":
-		return a.committed(ctx, done, req.Text)
+		return a.verifyRepeat(ctx, result, req.Text)
 	case commit.ConflictingID != "":
-		done = a.lost(ctx, done, s.Base)
+		result = a.describeConflict(ctx, result, s.Base)
 	case errors.Is(err, fireflypath.ErrUnknown):
-		done.Outcome = wire.OutcomeUnknown
-		done.Detail = "it may or may not be in force: " + err.Error()
-		return done
-	case unavailable(ctx, err):
-		done.Outcome = wire.OutcomeUnavailable
-		done.Detail = "nothing was changed: " + err.Error()
-		return done
+		result.Outcome = wire.OutcomeUnknown
+		result.Detail = "it may or may not be in force: " + err.Error()
+		return result
+	case isTransient(ctx, err):
+		result.Outcome = wire.OutcomeUnavailable
+		result.Detail = "nothing was changed: " + err.Error()
+		return result
 	default:
-		done = refused(done, err)
+		result = refusedResult(result, err)
 	}
-	return a.noteRefusal(ctx, who, req, done)
+	return a.auditRefusal(ctx, operator, req, result)
 }
 
-// committed checks that a repeated command is the one that its id was made for.
-// A script that uses an id twice for two commands would otherwise read that the
-// second was done.
-func (a *API) committed(ctx context.Context, done wire.CommandResult, words string) wire.CommandResult {
-	done.Outcome = wire.OutcomeDone
-	if !done.Repeated {
-		return done
+// verifyRepeat refuses a repeated ID whose earlier command had a different text. A
+// script that uses one ID for two commands would otherwise be told that the second
+// was executed.
+func (a *API) verifyRepeat(ctx context.Context, result wire.CommandResult, text string) wire.CommandResult {
+	result.Outcome = wire.OutcomeDone
+	if !result.Repeated {
+		return result
 	}
-	lines, _ := a.deps.Committer.Trail(ctx, repeatLines)
+	lines, _ := a.deps.Committer.Trail(ctx, repeatAuditLines)
 	for _, l := range lines {
-		if l.ID == done.ID && l.Command != words {
-			done.Outcome = wire.OutcomeRefused
-			done.Detail = "the id was used before, for another command: " + l.Command
+		if l.ID == result.ID && l.Command != text {
+			result.Outcome = wire.OutcomeRefused
+			result.Detail = "the id was used before, for another command: " + l.Command
 		}
 	}
-	return done
+	return result
 }
 
-// repeatLines bounds where a repeated command's words are looked for: an hour
-// at the letter's 4,200 changes a day.
-const repeatLines = 175
+// repeatAuditLines is the number of audit lines searched for the text of a repeated
+// command. It covers one hour at 4,200 changes a day.
+const repeatAuditLines = 175
 
-func (a *API) noteRefusal(ctx context.Context, who string, req wire.CommandRequest, done wire.CommandResult) wire.CommandResult {
-	done.AuditFailed = a.note(ctx, eval.RefusedID(req.ID), who, req.Text, "refused: "+done.Detail) != nil
-	return done
+func (a *API) auditRefusal(ctx context.Context, operator string, req wire.CommandRequest, result wire.CommandResult) wire.CommandResult {
+	result.AuditFailed = a.audit(ctx, eval.RefusedID(req.ID), operator, req.Text, "refused: "+result.Detail) != nil
+	return result
 }
 
-// unavailable is true for errors that time may mend.
-func unavailable(ctx context.Context, err error) bool {
+// isTransient reports whether a command that failed with err may succeed later.
+func isTransient(ctx context.Context, err error) bool {
 	return errors.IsAny(err, fireflypath.ErrUnavailable, fireflypath.ErrLimited, fireflypath.ErrConflict,
 		context.DeadlineExceeded, context.Canceled) || ctx.Err() != nil
 }
 
-// lost names the change that was committed first, with its author and words if
-// the trail tells them.
-func (a *API) lost(ctx context.Context, done wire.CommandResult, base uint64) wire.CommandResult {
-	done.Outcome = wire.OutcomeRefused
-	done.Detail = fmt.Sprintf("generation %d is no longer in force: change %s was committed first", base, done.ConflictingID)
-	lines, _ := a.deps.Committer.Trail(ctx, lostLines)
+// describeConflict names the change that was committed first, with its author and
+// text if they are in the audit trail.
+func (a *API) describeConflict(ctx context.Context, result wire.CommandResult, base uint64) wire.CommandResult {
+	result.Outcome = wire.OutcomeRefused
+	result.Detail = fmt.Sprintf("generation %d is no longer in force: change %s was committed first", base, result.ConflictingID)
+	lines, _ := a.deps.Committer.Trail(ctx, conflictAuditLines)
 	for _, l := range lines {
-		if l.ID == done.ConflictingID {
-			done.Detail += fmt.Sprintf(" by %s: %s", l.Operator, l.Command)
+		if l.ID == result.ConflictingID {
+			result.Detail += fmt.Sprintf(" by %s: %s", l.Operator, l.Command)
 		}
 	}
-	return done
+	return result
 }
 
-// lostLines bounds where the words of a change that won are looked for.
-const lostLines = 64
+// conflictAuditLines is the number of audit lines searched for the change that was
+// committed first.
+const conflictAuditLines = 64
 
-func refused(done wire.CommandResult, err error) wire.CommandResult {
-	done.Outcome = wire.OutcomeRefused
-	done.Detail = err.Error()
+func refusedResult(result wire.CommandResult, err error) wire.CommandResult {
+	result.Outcome = wire.OutcomeRefused
+	result.Detail = err.Error()
 	if problems, ok := check.From(err); ok {
-		done.Problems = problems
-		done.Detail = problems.Error()
+		result.Problems = problems
+		result.Detail = problems.Error()
 	}
-	return done
+	return result
 }
 
-func bad(done wire.CommandResult, detail string) wire.CommandResult {
-	done.Outcome, done.Detail = wire.OutcomeInvalid, detail
-	return done
+func invalidResult(result wire.CommandResult, detail string) wire.CommandResult {
+	result.Outcome, result.Detail = wire.OutcomeInvalid, detail
+	return result
 }
 
-func unparsed(done wire.CommandResult, err error) wire.CommandResult {
-	done = bad(done, err.Error())
-	var at *syntax.Error
-	if errors.As(err, &at) {
-		done.Syntax = at
+func syntaxErrorResult(result wire.CommandResult, err error) wire.CommandResult {
+	result = invalidResult(result, err.Error())
+	var syntaxErr *syntax.Error
+	if errors.As(err, &syntaxErr) {
+		result.Syntax = syntaxErr
 	}
-	return done
+	return result
 }
 
-// note writes a line about something that changed no configuration.
-func (a *API) note(ctx context.Context, id, who, words, result string) error {
+// audit appends an audit line for a command that did not change the configuration.
+func (a *API) audit(ctx context.Context, id, operator, text, result string) error {
 	return a.deps.Committer.AppendAudit(ctx, fireflypath.AuditLine{
-		ID: id, At: a.deps.Clock.Now().UTC(), Operator: who, Command: words, Result: result,
+		ID: id, At: a.deps.Clock.Now().UTC(), Operator: operator, Command: text, Result: result,
 	})
 }
--- a/internal/operator/forward/forward.go
+++ b/internal/operator/forward/forward.go
@@ -1,4 +1,4 @@
-// Package forward asks another daemon's operators' endpoint.
+// Package forward sends operators' queries to other daemons.
 package forward
 
 import (
@@ -12,8 +12,9 @@
 	"github.com/fireflypath/fireflypath/internal/operator/wire"
 )
 
-// maxAnswer bounds what is read from the other daemon; "why" is some kilobytes.
-const maxAnswer = 1 << 20
+// maxResponseBytes limits the size of a response from another daemon. The answer to
+// "why" takes a few kilobytes.
+const maxResponseBytes = 1 << 20
 
 // Client implements operator.Forwarder over HTTP.
 type Client struct {
@@ -21,20 +22,20 @@
 	scheme string
 }
 
-// New returns a client; a nil configuration means without TLS.
+// New returns a client. It uses TLS unless cfg is nil.
 func New(cfg *tls.Config) *Client {
 	c := &Client{scheme: "http"}
 	if cfg != nil {
 		c.scheme = "https"
 		c.http.TLSConfig = cfg
 	}
-	c.http.MaxResponseBodySize = maxAnswer
+	c.http.MaxResponseBodySize = maxResponseBytes
 	return c
 }
 
-// Ask sends the query once with the asker's own key.
-func (c *Client) Ask(addr, authorization, words string, timeout time.Duration) (int, []byte, error) {
-	body, err := json.Marshal(wire.QueryRequest{Text: words})
+// Ask sends the query once, with the credentials of the operator who sent it.
+func (c *Client) Ask(addr, authorization, text string, timeout time.Duration) (int, []byte, error) {
+	body, err := json.Marshal(wire.QueryRequest{Text: text})
 	if err != nil {
 		return 0, nil, errors.Wrap(err, "write the query")
 	}
--- a/internal/operator/held.go
+++ b/internal/operator/held.go
@@ -11,46 +11,47 @@
 	"github.com/fireflypath/fireflypath/internal/quarantine"
 )
 
-// Quarantine knows the requests that are held since they end targets.
+// Quarantine holds the requests that crash targets.
 type Quarantine interface {
+	// List returns the requests that are held or suspected.
 	List() []quarantine.Row
-	// Release lets a request run again; it reports false for one that is not held.
+	// Release allows a request to run again. It reports false if the request is not held.
 	Release(d digest.Digest) bool
 }
 
-// held lists the requests that are held or suspected.
-func (a *API) held(c fiber.Ctx) error {
-	who, err := a.operator(c)
-	if who == nil {
+// handleHeld lists the requests that are held, or suspected of crashing targets.
+func (a *API) handleHeld(c fiber.Ctx) error {
+	operator, err := a.authenticate(c)
+	if operator == nil {
 		return err
 	}
-	a.count.asked.Inc(1)
+	a.metrics.queries.Inc(1)
 	if a.deps.Quarantine == nil {
 		return c.JSON(wire.HeldResponse{})
 	}
 	return c.JSON(wire.HeldResponse{Rows: a.deps.Quarantine.List()})
 }
 
-// release lets a request run again at all daemons.
-func (a *API) release(c fiber.Ctx) error {
-	who, err := a.operator(c)
-	if who == nil {
+// handleRelease allows a held request to run again on all daemons.
+func (a *API) handleRelease(c fiber.Ctx) error {
+	operator, err := a.authenticate(c)
+	if operator == nil {
 		return err
 	}
-	if !may(who.Role, fireflypath.RoleChange) {
-		return failure(c, fiber.StatusForbidden, wire.ErrorResponse{Detail: "operator " + who.Name + " has the role " + string(who.Role) + "; this needs change"})
+	if !allows(operator.Role, fireflypath.RoleChange) {
+		return sendError(c, fiber.StatusForbidden, wire.ErrorResponse{Detail: "operator " + operator.Name + " has the role " + string(operator.Role) + "; this needs change"})
 	}
 	var r wire.ReleaseRequest
 	if err := json.Unmarshal(c.Body(), &r); err != nil {
-		return failure(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "the body is no release: " + err.Error()})
+		return sendError(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "the body is no release: " + err.Error()})
 	}
 	d, err := digest.Parse(r.Digest)
 	if err != nil {
-		return failure(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "a digest has 16 hexadecimal digits"})
+		return sendError(c, fiber.StatusBadRequest, wire.ErrorResponse{Detail: "a digest has 16 hexadecimal digits"})
 	}
 	if a.deps.Quarantine == nil || !a.deps.Quarantine.Release(d) {
-		return failure(c, fiber.StatusNotFound, wire.ErrorResponse{Detail: "no request with the digest " + r.Digest + " is held"})
+		return sendError(c, fiber.StatusNotFound, wire.ErrorResponse{Detail: "no request with the digest " + r.Digest + " is held"})
 	}
-	a.count.outcomes.Counter("released").Inc(1)
+	a.metrics.outcomes.Counter("released").Inc(1)
 	return c.JSON(r)
 }
--- a/internal/operator/order.go
+++ b/internal/operator/order.go
@@ -12,32 +12,33 @@
 	"github.com/fireflypath/fireflypath/internal/query/eval"
 )
 
-// order sends an order to a target. Its line goes into the trail before it is
-// sent, and a second one with the result afterwards: an order of which nobody
-// can say who gave it is not sent.
-func (a *API) order(ctx context.Context, who string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
-	done := wire.CommandResult{ID: req.ID}
+// sendOrder sends an order to a target. It appends an audit line before sending and
+// one with the result afterwards. An order that cannot be audited is not sent, so that
+// every order can be traced to an operator.
+func (a *API) sendOrder(ctx context.Context, operator string, req wire.CommandRequest, s *command.Script) wire.CommandResult {
+	result := wire.CommandResult{ID: req.ID}
 	o := *s.Order
 	o.ID = req.ID
-	if why := a.unsendable(o); why != "" {
-		done.Outcome, done.Detail = wire.OutcomeRefused, why
-		return a.noteRefusal(ctx, who, req, done)
+	if reason := a.rejectOrder(o); reason != "" {
+		result.Outcome, result.Detail = wire.OutcomeRefused, reason
+		return a.auditRefusal(ctx, operator, req, result)
 	}
-	if err := a.note(ctx, req.ID, who, req.Text, eval.Ordered); err != nil {
-		done.Outcome = wire.OutcomeUnavailable
-		done.Detail = "the order was not sent, because the trail cannot be written: " + err.Error()
-		return done
+	if err := a.audit(ctx, req.ID, operator, req.Text, eval.Ordered); err != nil {
+		result.Outcome = wire.OutcomeUnavailable
+		result.Detail = "the order was not sent, because the trail cannot be written: " + err.Error()
+		return result
 	}
-	done = sent(done, a.deps.Orderer.Order(ctx, o))
-	result := string(done.Outcome)
-	if done.Detail != "" {
-		result += ": " + done.Detail
+	result = orderResult(result, a.deps.Orderer.Order(ctx, o))
+	summary := string(result.Outcome)
+	if result.Detail != "" {
+		summary += ": " + result.Detail
 	}
-	done.AuditFailed = a.note(ctx, eval.ResultID(req.ID), who, req.Text, result) != nil
-	return done
+	result.AuditFailed = a.audit(ctx, eval.ResultID(req.ID), operator, req.Text, summary) != nil
+	return result
 }
 
-func (a *API) unsendable(o fireflypath.Order) string {
+// rejectOrder returns the reason why an order cannot be sent, or an empty string.
+func (a *API) rejectOrder(o fireflypath.Order) string {
 	targets := a.deps.Configs.Current().Targets
 	if !slices.ContainsFunc(targets, func(t fireflypath.Target) bool { return t.Name == o.Target }) {
 		return "target " + o.Target + " does not exist"
@@ -48,14 +49,14 @@
 	return ""
 }
 
-func sent(done wire.CommandResult, err error) wire.CommandResult {
+func orderResult(result wire.CommandResult, err error) wire.CommandResult {
 	switch {
 	case err == nil:
-		done.Outcome = wire.OutcomeDone
+		result.Outcome = wire.OutcomeDone
 	case errors.Is(err, fireflypath.ErrUnknown):
-		done.Outcome, done.Detail = wire.OutcomeUnknown, "the target may or may not have taken it: "+err.Error()
+		result.Outcome, result.Detail = wire.OutcomeUnknown, "the target may or may not have taken it: "+err.Error()
 	default:
-		done.Outcome, done.Detail = wire.OutcomeRefused, "the target did not take it: "+err.Error()
+		result.Outcome, result.Detail = wire.OutcomeRefused, "the target did not take it: "+err.Error()
 	}
-	return done
+	return result
 }
