--- a/cmd/fireflypathd/run.go
+++ b/cmd/fireflypathd/run.go
@@ -41,7 +41,7 @@
 	}
 	w := logs.NewWriter(os.Stdout)
 	defer w.Close() //nolint:errcheck // it never fails
-	log, err := logger(cfg.Log, w)
+	log, err := logger(cfg.LogLevel, w)
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 	}
 	s := <-signals
 	log.Info("planned stop", zap.Stringer("signal", s))
-	err = stop(ctx, d, cfg.Stop.Limit.Std(), signals)
+	err = stop(ctx, d, cfg.Stop.DrainTimeout.Std(), signals)
 	log.Info("stopped", logs.Cause(err), zap.Int64("dropped", w.Dropped()))
 	return err
 }
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -116,7 +116,7 @@
 // refused while bodies of a lower tier hold the memory: one of those gives way.
 func TestBodiesAreBounded(t *testing.T) {
 	is := is.New(t)
-	f := newFront(t, settings.Limits{Body: 100_000, Bodies: 150_000})
+	f := newFront(t, settings.Limits{Body: 100_000, PendingBodies: 150_000})
 	low := f.send(bronze+"Content-Length: 100000\r\n", strings.Repeat("x", 70_000))
 	f.holds(100_000)
 	f.expect(f.send(bronze+"Content-Length: 100000\r\n", strings.Repeat("x", 100_000)), 503, `"run":"no"`)
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -67,7 +67,7 @@
 	largest := orDefault(limits.Body, defaultBody)
 	s := &Server{
 		route: route, gone: gone, largest: largest,
-		bodies: bodies.New(max(largest+1, orDefault(limits.Bodies, defaultBodies))),
+		bodies: bodies.New(max(largest+1, orDefault(limits.PendingBodies, defaultBodies))),
 	}
 	app := fiber.New(fiber.Config{CaseSensitive: true, StrictRouting: true, DisableHeadAutoRegister: true})
 	app.Post("/v1/completions", s.completions)
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -36,7 +36,7 @@
 		return errors.New("neither a platform service nor an initial configuration is set")
 	}
 	d.registry = registry.New(d.deps.Store, d.cfg.Initial, d.cfg.Name, d.deps.Clock, d.scope, d.deps.Log)
-	if n := d.cfg.Records.Trail; n > 0 {
+	if n := d.cfg.Records.AuditTrail; n > 0 {
 		d.registry.SetRetention(n)
 	}
 	d.deps.Configs = d.registry
@@ -64,7 +64,7 @@
 			return err
 		}
 		trust = t
-	} else if !d.cfg.Peers.Plain {
+	} else if !d.cfg.Peers.AllowPlaintext {
 		return errors.New("peers have neither tls nor plain set")
 	}
 	ln, err := peer.TCP{}.Listen(d.cfg.Listen.Peers)
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -82,11 +82,11 @@
 		d, err := daemon.New(settings.Settings{
 			Name: fmt.Sprintf("entry%d", i), Domain: "a", Listen: listen,
 			Platform: settings.Platform{Addr: srv.Listener.Addr().String()},
-			Peers:    settings.Peers{Plain: true, Seeds: []string{seed}},
+			Peers:    settings.Peers{AllowPlaintext: true, Seeds: []string{seed}},
 			Gate: &settings.Gate{
-				Revoked: fireflypath.Duration(5 * time.Second), Force: fireflypath.Duration(2 * time.Second),
-				Grace:   fireflypath.Duration(30 * time.Millisecond),
-				Retries: settings.Retries{Ratio: 1, Window: fireflypath.Duration(10 * time.Second), Allowance: 100},
+				RevocationDelay: fireflypath.Duration(5 * time.Second), ActivationDelay: fireflypath.Duration(2 * time.Second),
+				TerminationGrace: fireflypath.Duration(30 * time.Millisecond),
+				Retries:          settings.RetryBudget{Ratio: 1, Window: fireflypath.Duration(10 * time.Second), Allowance: 100},
 			},
 		}, daemon.Deps{Clock: clockwork.NewRealClock(), Log: zap.NewNop()})
 		s.is.NoErr(err)
--- a/internal/daemon/dead_test.go
+++ b/internal/daemon/dead_test.go
@@ -50,7 +50,7 @@
 	for i := range 2 {
 		set := testkit.Settings(testkit.Config([]string{addr}, nil))
 		set.Name = fmt.Sprint("d", i)
-		set.Listen.Peers, set.Peers = loopback.ListenAddr(), settings.Peers{Plain: true}
+		set.Listen.Peers, set.Peers = loopback.ListenAddr(), settings.Peers{AllowPlaintext: true}
 		d, err := daemon.New(set, daemon.Deps{Store: store, Log: states(heard, set.Name)})
 		is.NoErr(err)
 		is.NoErr(d.Start(t.Context()))
--- a/internal/daemon/endpoint.go
+++ b/internal/daemon/endpoint.go
@@ -72,7 +72,7 @@
 	if d.members != nil {
 		d.members.SetLeaving()
 	}
-	if notice := d.cfg.Stop.Notice.Std(); notice > 0 {
+	if notice := d.cfg.Stop.ReadinessDelay.Std(); notice > 0 {
 		select {
 		case <-d.deps.Clock.After(notice):
 		case <-ctx.Done():
--- a/internal/daemon/fault_test.go
+++ b/internal/daemon/fault_test.go
@@ -71,9 +71,9 @@
 		cfg.Targets[i].Window = s.window
 	}
 	set := testkit.Settings(cfg)
-	set.Limits.Silence = fireflypath.Duration(s.silence)
-	set.Stop.Notice = fireflypath.Duration(s.notice)
-	set.Limits.Bodies = s.bodies
+	set.Limits.IdleTimeout = fireflypath.Duration(s.silence)
+	set.Stop.ReadinessDelay = fireflypath.Duration(s.notice)
+	set.Limits.PendingBodies = s.bodies
 	set.Limits.Body, set.Limits.Header = s.body, s.header
 	set.Limits.Connections, set.Limits.Waiting = s.connections, s.waiting
 	s.deps.Recorder = r
--- a/internal/daemon/gated.go
+++ b/internal/daemon/gated.go
@@ -110,7 +110,7 @@
 	}
 	var relay *follow.Feed
 	if d.members != nil {
-		relay = follow.New(d.cfg.Name, d.cfg.Domain, d.cfg.Gate.Force.Std(), feed, d.peers, d.members, d.deps.Clock, d.scope, d.deps.Log)
+		relay = follow.New(d.cfg.Name, d.cfg.Domain, d.cfg.Gate.ActivationDelay.Std(), feed, d.peers, d.members, d.deps.Clock, d.scope, d.deps.Log)
 		feed = relay
 	}
 	d.directory = directory.New(feed, d.deps.Codec, d.deps.Clock, boottime.System{}, d.scope, d.deps.Log)
@@ -213,8 +213,8 @@
 		Clock: d.deps.Clock, Codec: d.deps.Codec, Configs: d.deps.Configs, Freshness: d.directory,
 		Pools: d.pools, Client: d.targets, Limits: d.limits, Recorder: d.deps.Recorder,
 		Scope: d.scope, Log: d.deps.Log,
-		MaxKeyViewAge:      g.Revoked.Std() - viewMargin,
-		MaxNotFoundViewAge: time.Duration(forcePart * float64(g.Force)),
+		MaxKeyViewAge:      g.RevocationDelay.Std() - viewMargin,
+		MaxNotFoundViewAge: time.Duration(forcePart * float64(g.ActivationDelay)),
 	}
 	if d.quarantine != nil {
 		deps.Quarantine = d.quarantine
@@ -244,7 +244,7 @@
 // tolerance is how far quotas may be exceeded.
 func (d *Daemon) tolerance() quota.Tolerance {
 	t := d.cfg.Gate.Quotas
-	return quota.Tolerance{Over: t.Over, Slack: t.Slack, Window: t.Window.Std()}
+	return quota.Tolerance{Over: t.Overshoot, Slack: t.Slack, Window: t.Window.Std()}
 }
 
 // sweep closes connections to targets that are no longer used.
--- a/internal/daemon/gatedentry.go
+++ b/internal/daemon/gatedentry.go
@@ -63,7 +63,7 @@
 // to get an answer elsewhere, and what runs at the end of the grace time is cut,
 // so that its caller sees the cut.
 func (gateListener) Stop(ctx context.Context, d *Daemon) error {
-	grace := d.cfg.Gate.Grace.Std()
+	grace := d.cfg.Gate.TerminationGrace.Std()
 	d.pause(ctx, grace, noticePart)
 	limit := time.Duration((1 - noticePart - flushPart) * float64(grace))
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -140,5 +140,5 @@
 	if len(cfg.Routes) == 0 || len(cfg.Targets) == 0 {
 		return false
 	}
-	return d.directory.Age() < d.cfg.Gate.Revoked.Std()-viewMargin
+	return d.directory.Age() < d.cfg.Gate.RevocationDelay.Std()-viewMargin
 }
--- a/internal/daemon/held.go
+++ b/internal/daemon/held.go
@@ -22,10 +22,10 @@
 
 func (held) Run(_ context.Context, d *Daemon) error {
 	cfg := d.cfg.Gate.Quarantine
-	if cfg.Off {
+	if cfg.Disabled {
 		return nil
 	}
-	out := decide.Config{MinCrashes: cfg.Targets, HoldTime: cfg.Time.Std()}
+	out := decide.Config{MinCrashes: cfg.Targets, HoldTime: cfg.Duration.Std()}
 	if out.MinCrashes == 0 {
 		out.MinCrashes = heldTargets
 	}
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -28,11 +28,11 @@
 		Name: "entry1", Domain: "a",
 		Listen:   settings.Listen{Callers: free, Ready: free, Peers: free, Operators: free},
 		Platform: settings.Platform{Addr: store.Listener.Addr().String()},
-		Peers:    settings.Peers{Plain: true},
+		Peers:    settings.Peers{AllowPlaintext: true},
 		Gate: &settings.Gate{
-			Revoked: fireflypath.Duration(5 * time.Second), Force: fireflypath.Duration(2 * time.Second),
-			Grace:   fireflypath.Duration(30 * time.Millisecond),
-			Retries: settings.Retries{Window: fireflypath.Duration(10 * time.Second)},
+			RevocationDelay: fireflypath.Duration(5 * time.Second), ActivationDelay: fireflypath.Duration(2 * time.Second),
+			TerminationGrace: fireflypath.Duration(30 * time.Millisecond),
+			Retries:          settings.RetryBudget{Window: fireflypath.Duration(10 * time.Second)},
 		},
 	}, daemon.Deps{Clock: clockwork.NewRealClock(), Log: zap.NewNop()})
 	is.NoErr(err)
--- a/internal/daemon/targets.go
+++ b/internal/daemon/targets.go
@@ -30,7 +30,7 @@
 func (backends) String() string { return "backends" }
 
 func (backends) Run(ctx context.Context, d *Daemon) error {
-	silence := d.cfg.Limits.Silence.Std()
+	silence := d.cfg.Limits.IdleTimeout.Std()
 	if silence == 0 {
 		silence = defaultSilence
 	}
--- a/internal/demo/start.go
+++ b/internal/demo/start.go
@@ -94,9 +94,9 @@
 		Domain:   domain(i),
 		Listen:   settings.Listen{Callers: free, Operators: free, Peers: free},
 		Platform: settings.Platform{Addr: d.platform.Addr()},
-		Peers:    settings.Peers{Plain: true},
+		Peers:    settings.Peers{AllowPlaintext: true},
 		// Streams go silent on the way; callers should not wait long for them.
-		Limits:  settings.Limits{Silence: fireflypath.Duration(2 * time.Second)},
+		Limits:  settings.Limits{IdleTimeout: fireflypath.Duration(2 * time.Second)},
 		Initial: d.config(),
 	}
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -23,8 +23,8 @@
 	Records Records `json:"records"`
 	// Gate, if set, serves callers by the routes of the platform's configuration.
 	Gate *Gate `json:"gate,omitempty"`
-	// Log is the lowest level printed: debug, info, warn or error.
-	Log string `json:"log" validate:"omitempty,oneof=debug info warn error"`
+	// LogLevel is the lowest level printed: debug, info, warn or error.
+	LogLevel string `json:"log" validate:"omitempty,oneof=debug info warn error"`
 	// Initial is put in force when the platform's service holds no configuration.
 	Initial *fireflypath.Config `json:"initial,omitempty"`
 }
@@ -69,17 +69,17 @@
 	Heartbeat fireflypath.Duration `json:"heartbeat,omitempty" validate:"min=0"`
 	// TLS is mutual; nil is refused unless Plain is set.
 	TLS *TLS `json:"tls,omitempty"`
-	// Plain allows peers without TLS.
-	Plain bool `json:"plain,omitempty"`
+	// AllowPlaintext allows peers without TLS.
+	AllowPlaintext bool `json:"plain,omitempty"`
 }
 
 // Limits bound memory and bad input; 0 takes the default.
 type Limits struct {
 	// Body bounds a request's body in bytes.
 	Body int `json:"body,omitempty" validate:"min=0"`
-	// Bodies bounds the bytes of bodies that are still being read, over all
+	// PendingBodies bounds the bytes of bodies that are still being read, over all
 	// connections; one largest body always fits.
-	Bodies int `json:"bodies,omitempty" validate:"min=0"`
+	PendingBodies int `json:"bodies,omitempty" validate:"min=0"`
 	// Header bounds a request's header in bytes.
 	Header int `json:"header,omitempty" validate:"min=0"`
 	// Connections bounds the callers' open connections.
@@ -88,41 +88,41 @@
 	Waiting int `json:"waiting,omitempty" validate:"min=0"`
 	// Buffer bounds the bytes held of one answer for a slow caller.
 	Buffer int `json:"buffer,omitempty" validate:"min=0"`
-	// Silence is how long an answer may bring nothing before its connection is replaced.
-	Silence fireflypath.Duration `json:"silence,omitempty" validate:"min=0"`
+	// IdleTimeout is how long an answer may bring nothing before its connection is replaced.
+	IdleTimeout fireflypath.Duration `json:"silence,omitempty" validate:"min=0"`
 }
 
 // Stop bounds a planned stop.
 type Stop struct {
-	// Limit is how long running requests are waited for; 0 takes the default.
-	Limit fireflypath.Duration `json:"limit,omitempty" validate:"min=0"`
-	// Notice is how long requests are still taken after readiness has turned
+	// DrainTimeout is how long running requests are waited for; 0 takes the default.
+	DrainTimeout fireflypath.Duration `json:"limit,omitempty" validate:"min=0"`
+	// ReadinessDelay is how long requests are still taken after readiness has turned
 	// false, so that the balancer sends nobody to a closed port; 0 is not at all.
-	Notice fireflypath.Duration `json:"notice,omitempty" validate:"min=0"`
+	ReadinessDelay fireflypath.Duration `json:"notice,omitempty" validate:"min=0"`
 }
 
 // Records bounds what is kept for "why" and of the audit trail.
 type Records struct {
 	// Bytes bounds the memory of kept records; 0 takes the default.
 	Bytes int `json:"bytes,omitempty" validate:"min=0"`
-	// Trail is how many lines of the audit trail are kept in the platform's
+	// AuditTrail is how many lines of the audit trail are kept in the platform's
 	// service; 0 takes the default. Give all daemons the same.
-	Trail int `json:"trail,omitempty" validate:"min=0,max=1000000"`
+	AuditTrail int `json:"trail,omitempty" validate:"min=0,max=1000000"`
 }
 
 // Gate sets what holds for the callers of routes.
 type Gate struct {
-	// Revoked is how long a key may still be used after it was taken away. A
+	// RevocationDelay is how long a key may still be used after it was taken away. A
 	// daemon that cannot show that its view is younger runs no keyed request.
-	Revoked fireflypath.Duration `json:"revoked" validate:"gt=0"`
-	// Force is how soon a changed configuration is in force.
-	Force fireflypath.Duration `json:"force" validate:"gt=0"`
-	// Grace is the time from the signal of a planned stop to the end of the process.
-	Grace fireflypath.Duration `json:"grace" validate:"gt=0"`
+	RevocationDelay fireflypath.Duration `json:"revoked" validate:"gt=0"`
+	// ActivationDelay is how soon a changed configuration is in force.
+	ActivationDelay fireflypath.Duration `json:"force" validate:"gt=0"`
+	// TerminationGrace is the time from the signal of a planned stop to the end of the process.
+	TerminationGrace fireflypath.Duration `json:"grace" validate:"gt=0"`
 	// Retries bound the repeats that all daemons together add.
-	Retries Retries `json:"retries"`
+	Retries RetryBudget `json:"retries"`
 	// Quotas is how far the teams' quotas may be exceeded.
-	Quotas Tolerance `json:"quotas"`
+	Quotas QuotaTolerance `json:"quotas"`
 	// Quarantine holds back requests that end the targets that run them.
 	Quarantine Quarantine `json:"quarantine"`
 }
@@ -132,24 +132,24 @@
 	// Targets is how many targets have to end under a request, one after the other,
 	// before it is held; 0 is 3.
 	Targets int `json:"targets,omitempty" validate:"omitempty,min=2,max=20"`
-	// Time is how long it is held the first time, twice as long each time after; 0 is
+	// Duration is how long it is held the first time, twice as long each time after; 0 is
 	// an hour.
-	Time fireflypath.Duration `json:"time,omitempty" validate:"omitempty,min=1000000000"`
-	// Off serves such requests as any other.
-	Off bool `json:"off,omitempty"`
+	Duration fireflypath.Duration `json:"time,omitempty" validate:"omitempty,min=1000000000"`
+	// Disabled serves such requests as any other.
+	Disabled bool `json:"off,omitempty"`
 }
 
-// Tolerance is how far quotas may be exceeded.
-type Tolerance struct {
-	// Over is a fraction of a quota.
-	Over float64 `json:"over,omitempty" validate:"min=0"`
+// QuotaTolerance is how far quotas may be exceeded.
+type QuotaTolerance struct {
+	// Overshoot is a fraction of a quota.
+	Overshoot float64 `json:"over,omitempty" validate:"min=0"`
 	// Slack is in units over any window.
 	Slack  float64              `json:"slack,omitempty" validate:"min=0"`
 	Window fireflypath.Duration `json:"window,omitempty" validate:"min=0"`
 }
 
-// Retries is a retry budget.
-type Retries struct {
+// RetryBudget is a retry budget.
+type RetryBudget struct {
 	// Ratio is the most repeats for each request of the window.
 	Ratio float64 `json:"ratio" validate:"min=0"`
 	// Window is the time over which both are counted.
