--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -12,7 +12,7 @@
 	"github.com/fireflypath/fireflypath/internal/check"
 )
 
-// Check reports what is wrong with settings that were made in a program.
+// Check validates settings that were created in a program instead of parsed from a file.
 func Check(s *Settings) error {
 	if err := validate.Struct(s); err != nil {
 		return errors.Wrap(err, "check settings")
@@ -33,13 +33,14 @@
 		return err == nil
 	})
 	if err != nil {
-		// Only an empty name or a nil function is refused.
+		// RegisterValidation fails only for an empty tag or a nil function.
 		panic(err)
 	}
 	return v
 }
 
-// check adds what the structs' tags and the configuration's own rules refuse.
+// check adds the violations of the structs' validation tags and of the rules of the
+// initial configuration.
 func (d *decoder) check(s *Settings) {
 	var fieldErrs validator.ValidationErrors
 	if errors.As(validate.Struct(s), &fieldErrs) {
@@ -59,7 +60,8 @@
 	}
 }
 
-// addFieldError shows a missing setting at the object that lacks it.
+// addFieldError reports a missing setting at the position of the object that lacks it. A
+// setting that could not be decoded has been reported already and is skipped.
 func (d *decoder) addFieldError(f validator.FieldError) {
 	name := f.StructNamespace()
 	if loc, ok := d.locations[name]; ok {
@@ -93,19 +95,20 @@
 	case "gt":
 		return "is not above " + f.Param()
 	case "len":
-		return "is not of the length " + f.Param()
+		return "does not have the length " + f.Param()
 	case "hexadecimal":
 		return "is not hexadecimal"
 	case "oneof":
-		return "is none of " + strings.ReplaceAll(f.Param(), " ", ", ")
+		return "is not one of " + strings.ReplaceAll(f.Param(), " ", ", ")
 	case "excludesall":
 		return "holds one of the characters " + f.Param()
 	default:
-		return "breaks the rule " + f.Tag()
+		return "violates the rule " + f.Tag()
 	}
 }
 
-// findItem finds what a subject like "pool engines" names in the initial configuration.
+// findItem returns the location of the item of the initial configuration that a subject
+// such as "pool engines" names, or else the location of the initial configuration.
 func (d *decoder) findItem(s *Settings, subject string) location {
 	kind, name, _ := strings.Cut(subject, " ")
 	list := reflect.ValueOf(s.Initial).Elem().FieldByName(strings.ToUpper(kind[:1]) + kind[1:] + "s")
--- a/pkg/settings/decode.go
+++ b/pkg/settings/decode.go
@@ -11,26 +11,26 @@
 	"github.com/tailscale/hujson"
 )
 
-// rootName begins the validator's names of fields.
+// rootName is the first element of the validator's struct namespaces.
 const rootName = "Settings"
 
-// decoder fills structs from a syntax tree and remembers where each value
-// stands, so that a problem found later can be shown in the file.
+// decoder fills structs from a syntax tree and records the position of each value, so that
+// a problem found later can be reported with its position in the file.
 type decoder struct {
 	path     string
 	text     []byte
 	problems Problems
-	// locations maps the validator's name of a field (Settings.Listen.Callers) to
-	// its place.
+	// locations maps the validator's namespace of a field, such as
+	// Settings.Listen.Callers, to its location.
 	locations map[string]location
-	// undecodable holds the settings that could not be decoded: what they are
-	// missing is no second problem.
+	// undecodable holds the settings that could not be decoded. The zero values that they
+	// leave behind must not be reported as a second problem.
 	undecodable map[string]bool
 }
 
 type location struct {
 	offset int
-	// setting is the path in the file's own names.
+	// setting is the path in the names of the file, such as listen.callers.
 	setting string
 }
 
@@ -38,7 +38,7 @@
 	return &decoder{path: path, text: text, locations: map[string]location{}, undecodable: map[string]bool{}}
 }
 
-// decodeRoot decodes into the struct that v points to.
+// decodeRoot decodes the whole file into the struct that v points to.
 func (d *decoder) decodeRoot(name string, v any, tree hujson.Value) {
 	d.decode(name, "", reflect.ValueOf(v).Elem(), tree)
 }
@@ -117,7 +117,7 @@
 	}
 }
 
-// typeDescription is what a user calls the type.
+// typeDescription returns the name of a type for use in messages.
 func typeDescription(v reflect.Value) string {
 	if reflect.PointerTo(v.Type()).Implements(textUnmarshaler) {
 		return "text in quotes, like \"1.5s\""
@@ -126,13 +126,13 @@
 	case reflect.String:
 		return "text in quotes"
 	case reflect.Bool:
-		return "truth value, true or false"
+		return "boolean, true or false"
 	default:
-		return "whole number of its size"
+		return "whole number in the valid range"
 	}
 }
 
-// fieldsByName maps the names in a file to the struct's fields.
+// fieldsByName maps the names used in the file to the fields of a struct.
 func fieldsByName(t reflect.Type) map[string]reflect.StructField {
 	out := map[string]reflect.StructField{}
 	for _, f := range reflect.VisibleFields(t) {
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -7,7 +7,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Load reads and checks a settings file. Faults of its content are Problems.
+// Load reads and validates a settings file. Invalid content is returned as Problems.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -16,7 +16,7 @@
 	return Parse(path, text)
 }
 
-// Parse reads and checks settings; the path only appears in problems.
+// Parse decodes and validates settings. The path is used only in problems.
 func Parse(path string, text []byte) (*Settings, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
--- a/pkg/settings/load_test.go
+++ b/pkg/settings/load_test.go
@@ -14,8 +14,9 @@
 
 const validSettings = `{"name": "d", "domain": "x", "listen": {"callers": "127.0.0.1:0", "operators": "127.0.0.1:0"}`
 
-// An operator mistypes a setting. Ignored, the daemon would run with a default
-// that nobody chose; told one by one, ten mistakes take ten tries.
+// An operator mistypes a setting. If it were ignored, the daemon would run with a default
+// that nobody chose. If only the first problem were reported, ten mistakes would take ten
+// attempts.
 func TestParseReportsAllProblems(t *testing.T) {
 	tests := []struct {
 		name string
@@ -96,12 +97,12 @@
 		if err != nil {
 			var p settings.Problems
 			if !errors.As(err, &p) || len(p) == 0 {
-				t.Fatalf("%v is not a list of problems", err)
+				t.Fatalf("%v is not a non-empty list of problems", err)
 			}
 			return
 		}
 		if err := settings.Check(s); err != nil {
-			t.Fatalf("accepted, and then refused: %v", err)
+			t.Fatalf("Parse accepted the settings, but Check rejects them: %v", err)
 		}
 	})
 }
--- a/pkg/settings/problem.go
+++ b/pkg/settings/problem.go
@@ -10,25 +10,25 @@
 	"strings"
 )
 
-// Problem is one bad setting.
+// Problem is one invalid setting.
 type Problem struct {
 	File   string
 	Line   int
 	Column int
-	// Setting is the path of names to it, like listen.callers.
+	// Setting is the path of the setting, such as listen.callers.
 	Setting string
 	Reason  string
 }
 
-// Error has the form that editors jump to.
+// Error formats the problem so that editors can jump to its position.
 func (p Problem) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s: %s", p.File, p.Line, p.Column, p.Setting, p.Reason)
 }
 
-// Problems are all bad settings of a file, in the order of the file.
+// Problems are all invalid settings of a file, ordered by position.
 type Problems []Problem
 
-// Error has a line for each.
+// Error returns one line per problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -37,7 +37,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// position counts lines and columns from 1; columns are bytes.
+// position returns the line and column of an offset, both counted from 1. Columns count
+// bytes.
 func position(text []byte, offset int) (line, column int) {
 	preceding := text[:min(offset, len(text))]
 	line = 1 + bytes.Count(preceding, []byte("\n"))
@@ -45,13 +46,13 @@
 	return line, column
 }
 
-// parserPosition finds the position in a message of the parser.
+// parserPosition matches the position in an error message of the parser.
 var parserPosition = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
 func syntaxProblems(path string, err error) Problems {
 	p := Problem{File: path, Line: 1, Column: 1, Setting: "syntax", Reason: err.Error()}
 	if m := parserPosition.FindStringSubmatch(err.Error()); m != nil {
-		// Both numbers were matched as digits.
+		// The pattern matches only digits, so that Atoi can fail only for huge numbers.
 		p.Line, _ = strconv.Atoi(m[1])
 		p.Column, _ = strconv.Atoi(m[2])
 		p.Reason = m[3]
