--- a/internal/engine/bytes_test.go
+++ b/internal/engine/bytes_test.go
@@ -10,26 +10,26 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/engine"
-	stand "github.com/fireflypath/fireflypath/internal/fake/engine"
+	fakeengine "github.com/fireflypath/fireflypath/internal/fake/engine"
 	"github.com/fireflypath/fireflypath/internal/loopback"
 )
 
-// counted passes connections on to an address and counts the bytes.
-type counted struct {
-	out, in atomic.Int64
+// countingProxy forwards connections to an address and counts the bytes of both directions.
+type countingProxy struct {
+	sent, received atomic.Int64
 }
 
-func (n *counted) serve(ln net.Listener, to string) {
-	pass := func(dst, src net.Conn, count *atomic.Int64) {
+func (p *countingProxy) serve(ln net.Listener, addr string) {
+	forward := func(dst, src net.Conn, count *atomic.Int64) {
 		defer dst.Close()
 		buf := make([]byte, 4096)
 		for {
-			k, err := src.Read(buf)
-			count.Add(int64(k))
+			n, err := src.Read(buf)
+			count.Add(int64(n))
 			if err != nil {
 				return
 			}
-			if _, err = dst.Write(buf[:k]); err != nil {
+			if _, err = dst.Write(buf[:n]); err != nil {
 				return
 			}
 		}
@@ -39,35 +39,35 @@
 		if err != nil {
 			return
 		}
-		d, err := net.Dial("tcp", to)
+		upstream, err := net.Dial("tcp", addr)
 		if err != nil {
 			_ = c.Close()
 			return
 		}
-		go pass(d, c, &n.out)
-		go pass(c, d, &n.in)
+		go forward(upstream, c, &p.sent)
+		go forward(c, upstream, &p.received)
 	}
 }
 
-// BenchmarkBytes counts what polls of an idle engine send and receive on the
-// connection, above TCP, with every fourth list of cache events.
+// BenchmarkBytes reports the bytes, without TCP and IP headers, that a poll of an idle engine
+// sends and receives on average. Every fourth poll includes a list of cache events.
 func BenchmarkBytes(b *testing.B) {
 	is := is.New(b)
-	e, err := stand.New(stand.Config{Addr: loopback.ListenAddr()}, clockwork.NewRealClock())
+	e, err := fakeengine.New(fakeengine.Config{Addr: loopback.ListenAddr()}, clockwork.NewRealClock())
 	is.NoErr(err)
 	defer e.Close()
 	ln, err := net.Listen("tcp", loopback.ListenAddr())
 	is.NoErr(err)
 	defer ln.Close()
-	var n counted
-	go n.serve(ln, e.Addr())
-	w := engine.New(clockwork.NewRealClock(), 0, 1<<10)
-	defer w.Close()
+	var proxy countingProxy
+	go proxy.serve(ln, e.Addr())
+	client := engine.New(clockwork.NewRealClock(), 0, 1<<10)
+	defer client.Close()
 	target := fireflypath.Target{Name: "e", Addr: ln.Addr().String()}
 	for b.Loop() {
-		_, err := w.Poll(b.Context(), target)
+		_, err := client.Poll(b.Context(), target)
 		is.NoErr(err)
 	}
-	b.ReportMetric(float64(n.out.Load())/float64(b.N), "sent-B/poll")
-	b.ReportMetric(float64(n.in.Load())/float64(b.N), "received-B/poll")
+	b.ReportMetric(float64(proxy.sent.Load())/float64(b.N), "sent-B/poll")
+	b.ReportMetric(float64(proxy.received.Load())/float64(b.N), "received-B/poll")
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine speaks the completions API with model engines.
+// Package engine is a client of model engines that serve the completions API.
 package engine
 
 import (
@@ -20,74 +20,77 @@
 )
 
 const (
-	headerID     = "X-Request-Id"
-	headerCached = "X-Cached-Tokens"
-	headerLast   = "Last-Event-ID"
-	pathStreams  = "/v1/streams/"
-	// noticeSilence bounds a cancel: an engine answers it from memory.
-	noticeSilence = time.Second
-	// maxNotice bounds an error answer.
-	maxNotice = 1 << 20
+	headerID        = "X-Request-Id"
+	headerCached    = "X-Cached-Tokens"
+	headerLastEvent = "Last-Event-ID"
+	pathStreams     = "/v1/streams/"
+	// controlTimeout bounds each read of the response to a cancellation or an order. An
+	// engine responds to these from memory.
+	controlTimeout = time.Second
+	// maxErrorBody bounds the body of an error response in bytes.
+	maxErrorBody = 1 << 20
 )
 
-// Engine is the fireflypath.Backend and Watcher of engine pools.
+// Engine is the client of the targets of engine pools. It implements
+// fireflypath.Backend and fireflypath.Watcher.
 type Engine struct {
 	sender *send.Sender
-	// notices sends what is not work: it is allowed less time.
-	notices *send.Sender
+	// control sends cancellations and orders, with a shorter timeout than requests.
+	control *send.Sender
 	reports *report.Reader
-	// event bounds the bytes of one event.
-	event int
+	// maxEvent bounds the size of one event in bytes.
+	maxEvent int
 
 	mu sync.Mutex
-	// seen is by the target's name.
-	seen map[string]watched
+	// pollStates is keyed by the target's name.
+	pollStates map[string]pollState
 }
 
-// New returns an Engine. An answer that brings nothing for silence is an
-// error, and so is an event of more than event bytes.
-func New(clock clockwork.Clock, silence time.Duration, event int) *Engine {
+// New returns an Engine. Reading a response fails if no bytes arrive for readTimeout (0
+// means no timeout), and if an event has more than maxEvent bytes.
+func New(clock clockwork.Clock, readTimeout time.Duration, maxEvent int) *Engine {
 	return &Engine{
-		sender:  send.New(silence),
-		notices: send.New(noticeSilence),
-		reports: report.New(clock),
-		event:   event,
-		seen:    map[string]watched{},
+		sender:     send.New(readTimeout),
+		control:    send.New(controlTimeout),
+		reports:    report.New(clock),
+		maxEvent:   maxEvent,
+		pollStates: map[string]pollState{},
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (e *Engine) Close() {
 	e.sender.Close()
-	e.notices.Close()
+	e.control.Close()
 	e.reports.Close()
 }
 
-// Dispatch sends the call once.
-func (e *Engine) Dispatch(ctx context.Context, t fireflypath.Target, c *fireflypath.Call) (fireflypath.Answer, error) {
+// Dispatch sends the call once and returns when the response begins.
+func (e *Engine) Dispatch(ctx context.Context, target fireflypath.Target, c *fireflypath.Call) (fireflypath.Answer, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	prepare(req, c.Method, t.Addr, c.Path)
+	initRequest(req, c.Method, target.Addr, c.Path)
 	req.Header.Set(headerID, c.ID)
 	req.Header.SetContentType("application/json")
 	for k, v := range c.Header {
 		req.Header.Set(k, v)
 	}
 	req.SetBodyRaw(c.Body)
-	x, err := e.sender.Send(ctx, t.Addr, req, false)
+	x, err := e.sender.Send(ctx, target.Addr, req, false)
 	if err != nil {
 		return nil, err
 	}
-	return e.open(x, c.ID, 0)
+	return e.newAnswer(x, c.ID, 0)
 }
 
-// Resume reads the answer from behind the offset on a new connection.
-func (e *Engine) Resume(ctx context.Context, t fireflypath.Target, c *fireflypath.Call, offset int) (fireflypath.Answer, error) {
+// Resume requests the rest of a response, after the event with the number offset, on a new
+// connection.
+func (e *Engine) Resume(ctx context.Context, target fireflypath.Target, c *fireflypath.Call, offset int) (fireflypath.Answer, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	prepare(req, fasthttp.MethodGet, t.Addr, pathStreams+url.PathEscape(c.ID))
-	req.Header.Set(headerLast, strconv.Itoa(offset))
-	x, err := e.sender.Send(ctx, t.Addr, req, true)
+	initRequest(req, fasthttp.MethodGet, target.Addr, pathStreams+url.PathEscape(c.ID))
+	req.Header.Set(headerLastEvent, strconv.Itoa(offset))
+	x, err := e.sender.Send(ctx, target.Addr, req, true)
 	if err != nil {
 		return nil, err
 	}
@@ -97,32 +100,32 @@
 	}
 	if x.Header.StatusCode() != fasthttp.StatusOK {
 		x.Close()
-		return nil, errors.Newf("resume at %s: status %d", t.Name, x.Header.StatusCode())
+		return nil, errors.Newf("resume at %s: status %d", target.Name, x.Header.StatusCode())
 	}
-	return e.open(x, c.ID, offset)
+	return e.newAnswer(x, c.ID, offset)
 }
 
-// Cancel stops the work.
-func (e *Engine) Cancel(ctx context.Context, t fireflypath.Target, id string) error {
+// Cancel asks the target to stop working on a request.
+func (e *Engine) Cancel(ctx context.Context, target fireflypath.Target, id string) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	prepare(req, fasthttp.MethodDelete, t.Addr, pathStreams+url.PathEscape(id))
-	x, err := e.notices.Send(ctx, t.Addr, req, true)
+	initRequest(req, fasthttp.MethodDelete, target.Addr, pathStreams+url.PathEscape(id))
+	x, err := e.control.Send(ctx, target.Addr, req, true)
 	if err != nil {
-		return errors.Wrapf(err, "cancel at %s", t.Name)
+		return errors.Wrapf(err, "cancel at %s", target.Name)
 	}
 	x.Close()
 	return nil
 }
 
-func prepare(req *fasthttp.Request, method, addr, path string) {
+func initRequest(req *fasthttp.Request, method, addr, path string) {
 	req.Header.SetMethod(method)
 	req.Header.SetHost(addr)
 	req.SetRequestURI(path)
 }
 
-// open judges the head of an answer.
-func (e *Engine) open(x *send.Exchange, id string, offset int) (fireflypath.Answer, error) {
+// newAnswer checks the id and the status of a response and returns a reader of its body.
+func (e *Engine) newAnswer(x *send.Exchange, id string, offset int) (fireflypath.Answer, error) {
 	if string(x.Header.Peek(headerID)) != id {
 		x.Close()
 		return nil, fireflypath.ErrRequestMismatch
@@ -134,32 +137,33 @@
 		head.Cached = n
 	}
 	if head.Status == fasthttp.StatusOK {
-		return newStream(x, id, offset, e.event, head), nil
+		return newStream(x, id, offset, e.maxEvent, head), nil
 	}
-	body, err := io.ReadAll(io.LimitReader(x, maxNotice))
+	body, err := io.ReadAll(io.LimitReader(x, maxErrorBody))
 	x.Close()
 	if err != nil {
 		return nil, errors.Wrap(err, "read error answer")
 	}
 	if head.Status == fasthttp.StatusServiceUnavailable {
-		if err := notRun(body); err != nil {
+		if err := notRunError(body); err != nil {
 			return nil, err
 		}
 	}
-	return &notice{head: head, body: body}, nil
+	return &errorAnswer{head: head, body: body}, nil
 }
 
-// notRun is the target's own statement that it did not run the work, or nil.
-func notRun(body []byte) error {
-	var m struct {
+// notRunError returns an error if the body states that the target did not run the
+// request, and otherwise nil.
+func notRunError(body []byte) error {
+	var message struct {
 		Error struct {
 			Code string `json:"code"`
 		} `json:"error"`
 	}
-	if err := json.Unmarshal(body, &m); err != nil {
-		return nil //nolint:nilerr // an unreadable body states nothing
+	if err := json.Unmarshal(body, &message); err != nil {
+		return nil //nolint:nilerr // a body that cannot be parsed makes no statement
 	}
-	switch m.Error.Code {
+	switch message.Error.Code {
 	case "draining":
 		return fireflypath.ErrDraining
 	case "not_run":
@@ -169,33 +173,33 @@
 	}
 }
 
-// notice is a small answer that was read whole.
-type notice struct {
-	head fireflypath.Head
-	body []byte
-	read bool
+// errorAnswer is an error response whose body was read completely.
+type errorAnswer struct {
+	head     fireflypath.Head
+	body     []byte
+	returned bool
 }
 
-// Head is the status and header.
-func (n *notice) Head() fireflypath.Head {
-	return n.head
+// Head returns the status and the header.
+func (a *errorAnswer) Head() fireflypath.Head {
+	return a.head
 }
 
-// Next returns the whole body once.
-func (n *notice) Next(context.Context) (fireflypath.Chunk, error) {
-	if n.read || len(n.body) == 0 {
+// Next returns the complete body once, and io.EOF after that.
+func (a *errorAnswer) Next(context.Context) (fireflypath.Chunk, error) {
+	if a.returned || len(a.body) == 0 {
 		return fireflypath.Chunk{}, io.EOF
 	}
-	n.read = true
-	return fireflypath.Chunk{Data: n.body}, nil
+	a.returned = true
+	return fireflypath.Chunk{Data: a.body}, nil
 }
 
-// Length is the length of the body.
-func (n *notice) Length() int {
-	return len(n.body)
+// Length returns the length of the body.
+func (a *errorAnswer) Length() int {
+	return len(a.body)
 }
 
-// Close does nothing: the connection was given up.
-func (n *notice) Close() error {
+// Close does nothing: the connection was released when the body had been read.
+func (a *errorAnswer) Close() error {
 	return nil
 }
--- a/internal/engine/watch_test.go
+++ b/internal/engine/poll_test.go
@@ -12,20 +12,20 @@
 	"github.com/fireflypath/fireflypath/internal/engine"
 )
 
-// An engine is restarted and numbers its cache events from 1 again. Asked only
-// for later ones, the daemon would take dropped prompts for cached for hours.
-func TestCacheEventsAfterARestart(t *testing.T) {
+// An engine restarts and numbers its cache events from 1 again. If the daemon kept asking for
+// events after the old number, it would consider dropped prompts cached for hours.
+func TestCacheEventsAfterRestart(t *testing.T) {
 	is := is.New(t)
-	var asked []string
-	down := false
+	var cursors []string
+	unavailable := false
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
-		case down:
+		case unavailable:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case r.URL.Path == "/load":
 			_, _ = w.Write([]byte(`{"at":1,"running":2,"batch":8,"draining":true}`))
 		default:
-			asked = append(asked, r.URL.Query().Get("after"))
+			cursors = append(cursors, r.URL.Query().Get("after"))
 			_, _ = w.Write([]byte(`{"events":[{"seq":7,"op":"dropped","blocks":["ff"]}]}`))
 		}
 	}))
@@ -44,12 +44,12 @@
 		_, err = e.Poll(t.Context(), target)
 		is.NoErr(err)
 	}
-	is.Equal(asked, []string{"0", "7"})
-	down = true
+	is.Equal(cursors, []string{"0", "7"})
+	unavailable = true
 	_, err = e.Poll(t.Context(), target)
 	is.True(err != nil)
-	down = false
+	unavailable = false
 	_, err = e.Poll(t.Context(), target)
 	is.NoErr(err)
-	is.Equal(asked, []string{"0", "7", "0"})
+	is.Equal(cursors, []string{"0", "7", "0"})
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -14,181 +14,185 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Errors of events; the answer is read again on a new connection.
+// Errors of malformed event streams. The response is then resumed on a new connection.
 var (
-	errTooLong = errors.New("event is longer than the bound")
-	errNumber  = errors.New("event has no number")
-	errGap     = errors.New("event numbers have a gap")
+	errTooLong  = errors.New("event is longer than the bound")
+	errNoNumber = errors.New("event has no number")
+	errGap      = errors.New("event numbers have a gap")
 )
 
 var (
-	fieldID   = []byte("id:")
-	fieldData = []byte("data:")
-	dataDone  = []byte("[DONE]")
-	eventEnd  = []byte("\n\n")
+	fieldPrefixID   = []byte("id:")
+	fieldPrefixData = []byte("data:")
+	doneMarker      = []byte("[DONE]")
+	eventEnd        = []byte("\n\n")
 )
 
-// readers hold the bytes read ahead of the caller, so they are small.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
+// readerPool holds the buffers of streams. They are small, because they only hold bytes that
+// were received and not yet returned.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4<<10) }}
 
-// source is a body being read.
-type source interface {
+// bodyReader is the body of a response.
+type bodyReader interface {
 	io.Reader
-	// Done gives up a body whose content is complete, Close any other.
-	Done()
+	// Complete releases a body whose content was read completely; Close releases any
+	// other.
+	Complete()
 	Close()
 }
 
-// stream is an answer as server-sent events.
+// stream reads a response of server-sent events.
 type stream struct {
-	x      source
-	r      *bufio.Reader
-	id     string
-	prefix []byte
-	head   fireflypath.Head
+	body     bodyReader
+	reader   *bufio.Reader
+	id       string
+	idPrefix []byte
+	head     fireflypath.Head
 	// offset is the number of the last event returned.
-	offset int
-	limit  int
-	event  []byte
-	done   bool
+	offset   int
+	maxEvent int
+	// buf holds the lines of the current event.
+	buf []byte
+	// ended is true once the event that ends the stream was returned.
+	ended bool
 }
 
-func newStream(x source, id string, offset, limit int, head fireflypath.Head) *stream {
-	r := readers.Get().(*bufio.Reader)
-	r.Reset(x)
+func newStream(body bodyReader, id string, offset, maxEvent int, head fireflypath.Head) *stream {
+	reader := readerPool.Get().(*bufio.Reader)
+	reader.Reset(body)
 	return &stream{
-		x: x, r: r, id: id, offset: offset, limit: limit, head: head,
-		prefix: []byte(`{"id":` + strconv.Quote(id)),
+		body: body, reader: reader, id: id, offset: offset, maxEvent: maxEvent, head: head,
+		idPrefix: []byte(`{"id":` + strconv.Quote(id)),
 	}
 }
 
-// Head is the status and header.
+// Head returns the status and the header.
 func (s *stream) Head() fireflypath.Head {
 	return s.head
 }
 
-// Next returns the next event with its lines, checked to be the one that
-// follows and to belong to the request.
+// Next returns the next event with all its lines. It checks that the event has the next
+// number and belongs to the request. Events up to the offset are skipped.
 func (s *stream) Next(ctx context.Context) (fireflypath.Chunk, error) {
-	if s.done {
+	if s.ended {
 		return fireflypath.Chunk{}, io.EOF
 	}
 	for {
-		e, err := s.read()
+		ev, err := s.readEvent()
 		if err != nil {
 			return fireflypath.Chunk{}, err
 		}
-		if e.data == nil || e.number <= s.offset {
+		if ev.data == nil || ev.number <= s.offset {
 			continue
 		}
-		if e.number != s.offset+1 {
+		if ev.number != s.offset+1 {
 			return fireflypath.Chunk{}, errGap
 		}
-		if bytes.Equal(e.data, dataDone) {
-			s.done = true
-			s.offset = e.number
-			return fireflypath.Chunk{Data: s.event, Offset: e.number}, nil
+		if bytes.Equal(ev.data, doneMarker) {
+			s.ended = true
+			s.offset = ev.number
+			return fireflypath.Chunk{Data: s.buf, Offset: ev.number}, nil
 		}
-		if !s.mine(e.data) {
+		if !s.belongsToRequest(ev.data) {
 			return fireflypath.Chunk{}, fireflypath.ErrRequestMismatch
 		}
-		s.offset = e.number
-		return fireflypath.Chunk{Data: s.event, Offset: e.number, Tokens: 1}, nil
+		s.offset = ev.number
+		return fireflypath.Chunk{Data: s.buf, Offset: ev.number, Tokens: 1}, nil
 	}
 }
 
-// Close gives the connection up.
+// Close releases the connection.
 func (s *stream) Close() error {
-	if s.r == nil {
+	if s.reader == nil {
 		return nil
 	}
-	s.r.Reset(nil)
-	readers.Put(s.r)
-	s.r = nil
-	if s.done {
-		s.x.Done()
+	s.reader.Reset(nil)
+	readerPool.Put(s.reader)
+	s.reader = nil
+	if s.ended {
+		s.body.Complete()
 		return nil
 	}
-	s.x.Close()
+	s.body.Close()
 	return nil
 }
 
-// Ready reports whether Next returns without waiting for the engine.
+// Ready reports whether Next would return without waiting for the engine.
 func (s *stream) Ready() bool {
-	if s.done || s.r.Buffered() == 0 {
-		return s.done
+	if s.ended || s.reader.Buffered() == 0 {
+		return s.ended
 	}
-	b, err := s.r.Peek(s.r.Buffered())
+	b, err := s.reader.Peek(s.reader.Buffered())
 	return err == nil && bytes.Contains(b, eventEnd)
 }
 
-// mine checks the id in an event's data.
+// belongsToRequest checks the id in the data of an event.
 //
-// A proxy or an engine under fault can put one request's events on another's
-// connection. The caller would read a stranger's answer, so each event is
-// checked before a byte of it is passed on.
-func (s *stream) mine(data []byte) bool {
-	if bytes.HasPrefix(data, s.prefix) {
+// A faulty proxy or engine can send the events of one request on the connection of
+// another. The caller would receive the response to another caller's request, so each
+// event is checked before any of it is forwarded.
+func (s *stream) belongsToRequest(data []byte) bool {
+	if bytes.HasPrefix(data, s.idPrefix) {
 		return true
 	}
-	var m struct {
+	var message struct {
 		ID string `json:"id"`
 	}
-	return json.Unmarshal(data, &m) == nil && m.ID == s.id
+	return json.Unmarshal(data, &message) == nil && message.ID == s.id
 }
 
-// parsed is one event; its slices point into the stream's buffer.
-type parsed struct {
+// event is a parsed event. Its data is a slice of the stream's buffer.
+type event struct {
 	number int
 	data   []byte
 }
 
-// read takes lines up to an empty one.
-func (s *stream) read() (parsed, error) {
-	s.event = s.event[:0]
-	var e parsed
-	start, end := 0, 0
+// readEvent reads lines up to an empty one.
+func (s *stream) readEvent() (event, error) {
+	s.buf = s.buf[:0]
+	var ev event
+	dataStart, dataEnd := 0, 0
 	for {
-		line, err := s.line()
+		line, err := s.readLine()
 		if err != nil {
-			return e, err
+			return ev, err
 		}
 		text := bytes.TrimRight(line, "\r\n")
 		if len(text) == 0 {
 			break
 		}
-		if v, ok := bytes.CutPrefix(text, fieldID); ok {
-			if e.number, err = strconv.Atoi(string(bytes.TrimSpace(v))); err != nil {
-				return e, errNumber
+		if v, ok := bytes.CutPrefix(text, fieldPrefixID); ok {
+			if ev.number, err = strconv.Atoi(string(bytes.TrimSpace(v))); err != nil {
+				return ev, errNoNumber
 			}
 		}
-		if v, ok := bytes.CutPrefix(text, fieldData); ok {
-			end = len(s.event) - (len(line) - len(text))
-			start = end - len(v)
+		if v, ok := bytes.CutPrefix(text, fieldPrefixData); ok {
+			dataEnd = len(s.buf) - (len(line) - len(text))
+			dataStart = dataEnd - len(v)
 		}
 	}
-	if end == 0 {
-		return e, nil
+	if dataEnd == 0 {
+		return ev, nil
 	}
-	if e.number <= 0 {
-		return e, errNumber
+	if ev.number <= 0 {
+		return ev, errNoNumber
 	}
-	e.data = bytes.TrimSpace(s.event[start:end])
-	return e, nil
+	ev.data = bytes.TrimSpace(s.buf[dataStart:dataEnd])
+	return ev, nil
 }
 
-// line appends a line to the event and returns it.
-func (s *stream) line() ([]byte, error) {
-	from := len(s.event)
+// readLine appends a line to the event and returns it.
+func (s *stream) readLine() ([]byte, error) {
+	start := len(s.buf)
 	for {
-		part, err := s.r.ReadSlice('\n')
-		s.event = append(s.event, part...)
-		if len(s.event) > s.limit {
+		part, err := s.reader.ReadSlice('\n')
+		s.buf = append(s.buf, part...)
+		if len(s.buf) > s.maxEvent {
 			return nil, errTooLong
 		}
 		switch {
 		case err == nil:
-			return s.event[from:], nil
+			return s.buf[start:], nil
 		case errors.Is(err, bufio.ErrBufferFull):
 		case errors.Is(err, io.EOF):
 			return nil, fireflypath.ErrTruncated
--- a/internal/send/exchange.go
+++ b/internal/send/exchange.go
@@ -166,10 +166,10 @@
 	x.release(keep)
 }
 
-// Done closes an exchange whose content is complete, although the body's end
+// Complete closes an exchange whose content is complete, although the body's end
 // mark may still be on its way. The caller does not wait for it: whoever takes
 // the connection next reads it.
-func (x *Exchange) Done() {
+func (x *Exchange) Complete() {
 	x.Detach()
 	if x.whole || !x.alive || x.Header.ConnectionClose() || x.fresh {
 		x.Close()
