--- a/cmd/fireflypath/do.go
+++ b/cmd/fireflypath/do.go
@@ -71,7 +71,7 @@
 		req.ID = ulid.Make().String()
 	}
 	var made []issued
-	text, err := command.Issue(req.Text, func(owner string) string {
+	text, err := command.AddKeyHashes(req.Text, func(owner string) string {
 		key, hash := keys.Generate()
 		made = append([]issued{{owner, key}}, made...)
 		return hash
--- a/internal/command/key.go
+++ b/internal/command/key.go
@@ -112,9 +112,9 @@
 	*found[0] = left
 }
 
-// Issue gives every key command of a text that names no hash one, made by the
+// AddKeyHashes gives every key command of a text that names no hash one, made by the
 // given function for its owner, and returns the text with the hashes in it.
-func Issue(text string, hash func(owner string) string) (string, error) {
+func AddKeyHashes(text string, hash func(owner string) string) (string, error) {
 	parsed, err := language.Parse(text)
 	if err != nil {
 		return "", err
