--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -44,7 +44,7 @@
 // Send implements load.Sender.
 func (c *callers) Send(ctx context.Context, a mix.Arrival, first func()) (*fireflypath.Refusal, error) {
 	r := c.format.Request(a)
-	r.First = first
+	r.OnFirstByte = first
 	var err error
 	start := c.turn()
 	for n := range 2 * len(c.clients) {
@@ -54,7 +54,7 @@
 		if err == nil {
 			return got.Refusal, check(a, r, got)
 		}
-		if errors.Is(err, client.ErrUnsent) || a.Idempotent || r.Key != "" {
+		if errors.Is(err, client.ErrUnsent) || a.Idempotent || r.IdempotencyKey != "" {
 			continue
 		}
 		return nil, err
@@ -100,7 +100,7 @@
 	if err := json.Unmarshal(got.Body, &e); err != nil {
 		return errors.Wrap(err, got.ID)
 	}
-	if e.Key != r.Key || e.Body != string(r.Body) {
+	if e.Key != r.IdempotencyKey || e.Body != string(r.Body) {
 		return errors.Wrap(errWrong, got.ID)
 	}
 	return nil
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -36,7 +36,7 @@
 // Send implements Sender.
 func (c *Clients) Send(ctx context.Context, a mix.Arrival, first func()) (*fireflypath.Refusal, error) {
 	r := c.format.Request(a)
-	r.First = first
+	r.OnFirstByte = first
 	n := c.next.Add(1)
 	got, err := c.clients[n%uint64(len(c.clients))].Do(ctx, r)
 	if err != nil {
@@ -50,7 +50,7 @@
 	if a.Refusal == nil && a.Status != 200 {
 		return errors.Newf("status %d: %.100q", a.Status, a.Body)
 	}
-	if a.Crossed {
+	if a.WrongID {
 		return errors.Wrap(errCrossed, a.ID)
 	}
 	return nil
@@ -81,7 +81,7 @@
 		r.Path = fmt.Sprintf("/services/%s/deliveries/%d", a.Pool, a.Seq)
 		r.Body = []byte(a.Prompt())
 		r.NotIdempotent = !a.Idempotent
-		r.Key = fmt.Sprintf("%s-%d", f.Run, a.Seq)
+		r.IdempotencyKey = fmt.Sprintf("%s-%d", f.Run, a.Seq)
 		return r
 	}
 	r.Path = "/v1/completions"
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -19,8 +19,8 @@
 var (
 	// ErrUnsent means that no byte of the request left: it did not run.
 	ErrUnsent = errors.New("request was not sent")
-	// ErrCut means that the connection ended before the whole answer came.
-	ErrCut = errors.New("answer was cut short")
+	// ErrTruncated means that the connection ended before the whole answer came.
+	ErrTruncated = errors.New("answer was cut short")
 )
 
 const (
@@ -51,12 +51,12 @@
 	// NotIdempotent marks work whose second run does harm. Without it, the
 	// daemon goes by the path and method.
 	NotIdempotent bool
-	// Key is the Idempotency-Key: with it, a request that is not idempotent may
+	// IdempotencyKey is the Idempotency-Key: with it, a request that is not idempotent may
 	// be sent again, to any daemon, and still runs at most once.
-	Key  string
-	Body []byte
-	// First is called when the first byte of the answer's body is there.
-	First func()
+	IdempotencyKey string
+	Body           []byte
+	// OnFirstByte is called when the first byte of the answer's body is there.
+	OnFirstByte func()
 }
 
 // Answer is a whole answer or a refusal.
@@ -71,8 +71,8 @@
 	// Text is the answer of a stream, Tokens the number of its events.
 	Text   string
 	Tokens int
-	// Crossed is true if an event of a stream carried another id.
-	Crossed bool
+	// WrongID is true if an event of a stream carried another id.
+	WrongID bool
 }
 
 // Client sends to one daemon. It never sends a request again on its own: not
@@ -136,11 +136,11 @@
 		if errors.Is(err, ErrUnsent) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 			return nil, err
 		}
-		return nil, errors.Wrap(ErrCut, err.Error())
+		return nil, errors.Wrap(ErrTruncated, err.Error())
 	}
 	// A body that was read to its end leaves the connection usable.
 	defer func() { _ = resp.CloseBodyStream() }()
-	return read(resp, r.First)
+	return read(resp, r.OnFirstByte)
 }
 
 func (c *Client) fill(req *fasthttp.Request, r *Request) {
@@ -160,8 +160,8 @@
 	if r.NotIdempotent {
 		req.Header.Set("Fireflypath-Idempotent", strconv.FormatBool(false))
 	}
-	if r.Key != "" {
-		req.Header.Set("Idempotency-Key", r.Key)
+	if r.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", r.IdempotencyKey)
 	}
 	req.SetBodyRaw(r.Body)
 }
@@ -174,7 +174,7 @@
 	}
 	var err error
 	if a.Body, err = io.ReadAll(body); err != nil {
-		return a, errors.Wrapf(ErrCut, "read answer: %s", err)
+		return a, errors.Wrapf(ErrTruncated, "read answer: %s", err)
 	}
 	if a.Status >= fasthttp.StatusBadRequest {
 		a.Refusal = parseRefusal(a.Body)
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -39,10 +39,10 @@
 		{"stream", 200, "text/event-stream", token + "id: 2\ndata: [DONE]\n\n", client.Answer{Text: "one", Tokens: 1}, nil},
 		{
 			"crossed", 200, "text/event-stream", strings.Replace(token, "d.1", "d.2", 1) + "data: [DONE]\n\n",
-			client.Answer{Text: "one", Tokens: 1, Crossed: true},
+			client.Answer{Text: "one", Tokens: 1, WrongID: true},
 			nil,
 		},
-		{"truncated stream", 200, "text/event-stream", token, client.Answer{Text: "one", Tokens: 1}, client.ErrCut},
+		{"truncated stream", 200, "text/event-stream", token, client.Answer{Text: "one", Tokens: 1}, client.ErrTruncated},
 		{
 			"refused stream", 200, "text/event-stream", token + "event: error\ndata: " + refusal + "\n\n",
 			client.Answer{Text: "one", Tokens: 1, Refusal: refused},
@@ -62,7 +62,7 @@
 			defer s.Close()
 			c := client.New(s.Listener.Addr().String())
 			firsts := 0
-			got, err := c.Do(t.Context(), &client.Request{Path: "/v1/completions", Token: "k", First: func() { firsts++ }})
+			got, err := c.Do(t.Context(), &client.Request{Path: "/v1/completions", Token: "k", OnFirstByte: func() { firsts++ }})
 			is.True(errors.Is(err, tt.err))
 			tt.want.Status, tt.want.ID = tt.status, "d.1"
 			is.Equal(*got, tt.want)
@@ -85,7 +85,7 @@
 	_, err := c.Do(t.Context(), &client.Request{Method: http.MethodGet, Path: "/services/p/x"})
 	is.NoErr(err)
 	_, err = c.Do(t.Context(), &client.Request{Method: http.MethodGet, Path: "/services/p/x"})
-	is.True(errors.Is(err, client.ErrCut))
+	is.True(errors.Is(err, client.ErrTruncated))
 	is.Equal(n.Load(), int32(2))
 	s.Close()
 	_, err = c.Do(t.Context(), &client.Request{Path: "/services/p/x"})
--- a/pkg/client/events.go
+++ b/pkg/client/events.go
@@ -42,7 +42,7 @@
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
-			return errors.Wrapf(ErrCut, "read stream: %s", err)
+			return errors.Wrapf(ErrTruncated, "read stream: %s", err)
 		}
 		line = bytes.TrimSpace(line)
 		if bytes.Equal(line, []byte("event: error")) {
@@ -68,7 +68,7 @@
 func (a *Answer) refused(data []byte) error {
 	a.Refusal = parseRefusal(data)
 	if a.Refusal == nil {
-		return errors.Wrapf(ErrCut, "stream ended by %q", data)
+		return errors.Wrapf(ErrTruncated, "stream ended by %q", data)
 	}
 	return nil
 }
@@ -76,10 +76,10 @@
 func (a *Answer) add(text *strings.Builder, data []byte) error {
 	var e event
 	if err := json.Unmarshal(data, &e); err != nil {
-		return errors.Wrapf(ErrCut, "parse event: %s", err)
+		return errors.Wrapf(ErrTruncated, "parse event: %s", err)
 	}
 	if e.ID != a.ID {
-		a.Crossed = true
+		a.WrongID = true
 	}
 	a.Tokens++
 	for _, c := range e.Choices {
