--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -15,74 +15,76 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Errors of a Client. After any other error, too, the request may have run.
+// Errors of a Client. After any error other than ErrUnsent, the request may have run.
 var (
-	// ErrUnsent means that no byte of the request left: it did not run.
+	// ErrUnsent means that no byte of the request was sent, so it did not run.
 	ErrUnsent = errors.New("request was not sent")
-	// ErrTruncated means that the connection ended before the whole answer came.
+	// ErrTruncated means that the connection ended before the complete answer was
+	// received.
 	ErrTruncated = errors.New("answer was cut short")
 )
 
 const (
-	// defaultTimeout bounds a request that names no deadline.
+	// defaultTimeout limits a request without a deadline.
 	defaultTimeout = 5 * time.Minute
-	// grace is how long after its deadline an answer is still waited for: late
-	// answers are delivered, too.
-	grace = 30 * time.Second
-	// maxConns is far above what a caller holds open in practice; the daemon
-	// sets the bound.
+	// lateAnswerGrace is how long after its deadline to wait for the answer to a request:
+	// the daemon delivers late answers as well.
+	lateAnswerGrace = 30 * time.Second
+	// maxConns is far above the number of connections that a caller opens in practice. The
+	// daemon enforces the actual limit.
 	maxConns = 1 << 16
 	// dialTimeout is many round trips within a region (brief: about 1 ms).
 	dialTimeout = 2 * time.Second
 )
 
-// Request is one request to a daemon.
+// Request is a request to a daemon.
 type Request struct {
-	// Method is POST if empty.
+	// Method defaults to POST.
 	Method string
 	// Path is /v1/completions, /v1/chat/completions or /services/POOL/...
 	Path string
-	// Token is the team's key.
+	// Token is a key of the team.
 	Token string
-	// Tier is one of the team's tiers; empty takes the team's first.
+	// Tier is one of the team's tiers. If it is empty, the first one is used.
 	Tier string
-	// Deadline is how long the answer is of use; 0 takes the tier's.
+	// Deadline is how long the answer is useful. 0 selects the deadline of the tier.
 	Deadline time.Duration
-	// NotIdempotent marks work whose second run does harm. Without it, the
-	// daemon goes by the path and method.
+	// NotIdempotent marks a request that must not run twice. If it is false, the daemon
+	// decides by path and method.
 	NotIdempotent bool
-	// IdempotencyKey is the Idempotency-Key: with it, a request that is not idempotent may
-	// be sent again, to any daemon, and still runs at most once.
+	// IdempotencyKey is sent as the Idempotency-Key header. A request that is not
+	// idempotent but has a key can be sent again, to any daemon, and still runs at most
+	// once.
 	IdempotencyKey string
 	Body           []byte
-	// OnFirstByte is called when the first byte of the answer's body is there.
+	// OnFirstByte is called when the first byte of the answer's body has been received.
 	OnFirstByte func()
 }
 
-// Answer is a whole answer or a refusal.
+// Answer is a complete answer or a refusal.
 type Answer struct {
 	Status int
-	// ID is the request's id.
+	// ID is the id of the request.
 	ID string
-	// Refusal is set if the request was refused, also in the middle of a stream.
+	// Refusal is set if the request was refused, possibly after the start of a stream.
 	Refusal *fireflypath.Refusal
-	// Body is the answer of a service, or of a model without a stream.
+	// Body is the answer of a service, or of a model if the request was not streamed.
 	Body []byte
-	// Text is the answer of a stream, Tokens the number of its events.
+	// Text is the concatenated text of a stream, and Tokens is the number of its events.
 	Text   string
 	Tokens int
-	// WrongID is true if an event of a stream carried another id.
+	// WrongID is true if an event of the stream carried the id of another request.
 	WrongID bool
 }
 
-// Client sends to one daemon. It never sends a request again on its own: not
-// even on a kept connection that turns out dead, where fasthttp would.
+// Client sends requests to one daemon. It never sends a request twice, not even on a
+// reused connection that turns out to be closed, where fasthttp would by default.
 type Client struct {
 	base string
 	host *fasthttp.HostClient
 }
 
-// New makes a client for an IP number and a port.
+// New returns a client of the daemon at an IP address and port.
 func New(addr string) *Client {
 	return &Client{
 		base: "http://" + addr,
@@ -91,14 +93,14 @@
 			Dial:                      dial,
 			MaxConns:                  maxConns,
 			MaxIdemponentCallAttempts: 1,
-			RetryIfErr:                never,
+			RetryIfErr:                noRetry,
 			StreamResponseBody:        true,
 			NoDefaultUserAgentHeader:  true,
 		},
 	}
 }
 
-func never(*fasthttp.Request, int, error) (resetTimeout, retry bool) {
+func noRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) {
 	return false, false
 }
 
@@ -110,17 +112,17 @@
 	return c, nil
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.host.CloseIdleConnections()
 }
 
-// Do sends a request once and reads its answer. The context's deadline bounds
-// it; cancelling the context does not cut it short.
+// Do sends a request once and reads its answer. The deadline of the context limits the
+// call, but canceling the context does not abort it.
 func (c *Client) Do(ctx context.Context, r *Request) (*Answer, error) {
 	timeout := defaultTimeout
 	if r.Deadline > 0 {
-		timeout = r.Deadline + grace
+		timeout = r.Deadline + lateAnswerGrace
 	}
 	if end, ok := ctx.Deadline(); ok {
 		timeout = min(timeout, time.Until(end))
@@ -131,19 +133,19 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, r)
+	c.fillRequest(req, r)
 	if err := c.host.DoTimeout(req, resp, timeout); err != nil {
 		if errors.Is(err, ErrUnsent) || errors.Is(err, fasthttp.ErrNoFreeConns) {
 			return nil, err
 		}
 		return nil, errors.Wrap(ErrTruncated, err.Error())
 	}
-	// A body that was read to its end leaves the connection usable.
+	// The connection is reused only if the body was read to its end.
 	defer func() { _ = resp.CloseBodyStream() }()
-	return read(resp, r.OnFirstByte)
+	return readAnswer(resp, r.OnFirstByte)
 }
 
-func (c *Client) fill(req *fasthttp.Request, r *Request) {
+func (c *Client) fillRequest(req *fasthttp.Request, r *Request) {
 	req.Header.SetMethod(fasthttp.MethodPost)
 	if r.Method != "" {
 		req.Header.SetMethod(r.Method)
@@ -166,9 +168,9 @@
 	req.SetBodyRaw(r.Body)
 }
 
-func read(resp *fasthttp.Response, first func()) (*Answer, error) {
+func readAnswer(resp *fasthttp.Response, onFirstByte func()) (*Answer, error) {
 	a := &Answer{Status: resp.StatusCode(), ID: string(resp.Header.Peek("Fireflypath-Request"))}
-	body := &firstReader{r: resp.BodyStream(), first: first}
+	body := &firstByteReader{r: resp.BodyStream(), onFirstByte: onFirstByte}
 	if string(resp.Header.ContentType()) == "text/event-stream" {
 		return a, a.readEvents(body)
 	}
@@ -182,30 +184,30 @@
 	return a, nil
 }
 
-// parseRefusal returns nil for the error answer of a service, which is no refusal.
+// parseRefusal returns nil if body is not a refusal but the error response of a service.
 func parseRefusal(body []byte) *fireflypath.Refusal {
 	var f fireflypath.Refusal
 	if err := json.Unmarshal(body, &f); err != nil || f.Code == "" || f.Run == "" {
-		return nil //nolint:nilerr // A service may answer an error with any body.
+		return nil //nolint:nilerr // A service may send an error response with any body.
 	}
 	f.RetryAfter = time.Duration(f.RetryMS) * time.Millisecond
 	return &f
 }
 
-// firstReader tells when the first byte was read.
-type firstReader struct {
-	r     io.Reader
-	first func()
+// firstByteReader calls onFirstByte when the first byte is read.
+type firstByteReader struct {
+	r           io.Reader
+	onFirstByte func()
 }
 
-func (f *firstReader) Read(p []byte) (int, error) {
+func (f *firstByteReader) Read(p []byte) (int, error) {
 	if f.r == nil {
 		return 0, io.EOF
 	}
 	n, err := f.r.Read(p)
-	if n > 0 && f.first != nil {
-		f.first()
-		f.first = nil
+	if n > 0 && f.onFirstByte != nil {
+		f.onFirstByte()
+		f.onFirstByte = nil
 	}
 	return n, err
 }
--- a/pkg/client/client_test.go
+++ b/pkg/client/client_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	token   = "id: 1\ndata: {\"id\":\"d.1\",\"choices\":[{\"text\":\"one\"}]}\n\n"
-	refusal = `{"code":"target-failed","reason":"it died","run":"unknown","retry_after_ms":1500,"request":"d.1"}`
+	tokenEvent = "id: 1\ndata: {\"id\":\"d.1\",\"choices\":[{\"text\":\"one\"}]}\n\n"
+	refusal    = `{"code":"target-failed","reason":"it died","run":"unknown","retry_after_ms":1500,"request":"d.1"}`
 )
 
 func TestDo(t *testing.T) {
@@ -36,15 +36,15 @@
 		{"plain", 200, "text/plain", "hi", client.Answer{Body: []byte("hi")}, nil},
 		{"service error", 500, "text/plain", "oh", client.Answer{Body: []byte("oh")}, nil},
 		{"refusal", 429, "application/json", refusal, client.Answer{Body: []byte(refusal), Refusal: refused}, nil},
-		{"stream", 200, "text/event-stream", token + "id: 2\ndata: [DONE]\n\n", client.Answer{Text: "one", Tokens: 1}, nil},
+		{"stream", 200, "text/event-stream", tokenEvent + "id: 2\ndata: [DONE]\n\n", client.Answer{Text: "one", Tokens: 1}, nil},
 		{
-			"crossed", 200, "text/event-stream", strings.Replace(token, "d.1", "d.2", 1) + "data: [DONE]\n\n",
+			"wrong id", 200, "text/event-stream", strings.Replace(tokenEvent, "d.1", "d.2", 1) + "data: [DONE]\n\n",
 			client.Answer{Text: "one", Tokens: 1, WrongID: true},
 			nil,
 		},
-		{"truncated stream", 200, "text/event-stream", token, client.Answer{Text: "one", Tokens: 1}, client.ErrTruncated},
+		{"truncated stream", 200, "text/event-stream", tokenEvent, client.Answer{Text: "one", Tokens: 1}, client.ErrTruncated},
 		{
-			"refused stream", 200, "text/event-stream", token + "event: error\ndata: " + refusal + "\n\n",
+			"refused stream", 200, "text/event-stream", tokenEvent + "event: error\ndata: " + refusal + "\n\n",
 			client.Answer{Text: "one", Tokens: 1, Refusal: refused},
 			nil,
 		},
@@ -61,23 +61,23 @@
 			}))
 			defer s.Close()
 			c := client.New(s.Listener.Addr().String())
-			firsts := 0
-			got, err := c.Do(t.Context(), &client.Request{Path: "/v1/completions", Token: "k", OnFirstByte: func() { firsts++ }})
+			firstByteCalls := 0
+			got, err := c.Do(t.Context(), &client.Request{Path: "/v1/completions", Token: "k", OnFirstByte: func() { firstByteCalls++ }})
 			is.True(errors.Is(err, tt.err))
 			tt.want.Status, tt.want.ID = tt.status, "d.1"
 			is.Equal(*got, tt.want)
-			is.Equal(firsts, 1)
+			is.Equal(firstByteCalls, 1)
 		})
 	}
 }
 
-// The daemon reads a request and its connection breaks. A client that sent it
-// again by itself would run a delivery twice; the caller has to decide.
+// The daemon reads a request and its connection breaks. If the client sent the request
+// again on its own, a delivery would run twice. Only the caller can decide to retry.
 func TestDoSendsOnce(t *testing.T) {
 	is := is.New(t)
-	var n atomic.Int32
+	var calls atomic.Int32
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if n.Add(1) > 1 {
+		if calls.Add(1) > 1 {
 			panic(http.ErrAbortHandler)
 		}
 	}))
@@ -86,7 +86,7 @@
 	is.NoErr(err)
 	_, err = c.Do(t.Context(), &client.Request{Method: http.MethodGet, Path: "/services/p/x"})
 	is.True(errors.Is(err, client.ErrTruncated))
-	is.Equal(n.Load(), int32(2))
+	is.Equal(calls.Load(), int32(2))
 	s.Close()
 	_, err = c.Do(t.Context(), &client.Request{Path: "/services/p/x"})
 	is.True(errors.Is(err, client.ErrUnsent))
--- a/pkg/client/events.go
+++ b/pkg/client/events.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// event is the part of a stream's event that the client reads.
+// event holds the fields of a stream event that the client uses.
 type event struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -22,23 +22,23 @@
 	} `json:"choices"`
 }
 
-const done = "[DONE]"
+const endMark = "[DONE]"
 
-// maxEvent bounds the bytes of one event; an event normally holds one token.
-const maxEvent = 1 << 16
+// maxEventSize limits the size of one event, which normally holds one token.
+const maxEventSize = 1 << 16
 
-// readers spare each stream a buffer of maxEvent.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxEvent) }}
+// readerPool reuses the buffers of maxEventSize bytes.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxEventSize) }}
 
-// readEvents reads a stream to its end mark or to a refusal. A stream that ends
-// without either was cut, even if its connection was closed in good order.
+// readEvents reads a stream up to its end mark or a refusal. A stream that ends without
+// either is truncated, even if its connection was closed cleanly.
 func (a *Answer) readEvents(r io.Reader) error {
 	var text strings.Builder
 	defer func() { a.Text = text.String() }()
-	lines := readers.Get().(*bufio.Reader)
+	lines := readerPool.Get().(*bufio.Reader)
 	lines.Reset(r)
-	defer readers.Put(lines)
-	failed := false
+	defer readerPool.Put(lines)
+	isError := false
 	for {
 		line, err := lines.ReadSlice('\n')
 		if err != nil {
@@ -46,26 +46,26 @@
 		}
 		line = bytes.TrimSpace(line)
 		if bytes.Equal(line, []byte("event: error")) {
-			failed = true
+			isError = true
 		}
 		data, ok := bytes.CutPrefix(line, []byte("data: "))
 		switch {
 		case !ok:
 			continue
-		case failed:
-			return a.refused(data)
-		case string(data) == done:
-			// What follows is the end of the body, which frees the connection.
+		case isError:
+			return a.setRefusal(data)
+		case string(data) == endMark:
+			// Reads the end of the body, so that the connection can be reused.
 			_, _ = io.Copy(io.Discard, lines)
 			return nil
 		}
-		if err := a.add(&text, data); err != nil {
+		if err := a.addEvent(&text, data); err != nil {
 			return err
 		}
 	}
 }
 
-func (a *Answer) refused(data []byte) error {
+func (a *Answer) setRefusal(data []byte) error {
 	a.Refusal = parseRefusal(data)
 	if a.Refusal == nil {
 		return errors.Wrapf(ErrTruncated, "stream ended by %q", data)
@@ -73,7 +73,7 @@
 	return nil
 }
 
-func (a *Answer) add(text *strings.Builder, data []byte) error {
+func (a *Answer) addEvent(text *strings.Builder, data []byte) error {
 	var e event
 	if err := json.Unmarshal(data, &e); err != nil {
 		return errors.Wrapf(ErrTruncated, "parse event: %s", err)
