--- a/internal/send/conn.go
+++ b/internal/send/conn.go
@@ -9,55 +9,55 @@
 	"github.com/fireflypath/fireflypath/internal/socket"
 )
 
-// conn counts what leaves and bounds the silence of what comes.
+// conn is a connection to a target. It counts the bytes written and bounds the time that a
+// read waits for bytes.
 type conn struct {
 	net.Conn
 	raw     syscall.RawConn
 	written atomic.Int64
-	// silence bounds each read; 0 lets it wait for ever.
-	silence time.Duration
+	// readTimeout bounds each read; 0 means no timeout.
+	readTimeout time.Duration
 	// until, if set, takes the place of silence.
-	until time.Time
-	used  bool
-	// tail is the last exchange, if its end mark was not read yet.
-	tail *Exchange
+	readDeadline time.Time
+	used         bool
+	// unfinished is the previous exchange, if its last chunk was not read yet.
+	unfinished *Exchange
 }
 
-// Write counts the bytes that the kernel took: only 0 proves that a request
-// never left.
+// Write counts the bytes that the kernel accepted. Only 0 proves that a request was never
+// sent.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-// Read fails with a timeout after a silence.
+// Read fails with a timeout if no bytes arrive.
 //
-// A connection can go silent for good while new ones work. Without a bound the
-// request would wait on it for ever; with it, the answer is asked for again on
-// a new connection.
+// A connection can stop delivering bytes although new connections work. Without a timeout
+// the request would wait forever; with it, the response is resumed on a new connection.
 func (c *conn) Read(b []byte) (int, error) {
-	until := c.until
-	if until.IsZero() && c.silence > 0 {
-		until = time.Now().Add(c.silence)
+	deadline := c.readDeadline
+	if deadline.IsZero() && c.readTimeout > 0 {
+		deadline = time.Now().Add(c.readTimeout)
 	}
-	if err := c.SetReadDeadline(until); err != nil {
+	if err := c.SetReadDeadline(deadline); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(b)
 }
 
-// stale reports whether an idle connection has anything to read: its end, or
-// bytes of an answer that nobody asked for.
+// stale reports whether an idle connection must not be used: the target closed it, or
+// unsolicited bytes arrived.
 //
-// A target closes idle connections when it restarts. A request written to such
-// a connection may or may not have been read, so it could not be sent again;
-// looking first keeps nearly all of them out of that state. Bytes that are
-// already there would be taken for the next request's answer.
+// A target closes idle connections when it restarts. A request written to such a
+// connection may or may not have been read, so it could not be sent again. This check
+// avoids that for nearly all requests. Bytes that already arrived would be read as the
+// response to the next request.
 func (c *conn) stale() bool {
-	if x := c.tail; x != nil {
-		c.tail = nil
-		if !x.finish() {
+	if x := c.unfinished; x != nil {
+		c.unfinished = nil
+		if !x.readChunkEnd() {
 			return true
 		}
 	}
--- a/internal/send/exchange.go
+++ b/internal/send/exchange.go
@@ -12,99 +12,101 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// tailTime bounds the read of an end mark, which usually came long ago.
-const tailTime = 5 * time.Millisecond
+// chunkEndTimeout bounds the read of the last chunk of a previous response, which has usually
+// arrived long before.
+const chunkEndTimeout = 5 * time.Millisecond
 
-// Exchange is one request and its answer. It is used by one goroutine.
+// Exchange is one request and its response. It must be used by one goroutine only.
 type Exchange struct {
-	// Header is the answer's.
+	// Header is the header of the response.
 	Header fasthttp.ResponseHeader
 
-	host    *fasthttp.HostClient
-	conn    *conn
-	release func(keep bool)
-	stop    func() bool
-	before  int64
-	reader  *bufio.Reader
-	body    io.Reader
-	// left counts down a body of known length; chunked is true for the other kind.
-	left    int
-	chunked bool
-	whole   bool
-	closed  bool
-	// fresh is true for a connection that is not kept.
-	fresh bool
-	// alive is true if the context's end did not close the connection.
-	alive bool
-	// bodyless is true for an answer to HEAD.
-	bodyless bool
+	client        *fasthttp.HostClient
+	conn          *conn
+	release       func(keep bool)
+	stopWatch     func() bool
+	writtenBefore int64
+	reader        *bufio.Reader
+	body          io.Reader
+	// remaining counts down a body of known length; chunked is true for the other kind.
+	remaining int
+	chunked   bool
+	complete  bool
+	closed    bool
+	// unpooled is true for a connection that is closed after the exchange.
+	unpooled bool
+	// contextAlive is true if the exchange was detached from its context before the end
+	// of the context closed the connection.
+	contextAlive bool
+	// noBody is true for a response to HEAD.
+	noBody bool
 }
 
-func (x *Exchange) connect(addr string, silence time.Duration, fresh bool) error {
-	if x.fresh = fresh; fresh {
-		c, err := dial(addr, silence)
+func (x *Exchange) connect(addr string, readTimeout time.Duration, newConn bool) error {
+	if x.unpooled = newConn; newConn {
+		c, err := dial(addr, readTimeout)
 		x.conn = c
 		x.release = func(bool) { c.Close() }
 		return err
 	}
-	release, c, err := acquire(x.host)
+	release, c, err := acquire(x.client)
 	x.release = release
 	x.conn = c
 	return err
 }
 
 func (x *Exchange) write(req *fasthttp.Request) error {
-	x.before = x.conn.written.Load()
+	x.writtenBefore = x.conn.written.Load()
 	if err := x.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
-	w := x.host.AcquireWriter(x.conn)
-	defer x.host.ReleaseWriter(w)
-	return write(w, req)
+	w := x.client.AcquireWriter(x.conn)
+	defer x.client.ReleaseWriter(w)
+	return writeRequest(w, req)
 }
 
 func (x *Exchange) readHeader() error {
-	x.reader = x.host.AcquireReader(x.conn)
+	x.reader = x.client.AcquireReader(x.conn)
 	if err := x.Header.Read(x.reader); err != nil {
 		return err
 	}
 	switch n := x.Header.ContentLength(); {
-	case x.bodyless || x.Header.StatusCode() == fasthttp.StatusNoContent || x.Header.StatusCode() == fasthttp.StatusNotModified:
-		x.whole = true
+	case x.noBody || x.Header.StatusCode() == fasthttp.StatusNoContent || x.Header.StatusCode() == fasthttp.StatusNotModified:
+		x.complete = true
 	case n >= 0:
-		x.left = n
+		x.remaining = n
 		x.body = x.reader
-		x.whole = n == 0
+		x.complete = n == 0
 	case n == -1:
 		x.chunked = true
 		x.body = httputil.NewChunkedReader(x.reader)
 	default:
-		// A body that ends with the connection cannot be told from a cut one.
+		// A body that ends when the connection closes cannot be told from a truncated one.
 		return errors.Wrap(fireflypath.ErrTruncated, "answer without a length")
 	}
 	return nil
 }
 
-// Length is the body's length, or -1 if only its end will tell.
+// Length returns the length of the body, or -1 if it is not known in advance.
 func (x *Exchange) Length() int {
 	return x.Header.ContentLength()
 }
 
-// Read reads the body. It returns io.EOF only after the whole body.
+// Read reads from the body. It returns io.EOF only after the complete body.
 func (x *Exchange) Read(b []byte) (int, error) {
-	if x.whole {
+	if x.complete {
 		return 0, io.EOF
 	}
 	if x.chunked {
 		return x.readChunked(b)
 	}
-	if len(b) > x.left {
-		b = b[:x.left]
+	if len(b) > x.remaining {
+		b = b[:x.remaining]
 	}
 	n, err := x.body.Read(b)
-	x.left -= n
-	if x.left == 0 {
-		x.whole = true
+	x.remaining -= n
+	if x.remaining == 0 {
+		x.complete = true
 		return n, nil
 	}
 	if errors.Is(err, io.EOF) {
@@ -116,12 +118,12 @@
 func (x *Exchange) readChunked(b []byte) (int, error) {
 	n, err := x.body.Read(b)
 	if !errors.Is(err, io.EOF) {
-		return n, cut(err)
+		return n, asTruncated(err)
 	}
 	if err := x.readTrailer(); err != nil {
-		return n, cut(err)
+		return n, asTruncated(err)
 	}
-	x.whole = true
+	x.complete = true
 	return n, io.EOF
 }
 
@@ -137,56 +139,57 @@
 	}
 }
 
-func cut(err error) error {
+func asTruncated(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return fireflypath.ErrTruncated
 	}
 	return err
 }
 
-// Detach lets the exchange outlive its context.
+// Detach lets the exchange continue after the end of its context.
 func (x *Exchange) Detach() {
-	if x.stop != nil {
-		x.alive = x.stop()
-		x.stop = nil
+	if x.stopWatch != nil {
+		x.contextAlive = x.stopWatch()
+		x.stopWatch = nil
 	}
 }
 
-// Close gives the connection back if the whole answer was read, else closes it.
+// Close returns the connection to the pool if the complete response was read, and
+// otherwise closes it.
 func (x *Exchange) Close() {
 	if x.closed {
 		return
 	}
 	x.closed = true
 	x.Detach()
-	keep := x.alive && x.whole && !x.Header.ConnectionClose() && (x.reader == nil || x.reader.Buffered() == 0)
+	keep := x.contextAlive && x.complete && !x.Header.ConnectionClose() && (x.reader == nil || x.reader.Buffered() == 0)
 	if x.reader != nil {
-		x.host.ReleaseReader(x.reader)
+		x.client.ReleaseReader(x.reader)
 	}
 	x.release(keep)
 }
 
-// Complete closes an exchange whose content is complete, although the body's end
-// mark may still be on its way. The caller does not wait for it: whoever takes
-// the connection next reads it.
+// Complete closes an exchange whose content was read completely, although the last chunk of
+// the body may not have arrived yet. The caller does not wait for it: it is read before the
+// connection is used again.
 func (x *Exchange) Complete() {
 	x.Detach()
-	if x.whole || !x.alive || x.Header.ConnectionClose() || x.fresh {
+	if x.complete || !x.contextAlive || x.Header.ConnectionClose() || x.unpooled {
 		x.Close()
 		return
 	}
 	x.closed = true
-	x.conn.tail = x
+	x.conn.unfinished = x
 	x.release(true)
 }
 
-// finish reads the end mark, and reports whether it was there and nothing else.
-func (x *Exchange) finish() bool {
-	x.conn.until = time.Now().Add(tailTime)
-	defer func() { x.conn.until = time.Time{} }()
+// readChunkEnd reads the last chunk, and reports whether it arrived and nothing else did.
+func (x *Exchange) readChunkEnd() bool {
+	x.conn.readDeadline = time.Now().Add(chunkEndTimeout)
+	defer func() { x.conn.readDeadline = time.Time{} }()
 	var b [16]byte
 	n, err := x.Read(b[:])
 	ok := n == 0 && errors.Is(err, io.EOF) && x.reader.Buffered() == 0
-	x.host.ReleaseReader(x.reader)
+	x.client.ReleaseReader(x.reader)
 	return ok
 }
--- a/internal/send/report/report.go
+++ b/internal/send/report/report.go
@@ -1,4 +1,4 @@
-// Package report reads the load reports of targets.
+// Package report reads load reports and other small JSON documents from targets.
 package report
 
 import (
@@ -16,31 +16,31 @@
 )
 
 const (
-	// silence bounds reading a report: targets answer it from memory.
-	silence = time.Second
-	// maxBody bounds a report or a list of cache events.
+	// readTimeout bounds each read of a report. Targets respond from memory.
+	readTimeout = time.Second
+	// maxBody bounds a report or a list of cache events in bytes.
 	maxBody = 1 << 20
 )
 
-// Reader reads small JSON answers over connections of its own, so that a
-// silent one cannot hold up work.
+// Reader reads small JSON documents over connections of its own, so that a connection
+// that stopped delivering bytes cannot delay requests.
 type Reader struct {
 	sender *send.Sender
 	clock  clockwork.Clock
 }
 
-// New returns a Reader.
+// New returns a Reader without connections.
 func New(clock clockwork.Clock) *Reader {
-	return &Reader{sender: send.New(silence), clock: clock}
+	return &Reader{sender: send.New(readTimeout), clock: clock}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (r *Reader) Close() {
 	r.sender.Close()
 }
 
-// load is the report as docs/PROTOCOLS.md gives it.
-type load struct {
+// loadReport is the load report specified in docs/PROTOCOLS.md.
+type loadReport struct {
 	At       int64 `json:"at"`
 	Running  int   `json:"running"`
 	Waiting  int   `json:"waiting"`
@@ -49,32 +49,33 @@
 	Draining bool  `json:"draining"`
 }
 
-// Load reads a target's report; the second event tells whether it drains.
-func (r *Reader) Load(ctx context.Context, t fireflypath.Target, out []fireflypath.Event) ([]fireflypath.Event, error) {
-	var l load
-	if err := r.Get(ctx, t, "/load", &l); err != nil {
-		return out, err
+// Load reads a target's load report and appends two events: the report itself, and whether
+// the target is draining.
+func (r *Reader) Load(ctx context.Context, target fireflypath.Target, events []fireflypath.Event) ([]fireflypath.Event, error) {
+	var reported loadReport
+	if err := r.Get(ctx, target, "/load", &reported); err != nil {
+		return events, err
 	}
 	now := r.clock.Now()
-	measured := time.UnixMilli(l.At)
+	measured := time.UnixMilli(reported.At)
 	if measured.After(now) {
-		// The target's clock is ahead; its reading is not newer than its arrival.
+		// The target's clock is ahead. The report cannot be newer than its arrival.
 		measured = now
 	}
 	kind := fireflypath.EventStaying
-	if l.Draining {
+	if reported.Draining {
 		kind = fireflypath.EventLeaving
 	}
-	rep := fireflypath.Report{
-		Measured: measured, Running: l.Running, Waiting: l.Waiting, Tokens: l.Tokens, Batch: l.Batch,
+	report := fireflypath.Report{
+		Measured: measured, Running: reported.Running, Waiting: reported.Waiting, Tokens: reported.Tokens, Batch: reported.Batch,
 	}
-	return append(out,
-		fireflypath.Event{Kind: fireflypath.EventReport, Target: t.Name, Cached: -1, Report: rep},
-		fireflypath.Event{Kind: kind, Target: t.Name, Cached: -1, Report: rep},
+	return append(events,
+		fireflypath.Event{Kind: fireflypath.EventReport, Target: target.Name, Cached: -1, Report: report},
+		fireflypath.Event{Kind: kind, Target: target.Name, Cached: -1, Report: report},
 	), nil
 }
 
-// Get reads one JSON answer.
+// Get reads the JSON document at the path into v.
 func (r *Reader) Get(ctx context.Context, t fireflypath.Target, path string, v any) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/send/unreached_test.go
+++ b/internal/send/unreachable_test.go
@@ -13,10 +13,10 @@
 	"github.com/fireflypath/fireflypath/internal/send"
 )
 
-// A target's process is gone and its host refuses the connection. If the sender
-// did not tell this from other failures, the daemons would go on losing a
-// second for each request that they place there.
-func TestRefusedConnectionIsUnreached(t *testing.T) {
+// A target's process has ended and its host refuses the connection. If the sender did not
+// distinguish this from other failures, the daemons would keep placing requests there and
+// lose a second for each.
+func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", loopback.ListenAddr())
 	is.NoErr(err)
