--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -16,9 +16,8 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// BenchmarkOverhead sends one small streamed request straight to a stand-in and
-// through a daemon, in one run: first one after the other at 1,000 a second,
-// then as many as eight callers can.
+// BenchmarkOverhead sends one small streamed request directly to a fake engine and through a daemon
+// in the same run: first at 1,000 requests per second, then as many as eight callers can send.
 func BenchmarkOverhead(b *testing.B) {
 	is := is.New(b)
 	e, err := engine.New(engine.Config{Addr: loopback.Free(), Batch: 512, Uncounted: true}, clockwork.NewRealClock())
@@ -29,12 +28,12 @@
 	is.NoErr(d.Start(b.Context()))
 	b.Cleanup(d.Kill)
 	for _, at := range []struct{ name, addr string }{{"direct", e.Addr()}, {"daemon", d.CallerAddr()}} {
-		b.Run("rate1000/"+at.name, func(b *testing.B) { paced(b, at.addr) })
-		b.Run("full/"+at.name, func(b *testing.B) { full(b, at.addr) })
+		b.Run("rate1000/"+at.name, func(b *testing.B) { benchPaced(b, at.addr) })
+		b.Run("full/"+at.name, func(b *testing.B) { benchParallel(b, at.addr) })
 	}
 }
 
-func paced(b *testing.B, addr string) {
+func benchPaced(b *testing.B, addr string) {
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 1024}
 	h := hdrhistogram.New(1, int64(time.Minute), 3)
 	var mu sync.Mutex
@@ -44,7 +43,7 @@
 		time.Sleep(time.Until(next))
 		next = next.Add(time.Millisecond)
 		wg.Go(func() {
-			took := call(b, c)
+			took := sendSmall(b, c)
 			mu.Lock()
 			defer mu.Unlock()
 			_ = h.RecordValue(int64(took))
@@ -55,18 +54,18 @@
 	b.ReportMetric(float64(h.ValueAtQuantile(99))/1000, "p99-us")
 }
 
-func full(b *testing.B, addr string) {
+func benchParallel(b *testing.B, addr string) {
 	c := &fasthttp.HostClient{Addr: addr, MaxConns: 1024}
 	b.SetParallelism(8)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			call(b, c)
+			sendSmall(b, c)
 		}
 	})
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "req/s")
 }
 
-func call(b *testing.B, c *fasthttp.HostClient) time.Duration {
+func sendSmall(b *testing.B, c *fasthttp.HostClient) time.Duration {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// defaultConnections is about the connections of a balancer's pools at 100
-	// times today's rate for one entry host.
-	defaultConnections = 8192
-	// flush is for writing the refusals at the end of a planned stop.
-	flush = time.Second
+	// defaultMaxConnections is about the number of connections that a load balancer's pools
+	// hold to one entry host at 100 times the current request rate.
+	defaultMaxConnections = 8192
+	// flushTimeout is the time for writing refusals at the end of a planned stop.
+	flushTimeout = time.Second
 )
 
-// callerListener lets requests in.
+// callerListener starts the server for callers.
 type callerListener struct{}
 
 func (callerListener) String() string { return "caller listener" }
@@ -32,40 +32,41 @@
 	}
 	limit := d.cfg.Limits.Connections
 	if limit == 0 {
-		limit = defaultConnections
+		limit = defaultMaxConnections
 	}
-	d.front = door.New(ln, limit, caller.Crowded)
-	d.gone = departures.New(d.deps.Clock)
-	d.callers = caller.New(d.route, d.gone, d.cfg.Limits)
-	d.work.Go(func() { d.gone.Run(d.ctx) })
-	d.work.Go(func() { _ = d.callers.Serve(d.front) })
+	d.callerListener = door.New(ln, limit, caller.Crowded)
+	d.departures = departures.New(d.deps.Clock)
+	d.callerServer = caller.New(d.route, d.departures, d.cfg.Limits)
+	d.background.Go(func() { d.departures.Run(d.ctx) })
+	d.background.Go(func() { _ = d.callerServer.Serve(d.callerListener) })
 	return nil
 }
 
-// stopping is the refusal of what still waits when a planned stop ends.
-var stopping = fireflypath.Refusal{
-	Code: fireflypath.ReasonStopping, Detail: "the daemon stops", RetryAfter: flush,
+// stopRefusal is the refusal of requests that still wait when a planned stop ends.
+var stopRefusal = fireflypath.Refusal{
+	Code: fireflypath.ReasonStopping, Detail: "the daemon stops", RetryAfter: flushTimeout,
 }
 
-// Stop finishes the requests held. What still waits when the context ends is
-// refused, and what still runs is cut, so that its caller sees the cut.
+// Stop finishes the requests that the daemon holds. When the context ends, waiting requests are
+// refused. Requests that still run after flushTimeout are cut off, so that their callers notice
+// that the answer is incomplete.
 func (callerListener) Stop(ctx context.Context, d *Daemon) error {
 	done := make(chan error, 1)
-	go func() { done <- d.callers.Shutdown(context.WithoutCancel(ctx)) }()
+	go func() { done <- d.callerServer.Shutdown(context.WithoutCancel(ctx)) }()
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
 	}
-	d.deps.Log.Info("planned stop at its limit", zap.Int("connections", d.front.Open()))
-	d.pools.Stop(stopping)
+	d.deps.Log.Info("planned stop timed out", zap.Int("connections", d.callerListener.Open()))
+	d.pools.Stop(stopRefusal)
 	d.claims.Abort()
 	select {
 	case err := <-done:
 		return err
-	case <-d.deps.Clock.After(flush):
+	case <-d.deps.Clock.After(flushTimeout):
 	}
-	err := d.front.Kill()
-	d.gone.All()
+	err := d.callerListener.Kill()
+	d.departures.All()
 	return err
 }
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -19,7 +19,7 @@
 	"github.com/fireflypath/fireflypath/internal/spread"
 )
 
-// configuration finds the configuration in force.
+// configuration sets up the source of the configuration in force.
 type configuration struct{}
 
 func (configuration) String() string { return "configuration" }
@@ -30,7 +30,7 @@
 		return nil
 	case d.deps.Store != nil:
 	case d.cfg.Initial != nil:
-		d.deps.Configs = newFixed(d.cfg.Initial)
+		d.deps.Configs = newStaticConfigs(d.cfg.Initial)
 		return nil
 	default:
 		return errors.New("neither a platform service nor an initial configuration is set")
@@ -48,7 +48,7 @@
 
 func (configuration) Stop(context.Context, *Daemon) error { return nil }
 
-// peers makes what speaks to other daemons; membership starts it.
+// peers creates the membership and the endpoint for other daemons; the step membership starts them.
 type peers struct{}
 
 func (peers) String() string { return "peers" }
@@ -57,35 +57,35 @@
 	if d.cfg.Listen.Peers == "" || d.deps.Members != nil {
 		return nil
 	}
-	var trust *peer.Certificates
+	var certificates *peer.Certificates
 	if d.cfg.Peers.TLS != nil {
 		t, err := peer.LoadCertificates(*d.cfg.Peers.TLS, d.deps.Clock, d.scope)
 		if err != nil {
 			return err
 		}
-		trust = t
+		certificates = t
 	} else if !d.cfg.Peers.Plain {
-		return errors.New("peers have neither tls nor plain set")
+		return errors.New("peers: neither tls nor plain is set")
 	}
 	ln, err := peer.TCP{}.Listen(d.cfg.Listen.Peers)
 	if err != nil {
 		return errors.Wrapf(err, "listen for peers on %s", d.cfg.Listen.Peers)
 	}
-	d.peerPort = ln
+	d.peerListener = ln
 	self := fireflypath.Member{
 		Name: d.cfg.Name, Domain: d.cfg.Domain, Peer: ln.Addr().String(),
 		Caller: d.cfg.Listen.Callers, Operator: d.cfg.Listen.Operators,
-		// Grows with each start under this name; if a clock was set back, the
-		// peers' word about the earlier life corrects it.
+		// It grows with each start under this name. If the clock was set back, the
+		// incarnation that peers know from the earlier start corrects it.
 		Incarnation: uint64(d.deps.Clock.Now().UnixMilli()),
 	}
-	beat := d.cfg.Peers.Heartbeat.Std()
-	d.members = member.New(self, d.deps.Store, d.cfg.Peers.Seeds, beat, d.deps.Clock, d.scope, d.deps.Log)
-	d.peers = peer.New(peer.TCP{}, trust, d.members.Self, beat, d.deps.Clock, d.scope, d.deps.Log)
+	heartbeat := d.cfg.Peers.Heartbeat.Std()
+	d.members = member.New(self, d.deps.Store, d.cfg.Peers.Seeds, heartbeat, d.deps.Clock, d.scope, d.deps.Log)
+	d.peers = peer.New(peer.TCP{}, certificates, d.members.Self, heartbeat, d.deps.Clock, d.scope, d.deps.Log)
 	d.members.Attach(d.peers)
 	d.deps.Members = d.members
 	if d.deps.Relief == nil {
-		rounds := relief.New(d.cfg.Name, d.members, d.peers, d.cluster, windows{d}, d.deps.Clock, d.scope)
+		rounds := relief.New(d.cfg.Name, d.members, d.peers, d.localCluster, reliefWindows{d}, d.deps.Clock, d.scope)
 		rounds.Register(d.peers)
 		d.deps.Relief = rounds
 	}
@@ -99,28 +99,28 @@
 	return nil
 }
 
-// cluster is this daemon's own route, nil until it is there.
-func (d *Daemon) cluster() fireflypath.Cluster {
+// localCluster returns this daemon's own pools, or nil before they are created.
+func (d *Daemon) localCluster() fireflypath.Cluster {
 	if d.pools == nil {
 		return nil
 	}
 	return d.pools
 }
 
-// windows hands shares over in relief rounds.
-type windows struct{ d *Daemon }
+// reliefWindows transfers fractions of windows in relief rounds.
+type reliefWindows struct{ d *Daemon }
 
 // LendForRelief implements relief.Windows.
-func (w windows) LendForRelief(pool string, rank, tokens int) float64 {
+func (w reliefWindows) LendForRelief(pool string, rank, tokens int) float64 {
 	return w.d.exchange.LendForRelief(pool, rank, tokens)
 }
 
 // Borrow implements relief.Windows.
-func (w windows) Borrow(pool string, asked time.Time, part float64) {
+func (w reliefWindows) Borrow(pool string, asked time.Time, part float64) {
 	w.d.exchange.Borrow(pool, asked, part)
 }
 
-// orders sends orders to targets, or passes them on to the daemon that does.
+// orders sends orders to targets or forwards them to the daemon that holds the order lease.
 type orders struct{}
 
 func (orders) String() string { return "orders" }
@@ -129,7 +129,7 @@
 	if d.deps.Store == nil || d.deps.Orderer != nil {
 		return nil
 	}
-	members, caller := fireflypath.Members(alone{d}), order.PeerCaller(nil)
+	members, caller := fireflypath.Members(singleMember{d}), order.PeerCaller(nil)
 	if d.members != nil {
 		members, caller = d.members, d.peers
 	}
@@ -139,11 +139,11 @@
 		d.orders.Handle(d.peers)
 	}
 	d.deps.Orderer = d.orders
-	d.work.Go(func() { _ = d.orders.Run(d.ctx) })
+	d.background.Go(func() { _ = d.orders.Run(d.ctx) })
 	return nil
 }
 
-// Stop hands the lease over, so that no order waits for it to lapse.
+// Stop releases the lease, so that no order has to wait for it to expire.
 func (orders) Stop(ctx context.Context, d *Daemon) error {
 	if d.orders != nil {
 		d.orders.Release(ctx)
@@ -151,15 +151,15 @@
 	return nil
 }
 
-// membership joins the other daemons: it follows the configuration, shares
-// windows and spreads evidence of targets.
+// membership joins the other daemons. It follows the configuration, splits windows and exchanges
+// evidence about targets.
 type membership struct{}
 
 func (membership) String() string { return "membership" }
 
 func (membership) Run(ctx context.Context, d *Daemon) error {
 	if d.registry != nil {
-		d.work.Go(func() { _ = d.registry.Run(d.ctx) })
+		d.background.Go(func() { _ = d.registry.Run(d.ctx) })
 	}
 	if d.members == nil {
 		return nil
@@ -167,28 +167,28 @@
 	log, clock := d.deps.Log, d.deps.Clock
 	if d.registry != nil {
 		s := spread.New(d.registry, d.members, d.peers, log)
-		d.work.Go(func() { _ = s.Run(d.ctx) })
+		d.background.Go(func() { _ = s.Run(d.ctx) })
 	}
 	single := d.deps.Store == nil && len(d.cfg.Peers.Seeds) == 0
 	d.exchange = exchange.New(d.members, d.peers, d.deps.Configs,
-		&limits{d.pools, &d.rules, d.deps.Configs, clock}, single, clock, d.scope)
+		&sharedLimits{d.pools, &d.rules, d.deps.Configs, clock}, single, clock, d.scope)
 	d.pools.SetInitialShare(d.exchange.InitialShare)
-	d.board = leaving.New(d.cfg.Name, d.mates, d.peers, d.peersLeaving, d.peersBack, clock, d.scope)
-	if d.deps.Leaving == nil {
-		d.deps.Leaving, d.deps.Back = d.board.ReportLeaving, d.board.ReportStaying
-	}
-	d.work.Go(func() { _ = d.exchange.Run(d.ctx) })
-	d.work.Go(func() { _ = d.board.Run(d.ctx) })
-	d.work.Go(func() { _ = d.members.Run(d.ctx) })
-	d.work.Go(func() {
-		if err := d.peers.Serve(d.peerPort); !errors.Is(err, peer.ErrClosed) {
-			log.Error("no longer listening for peers", zap.Error(err))
+	d.leavingTracker = leaving.New(d.cfg.Name, d.cellSize, d.peers, d.reportLeavingByPeers, d.reportStayingByPeers, clock, d.scope)
+	if d.deps.SpreadLeaving == nil {
+		d.deps.SpreadLeaving, d.deps.SpreadStaying = d.leavingTracker.ReportLeaving, d.leavingTracker.ReportStaying
+	}
+	d.background.Go(func() { _ = d.exchange.Run(d.ctx) })
+	d.background.Go(func() { _ = d.leavingTracker.Run(d.ctx) })
+	d.background.Go(func() { _ = d.members.Run(d.ctx) })
+	d.background.Go(func() {
+		if err := d.peers.Serve(d.peerListener); !errors.Is(err, peer.ErrClosed) {
+			log.Error("peer listener failed", zap.Error(err))
 		}
 	})
 	return nil
 }
 
-// Stop takes leave of the peers, after the requests held were finished.
+// Stop leaves the membership after the requests that the daemon held were finished.
 func (membership) Stop(ctx context.Context, d *Daemon) error {
 	if d.members != nil {
 		d.members.Leave(ctx)
@@ -196,22 +196,21 @@
 	return nil
 }
 
-// mates is the number of daemons that send work to the same targets.
-func (d *Daemon) mates() int {
+// cellSize returns the number of daemons that send work to the same targets.
+func (d *Daemon) cellSize() int {
 	return len(d.members.Layout().Members(d.cfg.Name))
 }
 
-func (d *Daemon) peersLeaving(target, _ string) {
+func (d *Daemon) reportLeavingByPeers(target, _ string) {
 	d.evidence.ReportLeaving(target, evidence.SourcePeers, d.deps.Clock.Now())
 }
 
-func (d *Daemon) peersBack(target string) {
+func (d *Daemon) reportStayingByPeers(target string) {
 	d.evidence.ReportStaying(target, evidence.SourcePeers, d.deps.Clock.Now())
 }
 
-// firstConfiguration waits until there is a configuration, from the service or
-// from a peer. Without it a daemon that starts in an outage would refuse its
-// callers as unknown teams.
+// firstConfiguration waits for a configuration from the service or a peer. A daemon that starts
+// during an outage would otherwise refuse its callers because it knows no teams.
 type firstConfiguration struct{}
 
 func (firstConfiguration) String() string { return "first configuration" }
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -28,32 +28,32 @@
 const (
 	crashPool = "p"
 	crashHost = "h.example"
-	// deadly is the body that ends each target that begins to run it.
-	deadly = "the work that no target survives"
-	// knownAfter is how long after the third target has ended the whole fleet may take
-	// to know, and mostRetries what may reach targets later all the same.
-	knownAfter  = 3 * time.Second
-	mostRetries = 3
+	// crashingBody is the body that crashes each target that starts to run it.
+	crashingBody = "the work that no target survives"
+	// detectionTime is how long after the third crash it may take until all daemons know the
+	// request. maxLateCrashes is how many targets may crash after that nonetheless.
+	detectionTime  = 3 * time.Second
+	maxLateCrashes = 3
 )
 
-// crashSite is a fleet of daemons before targets that one body ends.
-type crashSite struct {
+// crashCluster is a set of daemons and targets that one request body crashes.
+type crashCluster struct {
 	is      *is.I
 	store   *standin.Store
 	daemons []*daemon.Daemon
 	client  *http.Client
 
-	mu    sync.Mutex
-	lives int
-	// ended is when targets ended under the deadly body.
-	ended []time.Time
-	// pace is how long a target works before it answers or ends.
-	pace time.Duration
+	mu             sync.Mutex
+	targetsStarted int
+	// crashes holds the times at which targets crashed on crashingBody.
+	crashes []time.Time
+	// delay is how long a target works before it answers or crashes.
+	delay time.Duration
 }
 
-func newCrashSite(t *testing.T, daemons, targets int) *crashSite {
+func newCrashCluster(t *testing.T, daemons, targets int) *crashCluster {
 	t.Helper()
-	s := &crashSite{is: is.New(t), store: standin.New(), client: &http.Client{Timeout: 10 * time.Second}, pace: 5 * time.Millisecond}
+	s := &crashCluster{is: is.New(t), store: standin.New(), client: &http.Client{Timeout: 10 * time.Second}, delay: 5 * time.Millisecond}
 	srv := httptest.NewServer(s.store)
 	t.Cleanup(srv.Close)
 	var routes []fireflypath.Route
@@ -94,12 +94,12 @@
 		t.Cleanup(func() { s.is.NoErr(d.Stop(context.Background())) })
 		s.daemons = append(s.daemons, d)
 	}
-	s.await()
+	s.awaitReady()
 	return s
 }
 
-// await returns when all daemons serve.
-func (s *crashSite) await() {
+// awaitReady returns when all daemons serve requests.
+func (s *crashCluster) awaitReady() {
 	for i := range s.daemons {
 		for n := range 100 {
 			status, _ := s.send(i, fmt.Sprintf("first-%d-%d", i, n), "/safe/x", "first work")
@@ -121,20 +121,20 @@
 	return ln.Addr().String()
 }
 
-// startTarget registers another life of a target.
-func (s *crashSite) startTarget(t *testing.T) {
+// startTarget starts and registers another target.
+func (s *crashCluster) startTarget(t *testing.T) {
 	t.Helper()
 	s.mu.Lock()
-	s.lives++
-	name := fmt.Sprintf("t%d", s.lives)
+	s.targetsStarted++
+	name := fmt.Sprintf("t%d", s.targetsStarted)
 	s.mu.Unlock()
 	h := platform.Codec{}.Headers()
 	var srv *httptest.Server
 	srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		time.Sleep(s.pace)
-		if string(body) == deadly {
-			s.end(t, name, srv)
+		time.Sleep(s.delay)
+		if string(body) == crashingBody {
+			s.crashTarget(t, name, srv)
 			panic(http.ErrAbortHandler)
 		}
 		w.Header().Set(h.ID, r.Header.Get(h.ID))
@@ -147,20 +147,20 @@
 	}))
 }
 
-// end has a target end as a process does that crashes, and another life start.
-func (s *crashSite) end(t *testing.T, name string, srv *httptest.Server) {
+// crashTarget ends a target like a process crash and starts another one.
+func (s *crashCluster) crashTarget(t *testing.T, name string, srv *httptest.Server) {
 	t.Helper()
 	srv.Listener.Close()
 	srv.CloseClientConnections()
 	s.mu.Lock()
-	s.ended = append(s.ended, time.Now())
+	s.crashes = append(s.crashes, time.Now())
 	s.mu.Unlock()
 	s.store.RemoveTarget(name)
 	s.startTarget(t)
 }
 
-// send is one attempt of a caller at a daemon.
-func (s *crashSite) send(d int, id, path, body string) (int, http.Header) {
+// send sends one request to a daemon.
+func (s *crashCluster) send(d int, id, path, body string) (int, http.Header) {
 	h := platform.Codec{}.Headers()
 	r, err := http.NewRequest(http.MethodPost, "http://"+s.daemons[d].CallerAddr()+path, bytes.NewReader([]byte(body)))
 	s.is.NoErr(err)
@@ -177,44 +177,44 @@
 	return resp.StatusCode, resp.Header
 }
 
-// later counts the targets that ended although the fleet had the time to know.
-func (s *crashSite) later() int {
+// lateCrashes counts the crashes after all daemons should have known the request.
+func (s *crashCluster) lateCrashes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, at := range s.ended[min(mostTargets, len(s.ended)):] {
-		if at.Sub(s.ended[mostTargets-1]) > knownAfter {
+	for _, at := range s.crashes[min(maxCrashes, len(s.crashes)):] {
+		if at.Sub(s.crashes[maxCrashes-1]) > detectionTime {
 			n++
 		}
 	}
 	return n
 }
 
-// mostTargets is how many targets may end before the request is known for it.
-const mostTargets = 3
+// maxCrashes is how many targets may crash before the request is recognised as the cause.
+const maxCrashes = 3
 
-// A caller sends one request again and again, each time to another daemon. Each
-// target that begins to run it ends: without a memory that the daemons share, one
-// request takes down all targets of a pool, with the work of all other callers there.
-func TestRequestThatCrashesTargetsIsHeldBack(t *testing.T) {
+// A caller repeats one request at different daemons. Each target that starts to run it crashes. If
+// the daemons did not share what they know, one request could take down all targets of a pool,
+// including the work of other callers there.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for _, name := range []string{"once", "safe"} {
 		t.Run(name, func(t *testing.T) {
 			path := "/" + name + "/x"
 			t.Parallel()
-			s := newCrashSite(t, 3, 8)
+			s := newCrashCluster(t, 3, 8)
 			const sends, pause = 24, 250 * time.Millisecond
 			refused := 0
 			for i := range sends {
-				status, header := s.send(i%len(s.daemons), fmt.Sprintf("deadly-%d", i), path, deadly)
+				status, header := s.send(i%len(s.daemons), fmt.Sprintf("deadly-%d", i), path, crashingBody)
 				if status == http.StatusServiceUnavailable && header.Get("Retry-After") != "" {
 					refused++
 				}
 				other, _ := s.send(i%len(s.daemons), fmt.Sprintf("other-%d", i), path, "other work "+strconv.Itoa(i))
-				s.is.Equal(other, http.StatusOK) // a healthy request pays for nothing
+				s.is.Equal(other, http.StatusOK) // other requests are not affected
 				time.Sleep(pause)
 			}
-			s.is.True(s.later() <= mostRetries)
-			s.is.True(refused > sends/2) // and its caller is told so at once
+			s.is.True(s.lateCrashes() <= maxLateCrashes)
+			s.is.True(refused > sends/2) // its caller is refused immediately
 		})
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon assembles a daemon as an ordered list of start steps.
+// Package daemon assembles a daemon from an ordered list of start steps.
 package daemon
 
 import (
@@ -27,7 +27,7 @@
 	"github.com/fireflypath/fireflypath/internal/engine"
 	"github.com/fireflypath/fireflypath/internal/exchange"
 	"github.com/fireflypath/fireflypath/internal/gate"
-	ceilings "github.com/fireflypath/fireflypath/internal/gate/limits"
+	gatelimits "github.com/fireflypath/fireflypath/internal/gate/limits"
 	"github.com/fireflypath/fireflypath/internal/http1"
 	"github.com/fireflypath/fireflypath/internal/leaving"
 	"github.com/fireflypath/fireflypath/internal/member"
@@ -41,11 +41,10 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// Deps are what tests and demos put in place of the real parts; a start step
-// makes each that is nil.
+// Deps are the parts that tests and demos can replace. The start steps create those that are nil.
 type Deps struct {
 	Store fireflypath.Store
-	// Codec reads what the platform keeps; used with a gate.
+	// Codec decodes the platform's stored values. It is used only with a gate.
 	Codec     fireflypath.Codec
 	Hosts     fireflypath.Hosts
 	Configs   fireflypath.Configs
@@ -54,79 +53,79 @@
 	Members   fireflypath.Members
 	Relief    fireflypath.Relief
 	Recorder  fireflypath.Recorder
-	// Unrecorded leaves the recorder out, to measure what it costs.
-	Unrecorded bool
+	// NoRecorder omits the recorder, to measure its cost.
+	NoRecorder bool
 	Scheduler  func(fireflypath.Pool) fireflypath.Scheduler
 	Clock      clockwork.Clock
 	Log        *zap.Logger
-	// Operator adds calls to the operators' endpoint.
-	Operator []func(*fiber.App)
-	// Leaving and Back spread first-hand evidence of targets to peers.
-	Leaving func(target, why string)
-	Back    func(target string)
+	// OperatorRoutes adds routes to the operator endpoint.
+	OperatorRoutes []func(*fiber.App)
+	// SpreadLeaving and SpreadStaying send first-hand evidence about targets to peers.
+	SpreadLeaving func(target, why string)
+	SpreadStaying func(target string)
 }
 
-// Daemon is one process's worth of the system. The steps fill its fields in
-// their order and empty them in the reverse one.
+// Daemon is the state of one daemon process. The start steps set its fields in order and release
+// them in reverse order.
 type Daemon struct {
 	cfg   settings.Settings
 	deps  Deps
 	steps []step
-	// started is the number of steps that ran.
-	started int
-
-	// ctx ends with the daemon; background work runs in work.
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   conc.WaitGroup
-
-	registry *registry.Registry
-	members  *member.Membership
-	peers    *peer.Endpoint
-	peerPort net.Listener
-	exchange *exchange.Exchange
-	board    *leaving.Tracker
-	orders   *order.Issuer
-
-	scope    tally.Scope
-	reports  io.Closer
-	pools    *pools.Pools
-	rules    rules.Rules
-	evidence *evidence.Evidence
-	claims   *claim.Claims
-	engine   *engine.Engine
-	service  *service.Service
-	route    *route.Route
-	gone     *departures.Departures
-	callers  *caller.Server
-	front    *door.Door
-	operator *fiber.App
-	back     *door.Door
-	ready    atomic.Bool
-
-	// The fields below are those of a daemon with a gate.
-	quarantine  *quarantine.Quarantine
-	directory   *directory.Directory
-	dispatch    *dispatch.Dispatch
-	limits      *ceilings.Limits
-	targets     *http1.Client
-	gate        *gate.Gate
-	entry       *http.Server
-	entryAddr   string
-	readyServer *http.Server
+	// startedSteps is the number of steps that were run.
+	startedSteps int
+
+	// ctx ends with the daemon; background holds the goroutines.
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background conc.WaitGroup
+
+	registry       *registry.Registry
+	members        *member.Membership
+	peers          *peer.Endpoint
+	peerListener   net.Listener
+	exchange       *exchange.Exchange
+	leavingTracker *leaving.Tracker
+	orders         *order.Issuer
+
+	scope            tally.Scope
+	metricsCloser    io.Closer
+	pools            *pools.Pools
+	rules            rules.Rules
+	evidence         *evidence.Evidence
+	claims           *claim.Claims
+	engine           *engine.Engine
+	service          *service.Service
+	route            *route.Route
+	departures       *departures.Departures
+	callerServer     *caller.Server
+	callerListener   *door.Door
+	operatorApp      *fiber.App
+	operatorListener *door.Door
+	ready            atomic.Bool
+
+	// The fields below are set only in a daemon with a gate.
+	quarantine   *quarantine.Quarantine
+	directory    *directory.Directory
+	dispatch     *dispatch.Dispatch
+	limits       *gatelimits.Limits
+	targetClient *http1.Client
+	gate         *gate.Gate
+	gateServer   *http.Server
+	gateAddr     string
+	readyServer  *http.Server
 }
 
-// step is one part of starting. Stop undoes Run, within the context's time.
+// step is one start step. Stop reverses Run before the context ends.
 type step interface {
 	String() string
 	Run(ctx context.Context, d *Daemon) error
 	Stop(ctx context.Context, d *Daemon) error
 }
 
-// steps are run from top to bottom at the start, and stopped from the bottom up.
+// steps returns the start steps. They are run in order and stopped in reverse order.
 func steps() []step {
 	return []step{
-		basics{},
+		defaults{},
 		metrics{},
 		platformClient{},
 		configuration{},
@@ -137,7 +136,7 @@
 		membership{},
 		claims{},
 		records{},
-		theRoute{},
+		routeStep{},
 		polling{},
 		operators{},
 		operatorEndpoint{},
@@ -147,7 +146,7 @@
 	}
 }
 
-// New returns a daemon that has not started.
+// New returns a daemon that is not started.
 func New(cfg settings.Settings, deps Deps) (*Daemon, error) {
 	if err := settings.Check(&cfg); err != nil {
 		return nil, err
@@ -160,13 +159,13 @@
 	return d, nil
 }
 
-// Start runs the steps. If one fails, those before it are stopped.
+// Start runs the steps. If one fails, the steps before it are stopped.
 func (d *Daemon) Start(ctx context.Context) error {
 	for _, s := range d.steps {
 		if err := s.Run(ctx, d); err != nil {
 			return errors.CombineErrors(errors.Wrapf(err, "start %s", s), d.Stop(ctx))
 		}
-		d.started++
+		d.startedSteps++
 	}
 	d.deps.Log.Info("started",
 		zap.String("name", d.cfg.Name), zap.String("callers", d.CallerAddr()), zap.String("operators", d.OperatorAddr()),
@@ -174,77 +173,77 @@
 	return nil
 }
 
-// Stop ends the daemon in order: it finishes what it holds until the context
-// ends, and then refuses what still waits.
+// Stop stops the daemon in order. It finishes the requests that the daemon holds until the context
+// ends, and then refuses those that still wait.
 func (d *Daemon) Stop(ctx context.Context) error {
-	var all error
-	for d.started > 0 {
-		d.started--
-		s := d.steps[d.started]
+	var errs error
+	for d.startedSteps > 0 {
+		d.startedSteps--
+		s := d.steps[d.startedSteps]
 		if err := s.Stop(ctx, d); err != nil {
-			all = errors.CombineErrors(all, errors.Wrapf(err, "stop %s", s))
+			errs = errors.CombineErrors(errs, errors.Wrapf(err, "stop %s", s))
 		}
 	}
 	d.cancel()
-	d.work.Wait()
-	return all
+	d.background.Wait()
+	return errs
 }
 
-// Kill ends the daemon like a crash: nothing is finished and nobody is told.
+// Kill ends the daemon like a crash: no request is finished and no peer is notified.
 func (d *Daemon) Kill() {
 	d.cancel()
-	if d.started < len(d.steps) {
-		// It did not start, or has stopped: nothing is left to kill.
+	if d.startedSteps < len(d.steps) {
+		// The daemon did not start or has already stopped.
 		return
 	}
-	_ = d.front.Kill()
-	d.gone.All()
-	_ = d.back.Kill()
+	_ = d.callerListener.Kill()
+	d.departures.All()
+	_ = d.operatorListener.Kill()
 	if d.peers != nil {
 		d.peers.Close()
 	}
-	dead, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	d.claims.Close(dead)
+	d.claims.Close(canceled)
 	d.pools.Stop(fireflypath.Refusal{Code: fireflypath.ReasonStopping, Detail: "killed"})
-	d.work.Wait()
-	_ = d.reports.Close()
+	d.background.Wait()
+	_ = d.metricsCloser.Close()
 }
 
-// Ready reports whether the daemon takes requests.
+// Ready reports whether the daemon accepts requests.
 func (d *Daemon) Ready() bool {
 	return d.ready.Load()
 }
 
-// CallerAddr is the address that callers use.
+// CallerAddr returns the address for callers.
 func (d *Daemon) CallerAddr() string {
-	if d.entryAddr != "" {
-		return d.entryAddr
+	if d.gateAddr != "" {
+		return d.gateAddr
 	}
-	return addr(d.front)
+	return listenerAddr(d.callerListener)
 }
 
-// OperatorAddr is the address that operators use.
+// OperatorAddr returns the address for operators.
 func (d *Daemon) OperatorAddr() string {
-	return addr(d.back)
+	return listenerAddr(d.operatorListener)
 }
 
-// peerAddr is the address that other daemons use, empty without any.
+// peerAddr returns the address for other daemons, or an empty string if there is none.
 func (d *Daemon) peerAddr() string {
-	if d.peerPort == nil {
+	if d.peerListener == nil {
 		return ""
 	}
-	return d.peerPort.Addr().String()
+	return d.peerListener.Addr().String()
 }
 
-func addr(ln net.Listener) string {
-	if dr, ok := ln.(*door.Door); ok && dr == nil {
+func listenerAddr(ln net.Listener) string {
+	if l, ok := ln.(*door.Door); ok && l == nil {
 		return ""
 	}
 	return ln.Addr().String()
 }
 
-// Demands summarises the pools.
+// Demands returns the demand of each pool.
 func (d *Daemon) Demands() []fireflypath.Demand {
 	return d.pools.Demands()
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -8,10 +8,10 @@
 	"github.com/matryer/is"
 )
 
-func TestAnswersWholeAndStreamed(t *testing.T) {
+func TestCompleteAndStreamedAnswers(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{})
-	r.isWhole(r.stream(3), 3)
+	r := newTestDaemon(t, options{})
+	r.assertComplete(r.stream(3), 3)
 
 	got := r.post("/v1/completions", `{"model":"m","prompt":"hello","max_tokens":3}`)
 	is.Equal(got.status, http.StatusOK)
--- a/internal/daemon/dead_test.go
+++ b/internal/daemon/deadtarget_test.go
@@ -20,11 +20,11 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// patience ends a test that would hang; no verdict depends on it.
-const patience = 30 * time.Second
+// testTimeout ends a test that hangs; no assertion depends on it.
+const testTimeout = 30 * time.Second
 
-// states passes on what a daemon's log says of targets.
-func states(to chan<- string, name string) *zap.Logger {
+// targetStateLog returns a logger that sends a daemon's messages about targets to a channel.
+func targetStateLog(to chan<- string, name string) *zap.Logger {
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), zapcore.AddSync(io.Discard), zap.InfoLevel)
 	return zap.New(core, zap.Hooks(func(e zapcore.Entry) error {
 		if e.Message == "target leaves" || e.Message == "target is back" {
@@ -34,40 +34,40 @@
 	}))
 }
 
-// A target's process is killed. Two daemons see it and tell each other, so both
-// stop sending work there; after its start both use it again. Before, each kept
-// trying by itself, and callers waited for work placed on a dead target.
-func TestKilledTargetIsTakenOutByAll(t *testing.T) {
+// The process of a target is killed. Both daemons must detect it and tell each other, so that both
+// stop sending work there, and both must use the target again after it restarts. Otherwise each
+// daemon keeps trying on its own, and callers wait for work placed on a dead target.
+func TestKilledTargetIsExcludedByAllDaemons(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
 	e, err := engine.New(engine.Config{Addr: loopback.Free()}, clock)
 	is.NoErr(err)
 	addr := e.Addr()
 	store := testkit.NewMapStore(clock)
-	heard := make(chan string, 64)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	logged := make(chan string, 64)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for i := range 2 {
-		set := testkit.Settings(testkit.Config([]string{addr}, nil))
-		set.Name = fmt.Sprint("d", i)
-		set.Listen.Peers, set.Peers = loopback.Free(), settings.Peers{Plain: true}
-		d, err := daemon.New(set, daemon.Deps{Store: store, Log: states(heard, set.Name)})
+		cfg := testkit.Settings(testkit.Config([]string{addr}, nil))
+		cfg.Name = fmt.Sprint("d", i)
+		cfg.Listen.Peers, cfg.Peers = loopback.Free(), settings.Peers{Plain: true}
+		d, err := daemon.New(cfg, daemon.Deps{Store: store, Log: targetStateLog(logged, cfg.Name)})
 		is.NoErr(err)
 		is.NoErr(d.Start(t.Context()))
 		t.Cleanup(d.Kill)
 	}
-	both := func(what string) {
+	both := func(message string) {
 		var got []string
 		for len(got) < 2 {
 			select {
-			case h := <-heard:
-				got = append(got, h)
+			case l := <-logged:
+				got = append(got, l)
 			case <-ctx.Done():
-				t.Fatalf("heard only %q of %q", got, what)
+				t.Fatalf("got only %q, expected %q from both daemons", got, message)
 			}
 		}
 		slices.Sort(got)
-		is.Equal(got, []string{"d0: " + what, "d1: " + what})
+		is.Equal(got, []string{"d0: " + message, "d1: " + message})
 	}
 	is.NoErr(e.Close())
 	both("target leaves")
--- a/internal/daemon/basics.go
+++ b/internal/daemon/defaults.go
@@ -9,12 +9,12 @@
 	"github.com/fireflypath/fireflypath/internal/platform"
 )
 
-// basics fills in the clock and the log.
-type basics struct{}
+// defaults sets the clock and the logger if they were not given.
+type defaults struct{}
 
-func (basics) String() string { return "basics" }
+func (defaults) String() string { return "basics" }
 
-func (basics) Run(ctx context.Context, d *Daemon) error {
+func (defaults) Run(ctx context.Context, d *Daemon) error {
 	if d.deps.Clock == nil {
 		d.deps.Clock = clockwork.NewRealClock()
 	}
@@ -24,9 +24,9 @@
 	return nil
 }
 
-func (basics) Stop(context.Context, *Daemon) error { return nil }
+func (defaults) Stop(context.Context, *Daemon) error { return nil }
 
-// platformClient connects the Store and the host list.
+// platformClient creates the client of the store and the host list.
 type platformClient struct{}
 
 func (platformClient) String() string { return "platform client" }
--- a/internal/daemon/endpoint.go
+++ b/internal/daemon/endpoint.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// operatorBody holds the longest command, 16 KiB, with every byte escaped in JSON.
-	operatorBody = 128 << 10
-	// operatorRead ends a call that trickles in; operatorIdle is above the
-	// seconds between two calls of a living view or a scraper.
-	operatorRead = 10 * time.Second
-	operatorIdle = time.Minute
+	// maxOperatorBody fits the longest command, 16 KiB, with every byte escaped in JSON.
+	maxOperatorBody = 128 << 10
+	// operatorReadTimeout ends calls whose bytes arrive too slowly. operatorIdleTimeout is
+	// above the seconds between two calls of an auto-refreshing view or a metrics scraper.
+	operatorReadTimeout = 10 * time.Second
+	operatorIdleTimeout = time.Minute
 )
 
-// operatorEndpoint serves health, metrics, queries and commands.
+// operatorEndpoint serves health checks, metrics, queries and commands.
 type operatorEndpoint struct{}
 
 func (operatorEndpoint) String() string { return "operator endpoint" }
@@ -28,23 +28,23 @@
 	if err != nil {
 		return err
 	}
-	d.back = door.New(ln, 0, nil)
-	d.operator = fiber.New(fiber.Config{
-		BodyLimit: operatorBody, ReadTimeout: operatorRead, IdleTimeout: operatorIdle,
+	d.operatorListener = door.New(ln, 0, nil)
+	d.operatorApp = fiber.New(fiber.Config{
+		BodyLimit: maxOperatorBody, ReadTimeout: operatorReadTimeout, IdleTimeout: operatorIdleTimeout,
 	})
-	d.operator.Get("/healthz", func(c fiber.Ctx) error { return c.SendString("ok\n") })
-	d.operator.Get("/readyz", d.readyz)
-	for _, add := range d.deps.Operator {
-		add(d.operator)
+	d.operatorApp.Get("/healthz", func(c fiber.Ctx) error { return c.SendString("ok\n") })
+	d.operatorApp.Get("/readyz", d.readyz)
+	for _, add := range d.deps.OperatorRoutes {
+		add(d.operatorApp)
 	}
-	d.work.Go(func() {
-		_ = d.operator.Listener(d.back, fiber.ListenConfig{DisableStartupMessage: true})
+	d.background.Go(func() {
+		_ = d.operatorApp.Listener(d.operatorListener, fiber.ListenConfig{DisableStartupMessage: true})
 	})
 	return nil
 }
 
 func (operatorEndpoint) Stop(ctx context.Context, d *Daemon) error {
-	return d.back.Kill()
+	return d.operatorListener.Kill()
 }
 
 func (d *Daemon) readyz(c fiber.Ctx) error {
@@ -54,7 +54,7 @@
 	return c.SendString("ready\n")
 }
 
-// readiness is the last thing up and the first down.
+// readiness marks the daemon as ready. It is the last step to start and the first to stop.
 type readiness struct{}
 
 func (readiness) String() string { return "readiness" }
--- a/internal/daemon/fault_test.go
+++ b/internal/daemon/fault_test.go
@@ -25,8 +25,8 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// rig is a daemon alone before stand-ins.
-type rig struct {
+// testDaemon is a single daemon with fake targets.
+type testDaemon struct {
 	*daemon.Daemon
 	t        *testing.T
 	engines  []*engine.Engine
@@ -34,22 +34,22 @@
 	records  chan *fireflypath.Record
 }
 
-// setup says how a rig differs from two fast engines and a service.
-type setup struct {
+// options configures a testDaemon; the default has one fast engine and one service.
+type options struct {
 	engine  engine.Config
 	service service.Config
 	engines int
 	window  int
 	silence time.Duration
 	deps    daemon.Deps
-	// body, header, connections, waiting and bodies are limits.
+	// body, header, connections, waiting and bodies are the limits of the settings.
 	body, header, connections, waiting, bodies int
 	notice                                     time.Duration
 }
 
-func newRig(t *testing.T, s setup) *rig {
+func newTestDaemon(t *testing.T, s options) *testDaemon {
 	is := is.New(t)
-	r := &rig{t: t, records: make(chan *fireflypath.Record, 1024)}
+	r := &testDaemon{t: t, records: make(chan *fireflypath.Record, 1024)}
 	s.engine.Addr = loopback.Free()
 	s.service.Addr = s.engine.Addr
 	var engines, services []string
@@ -60,38 +60,38 @@
 		r.engines = append(r.engines, e)
 		engines = append(engines, e.Addr())
 	}
-	sv, err := service.New(s.service, clockwork.NewRealClock())
+	fakeService, err := service.New(s.service, clockwork.NewRealClock())
 	is.NoErr(err)
-	t.Cleanup(func() { _ = sv.Close() })
-	r.services = append(r.services, sv)
-	services = append(services, sv.Addr())
+	t.Cleanup(func() { _ = fakeService.Close() })
+	r.services = append(r.services, fakeService)
+	services = append(services, fakeService.Addr())
 
 	cfg := testkit.Config(engines, services)
 	for i := range cfg.Targets {
 		cfg.Targets[i].Window = s.window
 	}
-	set := testkit.Settings(cfg)
-	set.Limits.Silence = fireflypath.Duration(s.silence)
-	set.Stop.Notice = fireflypath.Duration(s.notice)
-	set.Limits.Bodies = s.bodies
-	set.Limits.Body, set.Limits.Header = s.body, s.header
-	set.Limits.Connections, set.Limits.Waiting = s.connections, s.waiting
+	daemonSettings := testkit.Settings(cfg)
+	daemonSettings.Limits.Silence = fireflypath.Duration(s.silence)
+	daemonSettings.Stop.Notice = fireflypath.Duration(s.notice)
+	daemonSettings.Limits.Bodies = s.bodies
+	daemonSettings.Limits.Body, daemonSettings.Limits.Header = s.body, s.header
+	daemonSettings.Limits.Connections, daemonSettings.Limits.Waiting = s.connections, s.waiting
 	s.deps.Recorder = r
-	r.Daemon, err = daemon.New(set, s.deps)
+	r.Daemon, err = daemon.New(daemonSettings, s.deps)
 	is.NoErr(err)
 	is.NoErr(r.Start(t.Context()))
 	t.Cleanup(r.Kill)
 	return r
 }
 
-// Keep hands records to the test.
-func (r *rig) Keep(rec *fireflypath.Record) { r.records <- rec }
+// Keep sends the record to the test.
+func (r *testDaemon) Keep(rec *fireflypath.Record) { r.records <- rec }
 
-// Find and Each complete the Recorder.
-func (r *rig) Find(string) *fireflypath.Record     { return nil }
-func (r *rig) Each(func(*fireflypath.Record) bool) {}
+// Find and Each complete fireflypath.Recorder.
+func (r *testDaemon) Find(string) *fireflypath.Record     { return nil }
+func (r *testDaemon) Each(func(*fireflypath.Record) bool) {}
 
-func (r *rig) request(ctx context.Context, path, body string, header ...string) *http.Request {
+func (r *testDaemon) request(ctx context.Context, path, body string, header ...string) *http.Request {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.CallerAddr()+path, strings.NewReader(body))
 	is.New(r.t).NoErr(err)
 	req.Header.Set("Authorization", "Bearer "+testkit.Token)
@@ -101,7 +101,7 @@
 	return req
 }
 
-// result is what a caller received; err is set for a cut answer.
+// result is the answer that a caller received. err is set if the answer was cut off.
 type result struct {
 	status int
 	header http.Header
@@ -109,19 +109,19 @@
 	err    error
 }
 
-func (r *rig) post(path, body string, header ...string) result {
+func (r *testDaemon) post(path, body string, header ...string) result {
 	resp, err := http.DefaultClient.Do(r.request(r.t.Context(), path, body, header...))
 	is.New(r.t).NoErr(err)
-	return read(resp)
+	return readResult(resp)
 }
 
-func read(resp *http.Response) result {
+func readResult(resp *http.Response) result {
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	return result{status: resp.StatusCode, header: resp.Header, text: string(text), err: err}
 }
 
-func (r *rig) stream(tokens int) result {
+func (r *testDaemon) stream(tokens int) result {
 	return r.post("/v1/completions", completion(tokens))
 }
 
@@ -129,8 +129,8 @@
 	return fmt.Sprintf(`{"model":"m","prompt":"hello","max_tokens":%d,"stream":true}`, tokens)
 }
 
-// fault shows faults at all engines.
-func (r *rig) fault(faults ...fault.Fault) {
+// injectFault injects faults into all engines.
+func (r *testDaemon) injectFault(faults ...fault.Fault) {
 	for _, e := range r.engines {
 		for _, f := range faults {
 			is.New(r.t).NoErr(e.Fault(f))
@@ -138,8 +138,9 @@
 	}
 }
 
-// dispatches sums what the engines read, and the most of one request.
-func (r *rig) dispatches() (sum, most int) {
+// dispatches returns the number of requests that the engines read, and the largest number for one
+// request ID.
+func (r *testDaemon) dispatches() (sum, most int) {
 	for _, e := range r.engines {
 		for _, n := range e.Counts().Dispatches {
 			sum += n
@@ -149,7 +150,7 @@
 	return sum, most
 }
 
-func (r *rig) isWhole(got result, tokens int) {
+func (r *testDaemon) assertComplete(got result, tokens int) {
 	r.t.Helper()
 	is := is.New(r.t)
 	is.NoErr(got.err)
@@ -159,19 +160,19 @@
 	for n := 1; n <= tokens+1; n++ {
 		is.Equal(strings.Count(got.text, fmt.Sprintf("id: %d\n", n)), 1) // no gap and no overlap
 	}
-	is.Equal(strings.Count(got.text, got.header.Get("Fireflypath-Request")), tokens) // nobody else's events
+	is.Equal(strings.Count(got.text, got.header.Get("Fireflypath-Request")), tokens) // no events of other requests
 }
 
-// A target dies or closes its port while the daemon has work for it. Nothing
-// of the work was sent there, so callers notice nothing: it goes elsewhere.
+// A target dies or closes its port while the daemon has work for it. Nothing of the work was sent, so
+// it goes to another target and callers notice nothing.
 func TestTargetDeadBeforeDispatch(t *testing.T) {
 	for _, name := range []fault.Name{fault.Die, fault.Refuse} {
 		t.Run(string(name), func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, setup{engines: 2})
+			r := newTestDaemon(t, options{engines: 2})
 			is.NoErr(r.engines[0].Fault(fault.Fault{Name: name}))
 			for range 5 {
-				r.isWhole(r.stream(3), 3)
+				r.assertComplete(r.stream(3), 3)
 			}
 			is.Equal(len(r.engines[0].Counts().Runs), 0)
 			sum, most := r.dispatches()
@@ -181,9 +182,9 @@
 	}
 }
 
-// A connection breaks, an answer is cut or comes under another request's id,
-// while the target still holds the answer. The caller reads all of its own
-// answer once, and the target is sent the work once.
+// A connection breaks, or an answer is cut off or carries another request's ID, while the target
+// still holds the answer. The caller must receive its whole answer exactly once, and the target must
+// receive the work only once.
 func TestAnswerResumed(t *testing.T) {
 	for _, f := range []fault.Fault{
 		{Name: fault.Break, After: 2, Count: 1},
@@ -192,9 +193,9 @@
 	} {
 		t.Run(string(f.Name), func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, setup{})
-			r.fault(f)
-			r.isWhole(r.stream(5), 5)
+			r := newTestDaemon(t, options{})
+			r.injectFault(f)
+			r.assertComplete(r.stream(5), 5)
 			sum, _ := r.dispatches()
 			is.Equal(sum, 1)
 			is.Equal(r.engines[0].Counts().Resumes, 1)
@@ -203,15 +204,14 @@
 	}
 }
 
-// The target forgets an answer that broke off, as one does that died. What the
-// caller has got is not whole, so it must see a cut and read that the request
-// may have run.
+// The target no longer holds an answer that broke off, like a target that died. The caller must see
+// that its answer is incomplete and be told that the request may have run.
 func TestAnswerLost(t *testing.T) {
 	for _, name := range []fault.Name{fault.Break, fault.Truncate} {
 		t.Run(string(name), func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, setup{})
-			r.fault(fault.Fault{Name: name, After: 2, Count: 1}, fault.Fault{Name: fault.Forget})
+			r := newTestDaemon(t, options{})
+			r.injectFault(fault.Fault{Name: name, After: 2, Count: 1}, fault.Fault{Name: fault.Forget})
 			got := r.stream(5)
 			is.True(got.err != nil) // the connection ends without the final chunk
 			is.True(!strings.Contains(got.text, "[DONE]"))
@@ -223,15 +223,15 @@
 	}
 }
 
-// A target reads a request and closes the connection. Client libraries send
-// such a request again by themselves; the target may have run it, so by the
-// target's own count it must come once, also on a kept connection.
-func TestTargetReadsAndCloses(t *testing.T) {
+// A target reads a request and closes the connection. HTTP client libraries retry such a request on
+// their own, but the target may have run it. The target must therefore receive it only once, also on
+// a reused connection.
+func TestTargetClosesAfterReading(t *testing.T) {
 	t.Run("engine", func(t *testing.T) {
 		is := is.New(t)
-		r := newRig(t, setup{})
-		r.isWhole(r.stream(1), 1)
-		r.fault(fault.Fault{Name: fault.ReadClose, Count: 1})
+		r := newTestDaemon(t, options{})
+		r.assertComplete(r.stream(1), 1)
+		r.injectFault(fault.Fault{Name: fault.ReadClose, Count: 1})
 		got := r.stream(1)
 		is.Equal(got.status, http.StatusBadGateway)
 		is.True(strings.Contains(got.text, `"run":"unknown"`))
@@ -242,7 +242,7 @@
 	for _, method := range []string{http.MethodGet, http.MethodPut, http.MethodPost} {
 		t.Run("service "+method, func(t *testing.T) {
 			is := is.New(t)
-			r := newRig(t, setup{})
+			r := newTestDaemon(t, options{})
 			is.Equal(r.post("/services/packets/a", "x").status, http.StatusOK)
 			is.NoErr(r.services[0].Fault(fault.Fault{Name: fault.ReadClose}))
 			req := r.request(t.Context(), "/services/packets/a", "x")
@@ -259,47 +259,46 @@
 	}
 }
 
-// Something between daemon and target loses track of open connections: they
-// stay open and bring nothing, new ones work. The caller gets the rest of its
-// answer over a new one.
-func TestConnectionGoesSilent(t *testing.T) {
+// A network device between daemon and target loses the state of open connections. They stay open but
+// carry no data; new connections work. The caller must get the rest of its answer over a new one.
+func TestSilentConnection(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{engine: engine.Config{Decode: 40}, silence: 150 * time.Millisecond})
+	r := newTestDaemon(t, options{engine: engine.Config{Decode: 40}, silence: 150 * time.Millisecond})
 	resp, err := http.DefaultClient.Do(r.request(t.Context(), "/v1/completions", completion(8)))
 	is.NoErr(err)
 	defer resp.Body.Close()
 	body := bufio.NewReader(resp.Body)
 	head, err := body.ReadString('}')
 	is.NoErr(err)
-	r.fault(fault.Fault{Name: fault.Silent})
+	r.injectFault(fault.Fault{Name: fault.Silent})
 	rest, err := io.ReadAll(body)
-	r.isWhole(result{status: resp.StatusCode, header: resp.Header, text: head + string(rest), err: err}, 8)
+	r.assertComplete(result{status: resp.StatusCode, header: resp.Header, text: head + string(rest), err: err}, 8)
 	sum, _ := r.dispatches()
 	is.Equal(sum, 1)
 }
 
-// The same before the first token: the work waits in the engine's queue for
-// longer than a connection may be silent, and then the connection is lost.
-func TestConnectionGoesSilentBeforeTheAnswer(t *testing.T) {
+// As above, but before the first token: the work waits in the engine's queue for longer than a
+// connection may be silent, and the connection is lost meanwhile.
+func TestSilentConnectionBeforeAnswer(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{engine: engine.Config{Prefill: 4}, silence: 100 * time.Millisecond})
+	r := newTestDaemon(t, options{engine: engine.Config{Prefill: 4}, silence: 100 * time.Millisecond})
 	got := make(chan result, 1)
 	go func() { got <- r.stream(3) }()
 	for sum, _ := r.dispatches(); sum == 0; sum, _ = r.dispatches() {
 		runtime.Gosched()
 	}
-	r.fault(fault.Fault{Name: fault.Silent})
-	r.isWhole(<-got, 3)
+	r.injectFault(fault.Fault{Name: fault.Silent})
+	r.assertComplete(<-got, 3)
 	sum, _ := r.dispatches()
 	is.Equal(sum, 1)
 	is.True((<-r.records).Resumes > 0)
 }
 
-// A plain service's connection goes silent. Its answer cannot be asked for
-// again, so after a longer wait the caller reads that the call may have run.
-func TestServiceGoesSilent(t *testing.T) {
+// The connection to a plain service goes silent. Its answer cannot be requested again, so after a
+// longer timeout the caller is told that the call may have run.
+func TestSilentService(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{service: service.Config{Delay: time.Minute}, silence: 20 * time.Millisecond})
+	r := newTestDaemon(t, options{service: service.Config{Delay: time.Minute}, silence: 20 * time.Millisecond})
 	got := make(chan result, 1)
 	go func() { got <- r.post("/services/packets/a", "x") }()
 	for len(r.services[0].Counts().Runs) == 0 {
@@ -312,11 +311,11 @@
 	is.Equal(len(r.services[0].Counts().Dispatches), 1)
 }
 
-// A caller leaves while a service works on a call that may not be repeated.
-// Cut off, nobody would know whether it was made; it runs to its end.
+// A caller leaves while a service processes a call that must not be repeated. If it were cancelled,
+// nobody would know whether it took effect, so it runs to completion.
 func TestCallerLeavesWhileServiceRuns(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{service: service.Config{Delay: 200 * time.Millisecond}})
+	r := newTestDaemon(t, options{service: service.Config{Delay: 200 * time.Millisecond}})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := r.background(r.request(ctx, "/services/packets/a", "x"))
 	for len(r.services[0].Counts().Runs) == 0 {
@@ -327,12 +326,12 @@
 	is.Equal((<-r.records).State, "answered")
 }
 
-// An answer for a caller that wants no stream breaks off on the way. The rest
-// is read on a new connection, and the caller gets one whole text.
-func TestWholeAnswerResumed(t *testing.T) {
+// An answer for a caller that did not ask for a stream breaks off. The rest is read on a new
+// connection, and the caller receives one complete text.
+func TestCompleteAnswerResumed(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{})
-	r.fault(fault.Fault{Name: fault.Break, After: 2, Count: 1})
+	r := newTestDaemon(t, options{})
+	r.injectFault(fault.Fault{Name: fault.Break, After: 2, Count: 1})
 	got := r.post("/v1/chat/completions", `{"model":"m","messages":[{"role":"user","content":"hello"}],"max_tokens":5}`)
 	is.Equal(got.status, http.StatusOK)
 	var m struct {
@@ -342,26 +341,26 @@
 	is.Equal(m.Choices[0].Message.Content, engine.Text("hello", 5))
 }
 
-// A target needs longer than the caller's deadline. After the dispatch the
-// work is done anyway, so the caller still gets its whole answer.
+// A target needs longer than the caller's deadline. After the dispatch the work is done in any case,
+// so the caller still receives its complete answer.
 func TestLateAnswerIsDelivered(t *testing.T) {
-	r := newRig(t, setup{engine: engine.Config{Decode: 20}})
+	r := newTestDaemon(t, options{engine: engine.Config{Decode: 20}})
 	got := r.post("/v1/completions", completion(8), "Fireflypath-Deadline", "330ms")
-	r.isWhole(got, 8)
+	r.assertComplete(got, 8)
 }
 
-// A caller hangs up while its request waits. Nobody will read the answer, so
-// no target may be given the work.
+// A caller disconnects while its request waits. Nobody will read the answer, so the work must not be
+// sent to a target.
 func TestCallerLeavesWhileWaiting(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{engine: engine.Config{Decode: 10, Batch: 1}, window: 1})
+	r := newTestDaemon(t, options{engine: engine.Config{Decode: 10, Batch: 1}, window: 1})
 	first, err := http.DefaultClient.Do(r.request(t.Context(), "/v1/completions", completion(20)))
 	is.NoErr(err)
 	defer first.Body.Close()
 
 	ctx, cancel := context.WithCancel(t.Context())
 	done := r.background(r.request(ctx, "/v1/completions", completion(1)))
-	r.untilOneWaits()
+	r.awaitWaitingRequest()
 	cancel()
 	is.True(<-done != nil)
 	rec := <-r.records
@@ -370,8 +369,8 @@
 	is.Equal(r.engines[0].Counts().Dispatches[rec.ID], 0)
 }
 
-// background sends a request whose answer is of no interest.
-func (r *rig) background(req *http.Request) <-chan error {
+// background sends a request in the background and ignores its answer.
+func (r *testDaemon) background(req *http.Request) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		resp, err := http.DefaultClient.Do(req)
@@ -383,8 +382,8 @@
 	return done
 }
 
-// untilOneWaits blocks until one request waits for engines.
-func (r *rig) untilOneWaits() {
+// awaitWaitingRequest blocks until one request waits in the pool of engines.
+func (r *testDaemon) awaitWaitingRequest() {
 	for r.t.Context().Err() == nil {
 		for _, d := range r.Demands() {
 			sum := 0
@@ -399,11 +398,11 @@
 	}
 }
 
-// A caller hangs up while its answer is generated. Going on would take the
-// place of work that somebody waits for, so the engine is told to stop.
+// A caller disconnects while its answer is generated. The engine must be told to stop, because
+// otherwise the work would occupy capacity that waiting requests need.
 func TestCallerLeavesWhileRunning(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{engine: engine.Config{Decode: 20}})
+	r := newTestDaemon(t, options{engine: engine.Config{Decode: 20}})
 	ctx, cancel := context.WithCancel(t.Context())
 	resp, err := http.DefaultClient.Do(r.request(ctx, "/v1/completions", completion(200)))
 	is.NoErr(err)
@@ -415,11 +414,11 @@
 	is.Equal(r.engines[0].Counts().Cancels, 1)
 }
 
-// A target that is told to leave refuses new work. The refusal is passed on as
-// not run, and further requests are not sent there.
+// A target that is leaving refuses new work. The caller must receive the refusal as not run, and no
+// further requests may be sent to that target.
 func TestTargetRefuses(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{engines: 2})
+	r := newTestDaemon(t, options{engines: 2})
 	is.NoErr(r.engines[0].Fault(fault.Fault{Name: fault.Draining}))
 	refused := 0
 	for range 6 {
@@ -430,20 +429,19 @@
 			is.True(got.header.Get("Retry-After") != "")
 			continue
 		}
-		r.isWhole(got, 1)
+		r.assertComplete(got, 1)
 	}
 	is.True(refused <= 1)
 	is.Equal(len(r.engines[0].Counts().Dispatches), refused)
 	is.Equal(len(r.engines[0].Counts().Runs), 0)
 }
 
-// A caller sends a delivery, its daemon dies, and it retries with the same key
-// at another daemon. Whatever became of the first try, the delivery must not
-// be made twice; the caller reads that it may have run.
+// A caller sends a request with an idempotency key, its daemon dies, and it retries at another daemon
+// with the same key. The request must not run twice; the caller is told that it may have run.
 func TestKeyedCallRetriedAtAnotherDaemon(t *testing.T) {
 	is := is.New(t)
 	store := testkit.NewMapStore(clockwork.NewRealClock())
-	first := newRig(t, setup{deps: daemon.Deps{Store: store}, service: service.Config{Delay: time.Minute}})
+	first := newTestDaemon(t, options{deps: daemon.Deps{Store: store}, service: service.Config{Delay: time.Minute}})
 	done := first.background(first.request(t.Context(), "/services/packets/a", "x", "Idempotency-Key", "k"))
 	for len(first.services[0].Counts().Keys) == 0 {
 		runtime.Gosched()
@@ -451,18 +449,18 @@
 	first.Kill()
 	is.True(<-done != nil)
 
-	second := newRig(t, setup{deps: daemon.Deps{Store: store}})
+	second := newTestDaemon(t, options{deps: daemon.Deps{Store: store}})
 	got := second.post("/services/packets/a", "x", "Idempotency-Key", "k")
 	is.Equal(got.status, http.StatusConflict)
 	is.True(strings.Contains(got.text, `"run":"unknown"`))
 	is.Equal(len(second.services[0].Counts().Runs), 0)
 }
 
-// A target refuses a keyed delivery as not run. The key must be free again, or
-// the caller's retry would be refused although nothing was delivered.
-func TestKeyFreeAfterRefusal(t *testing.T) {
+// A target refuses a request with an idempotency key as not run. The key must be released, or the
+// caller's retry would be refused although nothing ran.
+func TestKeyReleasedAfterRefusal(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{})
+	r := newTestDaemon(t, options{})
 	is.NoErr(r.services[0].Fault(fault.Fault{Name: fault.NotRun, Count: 1}))
 	got := r.post("/services/packets/a", "x", "Idempotency-Key", "k")
 	is.Equal(got.status, http.StatusServiceUnavailable)
@@ -472,9 +470,9 @@
 	is.Equal(r.services[0].Counts().Keys["k"], 1)
 }
 
-// A service writes its answer bit by bit. Held back until the end, a caller
-// that follows a long export would take the connection for dead.
-func TestServicePiecesAreNotHeldBack(t *testing.T) {
+// A service writes its answer in pieces. If the daemon buffered the answer until its end, a caller
+// that reads a long export would take the connection for dead.
+func TestServiceChunksAreNotBuffered(t *testing.T) {
 	is := is.New(t)
 	read := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -489,7 +487,7 @@
 	is.NoErr(err)
 	is.NoErr(d.Start(t.Context()))
 	defer d.Kill()
-	r := &rig{t: t, Daemon: d}
+	r := &testDaemon{t: t, Daemon: d}
 	resp, err := http.DefaultClient.Do(r.request(t.Context(), "/services/packets/a", ""))
 	is.NoErr(err)
 	defer resp.Body.Close()
@@ -503,11 +501,11 @@
 	is.Equal(string(rest), "second\n")
 }
 
-// Two programs of a team send the same delivery at the same moment. One is
-// made; the other caller reads who holds the key.
-func TestTwoCallersWithOneKey(t *testing.T) {
+// Two programs of a team send the same request with the same key concurrently. One runs; the other
+// caller is told which request holds the key.
+func TestConcurrentCallersWithSameKey(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{})
+	r := newTestDaemon(t, options{})
 	answers := make(chan result, 2)
 	for range 2 {
 		go func() { answers <- r.post("/services/packets/a", "x", "Idempotency-Key", "k") }()
--- a/internal/daemon/gated.go
+++ b/internal/daemon/gate.go
@@ -18,7 +18,7 @@
 	"github.com/fireflypath/fireflypath/internal/dispatch"
 	"github.com/fireflypath/fireflypath/internal/follow"
 	"github.com/fireflypath/fireflypath/internal/gate"
-	ceilings "github.com/fireflypath/fireflypath/internal/gate/limits"
+	gatelimits "github.com/fireflypath/fireflypath/internal/gate/limits"
 	"github.com/fireflypath/fireflypath/internal/http1"
 	"github.com/fireflypath/fireflypath/internal/quarantine"
 	"github.com/fireflypath/fireflypath/internal/route/pool"
@@ -27,35 +27,37 @@
 )
 
 const (
-	// viewMargin is kept from the bound on revoked keys: what a request takes
-	// from the caller to here, and the steps of the clock.
-	viewMargin = 400 * time.Millisecond
-	// forcePart is the part of the time for a change to be in force by which a
-	// view may be old and still tell that something is unknown.
-	forcePart = 0.9
-	// sweepEvery is how often unused connections to targets are looked through.
-	sweepEvery = 2 * time.Second
-	// startDaemons is how many daemons are taken to share limits before any was heard.
-	startDaemons = 8
-	// collectPercent lets the heap grow by half between two collections. On small
-	// hosts memory is dearer than the collector's time: live data are a few MB.
-	collectPercent = 50
+	// viewAgeMargin is subtracted from the time within which revoked keys must stop working.
+	// It covers the time of a request from the caller to this daemon, and steps of the clock.
+	viewAgeMargin = 400 * time.Millisecond
+	// notFoundViewAgeFraction is the maximum age of a view that is used to answer that
+	// something does not exist, as a fraction of the time within which a change must be in
+	// force.
+	notFoundViewAgeFraction = 0.9
+	// sweepInterval is how often unused connections to targets are closed.
+	sweepInterval = 2 * time.Second
+	// initialDaemonCount is the number of daemons that are assumed to share limits before any
+	// peer has reported.
+	initialDaemonCount = 8
+	// gcPercent lets the heap grow by half between two garbage collections. On small hosts
+	// memory is scarcer than CPU time for the collector, because live data are a few MB.
+	gcPercent = 50
 )
 
-// gatedSteps are the start steps of a daemon that serves the routes of the
-// platform's configuration.
+// gatedSteps returns the start steps of a daemon that serves the routes of the platform's
+// configuration.
 func gatedSteps() []step {
 	return []step{
-		basics{},
+		defaults{},
 		metrics{},
-		collector{},
+		garbageCollector{},
 		storeClient{},
 		peers{},
-		held{},
-		followed{},
+		quarantineStep{},
+		directoryStep{},
 		gatedScheduling{},
 		records{},
-		theGate{},
+		gateStep{},
 		gatedMembership{},
 		operators{},
 		operatorEndpoint{},
@@ -65,19 +67,19 @@
 	}
 }
 
-// collector sets when the collector runs.
-type collector struct{}
+// garbageCollector configures the garbage collector.
+type garbageCollector struct{}
 
-func (collector) String() string { return "collector" }
+func (garbageCollector) String() string { return "collector" }
 
-func (collector) Run(context.Context, *Daemon) error {
-	debug.SetGCPercent(collectPercent)
+func (garbageCollector) Run(context.Context, *Daemon) error {
+	debug.SetGCPercent(gcPercent)
 	return nil
 }
 
-func (collector) Stop(context.Context, *Daemon) error { return nil }
+func (garbageCollector) Stop(context.Context, *Daemon) error { return nil }
 
-// storeClient connects the platform's store.
+// storeClient creates the client of the platform's store.
 type storeClient struct{}
 
 func (storeClient) String() string { return "store client" }
@@ -98,15 +100,15 @@
 
 func (storeClient) Stop(context.Context, *Daemon) error { return nil }
 
-// followed is the configuration and the targets that the store holds.
-type followed struct{}
+// directoryStep follows the configuration and the targets in the store.
+type directoryStep struct{}
 
-func (followed) String() string { return "directory" }
+func (directoryStep) String() string { return "directory" }
 
-func (followed) Run(_ context.Context, d *Daemon) error {
+func (directoryStep) Run(_ context.Context, d *Daemon) error {
 	feed, ok := d.deps.Store.(fireflypath.Feed)
 	if !ok {
-		return errors.New("the store cannot be followed")
+		return errors.New("the store does not support following changes")
 	}
 	var relay *follow.Feed
 	if d.members != nil {
@@ -121,13 +123,13 @@
 		relay.Serve(d.directory)
 	}
 	d.deps.Configs = d.directory
-	d.work.Go(func() { _ = d.directory.Run(d.ctx) })
+	d.background.Go(func() { _ = d.directory.Run(d.ctx) })
 	return nil
 }
 
-func (followed) Stop(context.Context, *Daemon) error { return nil }
+func (directoryStep) Stop(context.Context, *Daemon) error { return nil }
 
-// gatedScheduling makes the pools, whose targets tell how many slots they have.
+// gatedScheduling creates the pools. Their targets report the number of their slots.
 type gatedScheduling struct{}
 
 func (gatedScheduling) String() string { return "scheduling" }
@@ -135,7 +137,7 @@
 func (gatedScheduling) Run(_ context.Context, d *Daemon) error {
 	waiting := d.cfg.Limits.Waiting
 	if waiting == 0 {
-		waiting = defaultWaiting
+		waiting = defaultMaxWaitingBytes
 	}
 	if d.deps.Scheduler == nil {
 		d.deps.Scheduler = d.gatedScheduler
@@ -143,41 +145,41 @@
 	d.pools = pools.New(d.deps.Clock, nil, d.deps.Scheduler)
 	d.pools.SetMaxWaitingBytes(waiting)
 	if d.members != nil {
-		d.dispatch = dispatch.New(d.cfg.Name, d.peers, d.members, d.deps.Clock, d.scope, d.deps.Log, d.shared)
-		d.pools.OnCreate(d.place)
-		d.work.Go(d.followTargets)
+		d.dispatch = dispatch.New(d.cfg.Name, d.peers, d.members, d.deps.Clock, d.scope, d.deps.Log, d.dispatcherScheduler)
+		d.pools.OnCreate(d.addToDispatcher)
+		d.background.Go(d.updateDispatcher)
 	}
 	d.pools.Apply(d.deps.Configs.Current())
-	d.work.Go(func() { d.pools.Follow(d.ctx, d.deps.Configs) })
+	d.background.Go(func() { d.pools.Follow(d.ctx, d.deps.Configs) })
 	return nil
 }
 
-// gatedScheduler decides about a pool's work. That of model engines is placed by one
-// daemon for all of a group; plain services are quick, so that what one daemon sees
-// of them is enough.
+// gatedScheduler returns the scheduler of a pool. The work of model engines is placed by one daemon
+// for the whole group. Requests to plain services are short, so for them one daemon's own view of
+// the targets is enough.
 func (d *Daemon) gatedScheduler(p fireflypath.Pool) fireflypath.Scheduler {
-	seed, tune := xxhash.Sum64String(d.cfg.Name+"/"+p.Name), slots.StandaloneTuning()
+	seed, tuning := xxhash.Sum64String(d.cfg.Name+"/"+p.Name), slots.StandaloneTuning()
 	if p.Kind != fireflypath.KindEngine || d.members == nil {
-		return slots.New(p, seed, tune)
+		return slots.New(p, seed, tuning)
 	}
-	tune.UseTargetReports = true
-	return remote.New(slots.New(p, seed, tune))
+	tuning.UseTargetReports = true
+	return remote.New(slots.New(p, seed, tuning))
 }
 
-// shared decides for all daemons of a group.
-func (d *Daemon) shared(p fireflypath.Pool) dispatcher.Scheduler {
+// dispatcherScheduler returns the scheduler that the dispatcher uses for all daemons of a group.
+func (d *Daemon) dispatcherScheduler(p fireflypath.Pool) dispatcher.Scheduler {
 	return slots.New(p, xxhash.Sum64String(p.Name), slots.DispatcherTuning())
 }
 
-// place has the dispatcher place the work of pools that have one.
-func (d *Daemon) place(cfg fireflypath.Pool, p *pool.Pool, s fireflypath.Scheduler) {
+// addToDispatcher has the dispatcher place the work of a pool whose scheduler is remote.
+func (d *Daemon) addToDispatcher(cfg fireflypath.Pool, p *pool.Pool, s fireflypath.Scheduler) {
 	if r, ok := s.(*remote.Scheduler); ok {
 		d.dispatch.AddPool(p, cfg, r)
 	}
 }
 
-// followTargets tells the dispatcher of the targets.
-func (d *Daemon) followTargets() {
+// updateDispatcher applies each new configuration to the dispatcher.
+func (d *Daemon) updateDispatcher() {
 	for {
 		cfg := d.deps.Configs.Current()
 		d.dispatch.Apply(cfg)
@@ -190,44 +192,44 @@
 }
 
 func (gatedScheduling) Stop(_ context.Context, d *Daemon) error {
-	d.pools.Stop(stopping)
+	d.pools.Stop(stopRefusal)
 	if d.dispatch != nil {
 		d.dispatch.Close()
 	}
 	return nil
 }
 
-// theGate puts the steps of a request together.
-type theGate struct{}
+// gateStep creates the gate, which handles the requests of callers.
+type gateStep struct{}
 
-func (theGate) String() string { return "gate" }
+func (gateStep) String() string { return "gate" }
 
-func (theGate) Run(_ context.Context, d *Daemon) error {
+func (gateStep) Run(_ context.Context, d *Daemon) error {
 	g := d.cfg.Gate
-	d.limits = ceilings.New(ceilings.Config{
+	d.limits = gatelimits.New(gatelimits.Config{
 		Ratio: g.Retries.Ratio, Window: g.Retries.Window.Std(), Allowance: g.Retries.Allowance,
-		Quotas: d.tolerance(),
-	}, startDaemons, 1.0/startDaemons)
-	d.targets = http1.New(d.deps.Clock, d.deps.Codec.Headers().ID)
+		Quotas: d.quotaTolerance(),
+	}, initialDaemonCount, 1.0/initialDaemonCount)
+	d.targetClient = http1.New(d.deps.Clock, d.deps.Codec.Headers().ID)
 	deps := gate.Deps{
 		Clock: d.deps.Clock, Codec: d.deps.Codec, Configs: d.deps.Configs, Freshness: d.directory,
-		Pools: d.pools, Client: d.targets, Limits: d.limits, Recorder: d.deps.Recorder,
+		Pools: d.pools, Client: d.targetClient, Limits: d.limits, Recorder: d.deps.Recorder,
 		Scope: d.scope, Log: d.deps.Log,
-		MaxKeyViewAge:      g.Revoked.Std() - viewMargin,
-		MaxNotFoundViewAge: time.Duration(forcePart * float64(g.Force)),
+		MaxKeyViewAge:      g.Revoked.Std() - viewAgeMargin,
+		MaxNotFoundViewAge: time.Duration(notFoundViewAgeFraction * float64(g.Force)),
 	}
 	if d.quarantine != nil {
 		deps.Quarantine = d.quarantine
-		d.work.Go(func() { _ = d.quarantine.Run(d.ctx) })
+		d.background.Go(func() { _ = d.quarantine.Run(d.ctx) })
 	}
 	d.gate = gate.New(deps)
-	d.work.Go(d.sweep)
-	d.work.Go(d.followQuotas)
+	d.background.Go(d.sweepConnections)
+	d.background.Go(d.updateQuotas)
 	return nil
 }
 
-// followQuotas makes the teams' buckets as the configuration says.
-func (d *Daemon) followQuotas() {
+// updateQuotas applies each new configuration to the teams' quotas.
+func (d *Daemon) updateQuotas() {
 	for {
 		cfg := d.deps.Configs.Current()
 		d.limits.Apply(d.deps.Clock.Now(), cfg)
@@ -239,17 +241,17 @@
 	}
 }
 
-func (theGate) Stop(context.Context, *Daemon) error { return nil }
+func (gateStep) Stop(context.Context, *Daemon) error { return nil }
 
-// tolerance is how far quotas may be exceeded.
-func (d *Daemon) tolerance() quota.Tolerance {
+// quotaTolerance returns how far quotas may be exceeded.
+func (d *Daemon) quotaTolerance() quota.Tolerance {
 	t := d.cfg.Gate.Quotas
 	return quota.Tolerance{Over: t.Over, Slack: t.Slack, Window: t.Window.Std()}
 }
 
-// sweep closes connections to targets that are no longer used.
-func (d *Daemon) sweep() {
-	t := d.deps.Clock.NewTicker(sweepEvery)
+// sweepConnections closes connections to targets that are no longer used.
+func (d *Daemon) sweepConnections() {
+	t := d.deps.Clock.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -257,18 +259,18 @@
 			return
 		case <-t.Chan():
 		}
-		d.targets.Sweep(d.deps.Configs.Current().Targets)
+		d.targetClient.Sweep(d.deps.Configs.Current().Targets)
 	}
 }
 
-// gatedReadiness is the last thing up and the first down.
+// gatedReadiness marks the daemon as ready. It is the last step to start and the first to stop.
 type gatedReadiness struct{}
 
 func (gatedReadiness) String() string { return "readiness" }
 
 func (gatedReadiness) Run(_ context.Context, d *Daemon) error {
 	if d.members != nil {
-		d.members.SetAddresses(d.entryAddr, d.OperatorAddr())
+		d.members.SetAddresses(d.gateAddr, d.OperatorAddr())
 	}
 	d.ready.Store(true)
 	return nil
--- a/internal/daemon/input_test.go
+++ b/internal/daemon/input_test.go
@@ -14,10 +14,10 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// Callers send what cannot be served. Each reads what is wrong with it, with
-// "not run", and no target is bothered.
-func TestBadInput(t *testing.T) {
-	r := newRig(t, setup{body: 1 << 10, header: 2 << 10})
+// Callers send invalid requests. Each must receive the reason with "not run", and no target may
+// receive anything.
+func TestInvalidInput(t *testing.T) {
+	r := newTestDaemon(t, options{body: 1 << 10, header: 2 << 10})
 	auth := "Authorization: Bearer " + testkit.Token + "\r\n"
 	call := func(header, body string) string {
 		return fmt.Sprintf("POST /v1/completions HTTP/1.1\r\nHost: x\r\n%sContent-Length: %d\r\n\r\n%s", header, len(body), body)
@@ -58,7 +58,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			got := r.raw(tt.raw)
+			got := r.sendRaw(tt.raw)
 			is.Equal(got.status, tt.status)
 			is.True(strings.Contains(got.text, `"code":"`+tt.code+`"`))
 			is.True(strings.Contains(got.text, `"run":"no"`))
@@ -69,8 +69,8 @@
 	is.Equal(len(r.services[0].Counts().Dispatches), 0)
 }
 
-// raw sends bytes on a connection of their own and reads one answer.
-func (r *rig) raw(text string) result {
+// sendRaw sends bytes on a new connection and reads one answer.
+func (r *testDaemon) sendRaw(text string) result {
 	is := is.New(r.t)
 	c, err := net.Dial("tcp", r.CallerAddr())
 	is.NoErr(err)
@@ -79,14 +79,14 @@
 	is.NoErr(err)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	is.NoErr(err)
-	return read(resp)
+	return readResult(resp)
 }
 
-// More callers connect than the daemon has memory for. Those above the limit
-// are told so at once; a connection that is just dropped looks like a fault.
+// More callers connect than the daemon has memory for. Those above the limit must receive a refusal
+// immediately, because a connection that is just closed looks like a fault.
 func TestTooManyConnections(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{connections: 1})
+	r := newTestDaemon(t, options{connections: 1})
 	first, err := net.Dial("tcp", r.CallerAddr())
 	is.NoErr(err)
 	defer first.Close()
@@ -94,23 +94,23 @@
 	is.NoErr(err)
 	resp, err := http.ReadResponse(bufio.NewReader(first), nil)
 	is.NoErr(err)
-	is.Equal(read(resp).status, http.StatusNotFound)
+	is.Equal(readResult(resp).status, http.StatusNotFound)
 
 	second, err := net.Dial("tcp", r.CallerAddr())
 	is.NoErr(err)
 	defer second.Close()
 	resp, err = http.ReadResponse(bufio.NewReader(second), nil)
 	is.NoErr(err)
-	got := read(resp)
+	got := readResult(resp)
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(strings.Contains(got.text, `"code":"full"`))
 }
 
-// Large requests of a low tier wait and take up all memory allowed. One of a
-// higher tier takes their place; another of the low tier is refused.
-func TestWaitingBytes(t *testing.T) {
+// Waiting large requests of a low tier use up the memory limit. A request of a higher tier displaces
+// one of them; another of the low tier is refused.
+func TestWaitingBytesLimit(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t, setup{engine: engine.Config{Decode: 10, Batch: 1}, window: 1, waiting: 2000})
+	r := newTestDaemon(t, options{engine: engine.Config{Decode: 10, Batch: 1}, window: 1, waiting: 2000})
 	running, err := http.DefaultClient.Do(r.request(t.Context(), "/v1/completions", completion(1000)))
 	is.NoErr(err)
 	defer running.Body.Close()
@@ -118,7 +118,7 @@
 	large := `{"model":"m","stream":true,"max_tokens":1,"prompt":"` + strings.Repeat("x", 1500) + `"}`
 	low := make(chan result, 1)
 	go func() { low <- r.post("/v1/completions", large, "Fireflypath-Tier", "bronze") }()
-	r.untilOneWaits()
+	r.awaitWaitingRequest()
 	got := r.post("/v1/completions", large, "Fireflypath-Tier", "bronze")
 	is.Equal(got.status, http.StatusServiceUnavailable)
 	is.True(strings.Contains(got.text, `"code":"full"`))
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -10,21 +10,22 @@
 	"github.com/fireflypath/fireflypath/internal/route/pools"
 )
 
-// limits lets the exchange split the limits of rules like windows of pools.
-type limits struct {
+// sharedLimits lets the exchange split the limits of rules between daemons in the same way as the
+// windows of pools.
+type sharedLimits struct {
 	*pools.Pools
 	rules   *rules.Rules
 	configs fireflypath.Configs
 	clock   clockwork.Clock
 }
 
-// Demands are those of pools and of limits.
-func (l *limits) Demands() []fireflypath.Demand {
+// Demands returns the demands of pools and of rule limits.
+func (l *sharedLimits) Demands() []fireflypath.Demand {
 	return append(l.Pools.Demands(), l.rules.Demands(l.clock.Now(), l.configs.Current())...)
 }
 
-// ApplyShare puts a part of a pool or a limit in force.
-func (l *limits) ApplyShare(name string, s fireflypath.Share) {
+// ApplyShare applies a share of a pool or of a rule limit.
+func (l *sharedLimits) ApplyShare(name string, s fireflypath.Share) {
 	cfg := l.configs.Current()
 	pool := slices.ContainsFunc(cfg.Pools, func(p fireflypath.Pool) bool { return p.Name == name })
 	if rule, ok := rules.RuleOfKey(name); ok && !pool {
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -17,10 +17,10 @@
 func (f fixedConfig) Current() *fireflypath.Config   { return f.Config }
 func (f fixedConfig) Changed(uint64) <-chan struct{} { return nil }
 
-// The exchange splits limits and pools by the same means. A part of a limit
-// that does not reach the rule leaves a team at a ninth of its limit; one that
-// reaches a pool instead changes what the pool may send.
-func TestPartReachesTheRule(t *testing.T) {
+// The exchange splits rule limits and pools in the same way. If the share of a limit does not reach
+// the rule, a team keeps a ninth of its limit. If it reaches a pool instead, it changes how much the
+// pool may send.
+func TestShareAppliesToRule(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	cfg := &fireflypath.Config{
@@ -29,12 +29,12 @@
 		Rules:   []fireflypath.Rule{{Name: "ours", Act: fireflypath.RuleLimit, Limit: 100}},
 	}
 	var r rules.Rules
-	l := &limits{pools.New(clock, nil, (&Daemon{}).scheduler), &r, fixedConfig{cfg}, clock}
+	l := &sharedLimits{pools.New(clock, nil, (&Daemon{}).scheduler), &r, fixedConfig{cfg}, clock}
 	l.Apply(cfg)
 	ds := l.Demands()
 	is.Equal(len(ds), 2)
 	is.Equal(ds[1].Pool, rules.DemandKey("ours"))
-	// 100 tokens take 2 s at a half, 9 s at the even part of nine daemons.
+	// 100 tokens take 2 s at a share of one half, and 9 s at the even share among nine daemons.
 	l.ApplyShare(ds[1].Pool, fireflypath.Share{Default: 0.5})
 	w := &fireflypath.Work{Cost: fireflypath.Cost{Prompt: 100}}
 	is.True(!r.Decide(clock.Now(), cfg, 9, w).Refused)
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -12,7 +12,7 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// listen opens a listener, with TLS if files are named.
+// listen opens a listener, with TLS if files is not nil.
 func (d *Daemon) listen(addr string, files *settings.TLS) (net.Listener, error) {
 	var cfg *tls.Config
 	if files != nil {
@@ -29,9 +29,9 @@
 	return tls.NewListener(ln, cfg), nil
 }
 
-// towards is for calls to other daemons' operators' endpoints; nil means
-// without TLS, as this daemon's own is.
-func towards(files *settings.TLS) (*tls.Config, error) {
+// clientTLS returns the TLS configuration for calls to the operator endpoints of other daemons. It is
+// nil if this daemon's own endpoint does not use TLS, because all daemons are set up alike.
+func clientTLS(files *settings.TLS) (*tls.Config, error) {
 	if files == nil {
 		return nil, nil
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -11,10 +11,10 @@
 	reporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportEvery is how old a scraped figure may be; scrapes are rarer.
-const reportEvery = time.Second
+// metricsInterval is the maximum age of a scraped value. Scrapes are less frequent.
+const metricsInterval = time.Second
 
-// metrics makes the scope that all parts count in.
+// metrics creates the metrics scope and the handler for scrapes.
 type metrics struct{}
 
 func (metrics) String() string { return "metrics" }
@@ -23,19 +23,19 @@
 	reg := prometheus.NewRegistry()
 	r := reporter.NewReporter(reporter.Options{
 		Registerer: reg, Gatherer: reg,
-		// Two parts that give one name different tags would crash the process
-		// without it; the second is left out instead.
+		// Without it, two components that register one name with different labels would
+		// crash the process. With it, the second metric is dropped.
 		OnRegisterError: func(error) {},
 	})
-	d.scope, d.reports = tally.NewRootScope(tally.ScopeOptions{
+	d.scope, d.metricsCloser = tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "fireflypath", CachedReporter: r, Separator: reporter.DefaultSeparator,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
-	page := adaptor.HTTPHandler(r.HTTPHandler())
-	d.deps.Operator = append(d.deps.Operator, func(app *fiber.App) { app.Get("/metrics", page) })
+	}, metricsInterval)
+	handler := adaptor.HTTPHandler(r.HTTPHandler())
+	d.deps.OperatorRoutes = append(d.deps.OperatorRoutes, func(app *fiber.App) { app.Get("/metrics", handler) })
 	return nil
 }
 
 func (metrics) Stop(ctx context.Context, d *Daemon) error {
-	return d.reports.Close()
+	return d.metricsCloser.Close()
 }
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -13,13 +13,13 @@
 	"github.com/fireflypath/fireflypath/internal/record"
 )
 
-// records keeps the stories of requests.
+// records creates the recorder of finished requests.
 type records struct{}
 
 func (records) String() string { return "records" }
 
 func (records) Run(ctx context.Context, d *Daemon) error {
-	if d.deps.Recorder == nil && !d.deps.Unrecorded {
+	if d.deps.Recorder == nil && !d.deps.NoRecorder {
 		d.deps.Recorder = record.New(d.cfg.Records.Bytes)
 	}
 	return nil
@@ -27,7 +27,7 @@
 
 func (records) Stop(context.Context, *Daemon) error { return nil }
 
-// operators answers commands and queries; the operator endpoint serves it.
+// operators creates the handler of commands and queries, which operatorEndpoint serves.
 type operators struct{}
 
 func (operators) String() string { return "operators" }
@@ -35,13 +35,13 @@
 func (operators) Run(ctx context.Context, d *Daemon) error {
 	committer, members := d.deps.Committer, d.deps.Members
 	if committer == nil {
-		// Without the platform's service it refuses every change by name.
+		// Without the platform's service it refuses every change and gives the reason.
 		committer = registry.New(nil, d.cfg.Initial, d.cfg.Name, d.deps.Clock, d.scope, d.deps.Log)
 	}
 	if members == nil {
-		members = alone{d}
+		members = singleMember{d}
 	}
-	secure, err := towards(d.cfg.Listen.OperatorsTLS)
+	tlsConfig, err := clientTLS(d.cfg.Listen.OperatorsTLS)
 	if err != nil {
 		return err
 	}
@@ -52,24 +52,24 @@
 			Views: d.pools.Views, Demands: d.pools.Demands, Open: d.pools.OpenRequests, Clock: d.deps.Clock,
 		},
 		Orderer: d.deps.Orderer,
-		Forward: forward.New(secure),
+		Forward: forward.New(tlsConfig),
 		Scope:   d.scope,
 	}
 	if d.quarantine != nil {
 		deps.Quarantine = d.quarantine
 	}
 	api := operator.New(deps)
-	d.deps.Operator = append(d.deps.Operator, func(app *fiber.App) { api.Register(app) })
+	d.deps.OperatorRoutes = append(d.deps.OperatorRoutes, func(app *fiber.App) { api.Register(app) })
 	return nil
 }
 
 func (operators) Stop(context.Context, *Daemon) error { return nil }
 
-// alone is the membership of a daemon without peers.
-type alone struct{ d *Daemon }
+// singleMember implements fireflypath.Members for a daemon without peers.
+type singleMember struct{ d *Daemon }
 
-// Live is this daemon.
-func (a alone) Live() []fireflypath.Member {
+// Live returns this daemon.
+func (a singleMember) Live() []fireflypath.Member {
 	return []fireflypath.Member{{
 		Name: a.d.cfg.Name, Domain: a.d.cfg.Domain,
 		Caller: a.d.CallerAddr(), Operator: a.d.OperatorAddr(),
--- a/internal/daemon/records_test.go
+++ b/internal/daemon/records_test.go
@@ -14,8 +14,9 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// fakes are the addresses of 12 engines and 12 services that answer at once.
-func fakes(b *testing.B) (engines, services []string) {
+// startFakeTargets starts 12 engines and 12 services that answer without delay, and returns their
+// addresses.
+func startFakeTargets(b *testing.B) (engines, services []string) {
 	is := is.New(b)
 	clock := clockwork.NewRealClock()
 	for range 12 {
@@ -30,29 +31,29 @@
 	return engines, services
 }
 
-// BenchmarkRecords measures a request through a daemon over loopback sockets,
-// with records for "why" and without: the smallest call to a plain service, and
-// an answer of 64 tokens that the engine gives without delay.
+// BenchmarkRecords measures a request through a daemon over loopback sockets, with and without
+// records for the "why" query: the smallest call to a plain service, and an answer of 64 tokens that
+// the engine generates without delay.
 func BenchmarkRecords(b *testing.B) {
 	is := is.New(b)
-	engines, services := fakes(b)
+	engines, services := startFakeTargets(b)
 	for _, on := range []bool{false, true} {
-		d, err := daemon.New(testkit.Settings(testkit.Config(engines, services)), daemon.Deps{Unrecorded: !on})
+		d, err := daemon.New(testkit.Settings(testkit.Config(engines, services)), daemon.Deps{NoRecorder: !on})
 		is.NoErr(err)
 		is.NoErr(d.Start(b.Context()))
 		b.Cleanup(d.Kill)
 		var req fasthttp.Request
 		req.Header.Set("Authorization", "Bearer "+testkit.Token)
 		req.SetRequestURI("http://" + d.CallerAddr() + "/services/packets/x")
-		b.Run(fmt.Sprintf("service/records=%v", on), func(b *testing.B) { repeat(b, &req) })
+		b.Run(fmt.Sprintf("service/records=%v", on), func(b *testing.B) { benchRequest(b, &req) })
 		req.SetRequestURI("http://" + d.CallerAddr() + "/v1/completions")
 		req.Header.SetMethod("POST")
 		req.SetBodyString(`{"model":"m","prompt":"Summarise the casing log.","max_tokens":64}`)
-		b.Run(fmt.Sprintf("engine/records=%v", on), func(b *testing.B) { repeat(b, &req) })
+		b.Run(fmt.Sprintf("engine/records=%v", on), func(b *testing.B) { benchRequest(b, &req) })
 	}
 }
 
-func repeat(b *testing.B, req *fasthttp.Request) {
+func benchRequest(b *testing.B, req *fasthttp.Request) {
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		var res fasthttp.Response
--- a/internal/daemon/way.go
+++ b/internal/daemon/route.go
@@ -11,7 +11,7 @@
 	"github.com/fireflypath/fireflypath/internal/route/meter"
 )
 
-// claims keeps idempotency keys in the platform's service.
+// claims creates the claims of idempotency keys in the platform's service, or in memory without it.
 type claims struct{}
 
 func (claims) String() string { return "claims" }
@@ -30,12 +30,12 @@
 	return nil
 }
 
-// theRoute puts the request's steps together.
-type theRoute struct{}
+// routeStep creates the route, which handles the requests of callers.
+type routeStep struct{}
 
-func (theRoute) String() string { return "route" }
+func (routeStep) String() string { return "route" }
 
-func (theRoute) Run(ctx context.Context, d *Daemon) error {
+func (routeStep) Run(ctx context.Context, d *Daemon) error {
 	d.route = route.New(route.Deps{
 		Name:    d.cfg.Name,
 		Clock:   d.deps.Clock,
@@ -54,9 +54,9 @@
 		Leaving: func(target string) {
 			d.evidence.ReportLeaving(target, evidence.SourceTarget, d.deps.Clock.Now())
 		},
-		Unreachable: d.sawDead,
+		Unreachable: d.reportUnreachable,
 	})
 	return nil
 }
 
-func (theRoute) Stop(context.Context, *Daemon) error { return nil }
+func (routeStep) Stop(context.Context, *Daemon) error { return nil }
--- a/internal/daemon/scheduling.go
+++ b/internal/daemon/scheduling.go
@@ -11,11 +11,11 @@
 	"github.com/fireflypath/fireflypath/internal/route/pools"
 )
 
-// defaultWaiting is a minute of the peak's 57 requests a second and daemon at
-// 32 KB each, an eighth of a small host's memory.
-const defaultWaiting = 128 << 20
+// defaultMaxWaitingBytes fits one minute of the peak rate of 57 requests per second and daemon at
+// 32 KB each, and is an eighth of the memory of a small host.
+const defaultMaxWaitingBytes = 128 << 20
 
-// scheduling makes the pools and keeps them as the configuration says.
+// scheduling creates the pools and applies configuration changes to them.
 type scheduling struct{}
 
 func (scheduling) String() string { return "scheduling" }
@@ -26,23 +26,23 @@
 	}
 	waiting := d.cfg.Limits.Waiting
 	if waiting == 0 {
-		waiting = defaultWaiting
+		waiting = defaultMaxWaitingBytes
 	}
 	d.pools = pools.New(d.deps.Clock, d.deps.Relief, d.deps.Scheduler)
 	d.pools.SetMaxWaitingBytes(waiting)
-	d.evidence = evidence.New(d.heardLeaving, d.heardBack)
+	d.evidence = evidence.New(d.onTargetLeaving, d.onTargetStaying)
 	d.pools.Apply(d.deps.Configs.Current())
-	d.work.Go(func() { d.pools.Follow(d.ctx, d.deps.Configs) })
+	d.background.Go(func() { d.pools.Follow(d.ctx, d.deps.Configs) })
 	return nil
 }
 
-// scheduler is the shipped one. The seed differs between daemons, so that
-// equal views do not send everything to the same target.
+// scheduler returns the default scheduler of a pool. The seed differs between daemons, so that
+// daemons with the same view do not all choose the same target.
 func (d *Daemon) scheduler(p fireflypath.Pool) fireflypath.Scheduler {
 	return sched.New(sched.Config{Pool: p, Seed: xxhash.Sum64String(d.cfg.Name + "/" + p.Name)})
 }
 
 func (scheduling) Stop(ctx context.Context, d *Daemon) error {
-	d.pools.Stop(stopping)
+	d.pools.Stop(stopRefusal)
 	return nil
 }
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -16,10 +16,10 @@
 	"github.com/fireflypath/fireflypath/platform/standin"
 )
 
-// A planned stop has finished all requests, and the listener that the balancer
-// asks is still open. The process stayed until it was killed at the end of its
-// grace time, and its host served callers that much later again.
-func TestPlannedStopEndsWithTheListenerOfTheBalancer(t *testing.T) {
+// A planned stop has finished all requests while the listener for the load balancer's readiness
+// checks is still open. If Stop waits for that listener, the process lives until it is killed at the
+// end of its grace period, and its host serves callers that much later again.
+func TestPlannedStopClosesReadyListener(t *testing.T) {
 	is := is.New(t)
 	store := httptest.NewServer(standin.New())
 	defer store.Close()
@@ -37,5 +37,5 @@
 	}, daemon.Deps{Clock: clockwork.NewRealClock(), Log: zap.NewNop()})
 	is.NoErr(err)
 	is.NoErr(d.Start(t.Context()))
-	is.NoErr(d.Stop(t.Context())) // before, it never returned
+	is.NoErr(d.Stop(t.Context())) // hangs if the listener stays open
 }
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -15,8 +15,8 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// The operators' certificate is renewed while the daemon runs. The next client
-// trusts only the new one and must reach it, and one without TLS must not.
+// The operator endpoint's certificate is renewed while the daemon runs. A new client that trusts only
+// the new certificate must be able to connect, and a client without TLS must not.
 func TestOperatorsOverTLS(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
@@ -34,12 +34,12 @@
 	is.NoErr(ask(t, "https://"+d.OperatorAddr(), cert))
 	is.True(ask(t, "http://"+d.OperatorAddr(), cert) != nil)
 	testkit.Pair(t, dir, 2)
-	is.True(ask(t, "https://"+d.OperatorAddr(), cert) != nil) // still the old one
+	is.True(ask(t, "https://"+d.OperatorAddr(), cert) != nil) // the old certificate is still in use
 	clock.Advance(10 * time.Second)
 	is.NoErr(ask(t, "https://"+d.OperatorAddr(), cert))
 }
 
-// ask puts a question with a new client that trusts what the file holds.
+// ask sends a query with a new client that trusts the certificates in the file.
 func ask(t *testing.T, addr, file string) error {
 	is := is.New(t)
 	pem, err := os.ReadFile(file)
