--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,4 +1,4 @@
-// Package boottime tells how much time has gone by, the time in which the host was suspended included.
+// Package boottime provides a clock that includes the time in which the host was suspended.
 package boottime
 
 import (
@@ -7,22 +7,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time since some fixed moment. The steady clock that time.Now
-// reads stands still while a host is suspended, and the time of day jumps: by
-// either, a view of the configuration that is many seconds old could pass for
-// young, and a key that was taken away meanwhile would still work.
+// Clock returns the time since some fixed moment. The monotonic clock that time.Now reads stops while
+// a host is suspended, and the wall clock can jump. With either, a view of the configuration that is
+// many seconds old could be taken for a recent one, and a key that was revoked meanwhile would still
+// work.
 type Clock interface {
 	Elapsed() time.Duration
 }
 
-// System is the kernel's clock.
+// System is the boot-time clock of the kernel.
 type System struct{}
 
-// Elapsed is the time since the host started.
+// Elapsed returns the time since the host was booted.
 func (System) Elapsed() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Kernels since 2.6.39 have the clock; the error is for invalid arguments.
+		// Kernels since 2.6.39 have this clock; the only errors are for invalid arguments.
 		panic(err)
 	}
 	return time.Duration(ts.Nano())
