--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -34,7 +34,7 @@
 	if limit == 0 {
 		limit = defaultMaxConnections
 	}
-	d.callerListener = door.New(ln, limit, caller.Crowded)
+	d.callerListener = door.New(ln, limit, caller.RefuseConnection)
 	d.departures = departures.New(d.deps.Clock)
 	d.callerServer = caller.New(d.route, d.departures, d.cfg.Limits)
 	d.background.Go(func() { d.departures.Run(d.ctx) })
@@ -58,7 +58,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	d.deps.Log.Info("planned stop timed out", zap.Int("connections", d.callerListener.Open()))
+	d.deps.Log.Info("planned stop timed out", zap.Int("connections", d.callerListener.OpenConns()))
 	d.pools.Stop(stopRefusal)
 	d.claims.Abort()
 	select {
@@ -67,6 +67,6 @@
 	case <-d.deps.Clock.After(flushTimeout):
 	}
 	err := d.callerListener.Kill()
-	d.departures.All()
+	d.departures.DisconnectAll()
 	return err
 }
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -72,7 +72,7 @@
 	for range targets {
 		s.startTarget(t)
 	}
-	free := loopback.Free()
+	free := loopback.ListenAddr()
 	seed := freePeerPort(t)
 	for i := range daemons {
 		listen := settings.Listen{Callers: free, Ready: free, Peers: free, Operators: free}
@@ -113,7 +113,7 @@
 
 func freePeerPort(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", loopback.Free())
+	ln, err := net.Listen("tcp", loopback.ListenAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -96,11 +96,11 @@
 	engine           *engine.Engine
 	service          *service.Service
 	route            *route.Route
-	departures       *departures.Departures
+	departures       *departures.Watcher
 	callerServer     *caller.Server
-	callerListener   *door.Door
+	callerListener   *door.Listener
 	operatorApp      *fiber.App
-	operatorListener *door.Door
+	operatorListener *door.Listener
 	ready            atomic.Bool
 
 	// The fields below are set only in a daemon with a gate.
@@ -197,7 +197,7 @@
 		return
 	}
 	_ = d.callerListener.Kill()
-	d.departures.All()
+	d.departures.DisconnectAll()
 	_ = d.operatorListener.Kill()
 	if d.peers != nil {
 		d.peers.Close()
@@ -237,7 +237,7 @@
 }
 
 func listenerAddr(ln net.Listener) string {
-	if l, ok := ln.(*door.Door); ok && l == nil {
+	if l, ok := ln.(*door.Listener); ok && l == nil {
 		return ""
 	}
 	return ln.Addr().String()
--- a/internal/daemon/deadtarget_test.go
+++ b/internal/daemon/deadtarget_test.go
@@ -40,7 +40,7 @@
 func TestKilledTargetIsExcludedByAllDaemons(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
-	e, err := engine.New(engine.Config{Addr: loopback.Free()}, clock)
+	e, err := engine.New(engine.Config{Addr: loopback.ListenAddr()}, clock)
 	is.NoErr(err)
 	addr := e.Addr()
 	store := testkit.NewMapStore(clock)
@@ -50,7 +50,7 @@
 	for i := range 2 {
 		cfg := testkit.Settings(testkit.Config([]string{addr}, nil))
 		cfg.Name = fmt.Sprint("d", i)
-		cfg.Listen.Peers, cfg.Peers = loopback.Free(), settings.Peers{Plain: true}
+		cfg.Listen.Peers, cfg.Peers = loopback.ListenAddr(), settings.Peers{Plain: true}
 		d, err := daemon.New(cfg, daemon.Deps{Store: store, Log: targetStateLog(logged, cfg.Name)})
 		is.NoErr(err)
 		is.NoErr(d.Start(t.Context()))
--- a/internal/daemon/fault_test.go
+++ b/internal/daemon/fault_test.go
@@ -50,7 +50,7 @@
 func newTestDaemon(t *testing.T, s options) *testDaemon {
 	is := is.New(t)
 	r := &testDaemon{t: t, records: make(chan *fireflypath.Record, 1024)}
-	s.engine.Addr = loopback.Free()
+	s.engine.Addr = loopback.ListenAddr()
 	s.service.Addr = s.engine.Addr
 	var engines, services []string
 	for range max(s.engines, 1) {
