--- a/internal/daemon/deadtarget_test.go
+++ b/internal/daemon/deadtarget_test.go
@@ -50,7 +50,7 @@
 	for i := range 2 {
 		cfg := testkit.Settings(testkit.Config([]string{addr}, nil))
 		cfg.Name = fmt.Sprint("d", i)
-		cfg.Listen.Peers, cfg.Peers = loopback.ListenAddr(), settings.Peers{Plain: true}
+		cfg.Listen.Peers, cfg.Peers = loopback.ListenAddr(), settings.Peers{AllowPlaintext: true}
 		d, err := daemon.New(cfg, daemon.Deps{Store: store, Log: targetStateLog(logged, cfg.Name)})
 		is.NoErr(err)
 		is.NoErr(d.Start(t.Context()))
--- a/internal/daemon/fault_test.go
+++ b/internal/daemon/fault_test.go
@@ -71,9 +71,9 @@
 		cfg.Targets[i].Window = s.window
 	}
 	daemonSettings := testkit.Settings(cfg)
-	daemonSettings.Limits.Silence = fireflypath.Duration(s.silence)
-	daemonSettings.Stop.Notice = fireflypath.Duration(s.notice)
-	daemonSettings.Limits.Bodies = s.bodies
+	daemonSettings.Limits.IdleTimeout = fireflypath.Duration(s.silence)
+	daemonSettings.Stop.ReadinessDelay = fireflypath.Duration(s.notice)
+	daemonSettings.Limits.PendingBodies = s.bodies
 	daemonSettings.Limits.Body, daemonSettings.Limits.Header = s.body, s.header
 	daemonSettings.Limits.Connections, daemonSettings.Limits.Waiting = s.connections, s.waiting
 	s.deps.Recorder = r
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -112,7 +112,7 @@
 	}
 	var relay *follow.Feed
 	if d.members != nil {
-		relay = follow.New(d.cfg.Name, d.cfg.Domain, d.cfg.Gate.Force.Std(), feed, d.peers, d.members, d.deps.Clock, d.scope, d.deps.Log)
+		relay = follow.New(d.cfg.Name, d.cfg.Domain, d.cfg.Gate.ActivationDelay.Std(), feed, d.peers, d.members, d.deps.Clock, d.scope, d.deps.Log)
 		feed = relay
 	}
 	d.directory = directory.New(feed, d.deps.Codec, d.deps.Clock, boottime.System{}, d.scope, d.deps.Log)
@@ -215,8 +215,8 @@
 		Clock: d.deps.Clock, Codec: d.deps.Codec, Configs: d.deps.Configs, Freshness: d.directory,
 		Pools: d.pools, Client: d.targetClient, Limits: d.limits, Recorder: d.deps.Recorder,
 		Scope: d.scope, Log: d.deps.Log,
-		MaxKeyViewAge:      g.Revoked.Std() - viewAgeMargin,
-		MaxNotFoundViewAge: time.Duration(notFoundViewAgeFraction * float64(g.Force)),
+		MaxKeyViewAge:      g.RevocationDelay.Std() - viewAgeMargin,
+		MaxNotFoundViewAge: time.Duration(notFoundViewAgeFraction * float64(g.ActivationDelay)),
 	}
 	if d.quarantine != nil {
 		deps.Quarantine = d.quarantine
@@ -246,7 +246,7 @@
 // quotaTolerance returns how far quotas may be exceeded.
 func (d *Daemon) quotaTolerance() quota.Tolerance {
 	t := d.cfg.Gate.Quotas
-	return quota.Tolerance{Over: t.Over, Slack: t.Slack, Window: t.Window.Std()}
+	return quota.Tolerance{Over: t.Overshoot, Slack: t.Slack, Window: t.Window.Std()}
 }
 
 // sweepConnections closes connections to targets that are no longer used.
--- a/internal/daemon/gatelisteners.go
+++ b/internal/daemon/gatelisteners.go
@@ -64,7 +64,7 @@
 // another daemon. Those that still run at the end of the grace period are cut off, so that their
 // callers notice that the answer is incomplete.
 func (gateListener) Stop(ctx context.Context, d *Daemon) error {
-	grace := d.cfg.Gate.Grace.Std()
+	grace := d.cfg.Gate.TerminationGrace.Std()
 	d.waitFraction(ctx, grace, noticeFraction)
 	limit := time.Duration((1 - noticeFraction - flushFraction) * float64(grace))
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -141,5 +141,5 @@
 	if len(cfg.Routes) == 0 || len(cfg.Targets) == 0 {
 		return false
 	}
-	return d.directory.Age() < d.cfg.Gate.Revoked.Std()-viewAgeMargin
+	return d.directory.Age() < d.cfg.Gate.RevocationDelay.Std()-viewAgeMargin
 }
--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -23,10 +23,10 @@
 
 func (quarantineStep) Run(_ context.Context, d *Daemon) error {
 	cfg := d.cfg.Gate.Quarantine
-	if cfg.Off {
+	if cfg.Disabled {
 		return nil
 	}
-	policy := decide.Config{MinCrashes: cfg.Targets, HoldTime: cfg.Time.Std()}
+	policy := decide.Config{MinCrashes: cfg.Targets, HoldTime: cfg.Duration.Std()}
 	if policy.MinCrashes == 0 {
 		policy.MinCrashes = defaultMinCrashes
 	}
