--- a/cluster.go
+++ b/cluster.go
@@ -77,9 +77,9 @@
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
 	// Peer, Caller and Operator are the addresses that it listens on.
-	Peer     string `json:"peer"`
-	Caller   string `json:"caller"`
-	Operator string `json:"operator"`
+	PeerAddr     string `json:"peer"`
+	CallerAddr   string `json:"caller"`
+	OperatorAddr string `json:"operator"`
 	// Incarnation grows with each start under the same name.
 	Incarnation uint64 `json:"incarnation"`
 	// Generation is the last configuration generation that the daemon reported as in force.
--- a/config.go
+++ b/config.go
@@ -84,20 +84,20 @@
 	Keys []Key  `json:"keys" validate:"min=1,dive"`
 }
 
-// Kind is the protocol of a pool's targets.
-type Kind string
+// PoolKind is the protocol of a pool's targets.
+type PoolKind string
 
 const (
 	// KindEngine is a model engine with the completions API.
-	KindEngine Kind = "engine"
+	KindEngine PoolKind = "engine"
 	// KindService is a plain HTTP service.
-	KindService Kind = "service"
+	KindService PoolKind = "service"
 )
 
 // Pool is a set of interchangeable targets.
 type Pool struct {
-	Name string `json:"name" validate:"required,max=64"`
-	Kind Kind   `json:"kind" validate:"oneof=engine service"`
+	Name string   `json:"name" validate:"required,max=64"`
+	Kind PoolKind `json:"kind" validate:"oneof=engine service"`
 	// Models lists the models that the pool serves; engine pools have at least one.
 	Models []string `json:"models,omitempty"`
 	// Requests limits the number of waiting requests of one daemon; 0 means the default.
--- a/dispatch.go
+++ b/dispatch.go
@@ -11,9 +11,9 @@
 	Rank   int    `json:"r,omitempty"`
 	// Prompt is the length of the prompt, Output the maximum output and Expected the expected
 	// output, in tokens.
-	Prompt   int `json:"p,omitempty"`
-	Output   int `json:"o,omitempty"`
-	Expected int `json:"e,omitempty"`
+	Prompt         int `json:"p,omitempty"`
+	MaxOutput      int `json:"o,omitempty"`
+	ExpectedOutput int `json:"e,omitempty"`
 	// Waited is the time since the daemon accepted the request.
 	Waited Micros `json:"w,omitempty"`
 	// Goal is the time until the answer should begin. Patience is the time until the caller
--- a/internal/command/compile.go
+++ b/internal/command/compile.go
@@ -102,7 +102,7 @@
 
 func (c *compiler) pool(s *pool) {
 	var ch changes[fireflypath.Pool]
-	c.string(s.Kind, func(v string) { ch.add(func(p *fireflypath.Pool) { p.Kind = fireflypath.Kind(v) }) })
+	c.string(s.Kind, func(v string) { ch.add(func(p *fireflypath.Pool) { p.Kind = fireflypath.PoolKind(v) }) })
 	c.list(s.Models, func(l []string) { ch.add(func(p *fireflypath.Pool) { p.Models = l }) })
 	c.int(s.Requests, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Requests = n }) })
 	c.int(s.Bytes, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Bytes = n }) })
--- a/internal/daemon/backends.go
+++ b/internal/daemon/backends.go
@@ -104,7 +104,7 @@
 	p := poll.New(poll.Deps{
 		Clock:   d.deps.Clock,
 		Configs: d.deps.Configs,
-		Watchers: map[fireflypath.Kind]fireflypath.Watcher{
+		Watchers: map[fireflypath.PoolKind]fireflypath.Watcher{
 			fireflypath.KindEngine:  d.engine,
 			fireflypath.KindService: d.service,
 		},
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -73,8 +73,8 @@
 	}
 	d.peerListener = ln
 	self := fireflypath.Member{
-		Name: d.cfg.Name, Domain: d.cfg.Domain, Peer: ln.Addr().String(),
-		Caller: d.cfg.Listen.Callers, Operator: d.cfg.Listen.Operators,
+		Name: d.cfg.Name, Domain: d.cfg.Domain, PeerAddr: ln.Addr().String(),
+		CallerAddr: d.cfg.Listen.Callers, OperatorAddr: d.cfg.Listen.Operators,
 		// It grows with each start under this name. If the clock was set back, the
 		// incarnation that peers know from the earlier start corrects it.
 		Incarnation: uint64(d.deps.Clock.Now().UnixMilli()),
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -72,6 +72,6 @@
 func (a singleMember) Live() []fireflypath.Member {
 	return []fireflypath.Member{{
 		Name: a.d.cfg.Name, Domain: a.d.cfg.Domain,
-		Caller: a.d.CallerAddr(), Operator: a.d.OperatorAddr(),
+		CallerAddr: a.d.CallerAddr(), OperatorAddr: a.d.OperatorAddr(),
 	}}
 }
--- a/internal/daemon/route.go
+++ b/internal/daemon/route.go
@@ -41,7 +41,7 @@
 		Clock:   d.deps.Clock,
 		Configs: d.deps.Configs,
 		Pools:   d.pools,
-		Backends: map[fireflypath.Kind]fireflypath.Backend{
+		Backends: map[fireflypath.PoolKind]fireflypath.Backend{
 			fireflypath.KindEngine:  d.engine,
 			fireflypath.KindService: d.service,
 		},
--- a/internal/decide/dispatcher/dispatcher.go
+++ b/internal/decide/dispatcher/dispatcher.go
@@ -173,7 +173,7 @@
 	e.work = fireflypath.Work{
 		ID: daemon + "." + strconv.FormatUint(o.Number, 10), Rank: o.Rank, Pool: d.pool, Weight: 1,
 		Arrived: now.Add(-o.Waited.Std()), Deadline: now.Add(o.Deadline.Std()), Goal: now.Add(o.Goal.Std()),
-		Cost: fireflypath.Cost{Prompt: o.Prompt, Output: o.Output}, ExpectedOutput: o.Expected, Gap: o.Gap.Std(), Avoid: o.Avoid,
+		Cost: fireflypath.Cost{Prompt: o.Prompt, MaxOutput: o.MaxOutput}, ExpectedOutput: o.ExpectedOutput, Gap: o.Gap.Std(), Avoid: o.Avoid,
 	}
 	if o.Patience > 0 {
 		e.work.PatienceEnds = now.Add(o.Patience.Std())
@@ -195,7 +195,7 @@
 	d.scheduler.Observe(now, fireflypath.Event{
 		Kind: p.Kind, Work: &e.work, Tokens: p.Tokens, CallerLeft: p.CallerLeft, Cached: -1,
 	})
-	if p.Kind != fireflypath.EventUnsent && p.Kind != fireflypath.EventFirst {
+	if p.Kind != fireflypath.EventUnsent && p.Kind != fireflypath.EventFirstOutput {
 		d.removeEntry(e)
 	}
 }
--- a/internal/decide/dispatcher/dispatcher_test.go
+++ b/internal/decide/dispatcher/dispatcher_test.go
@@ -31,7 +31,7 @@
 
 func newOffer(n uint64, rank int) fireflypath.Offer {
 	return fireflypath.Offer{
-		Number: n, Rank: rank, Prompt: 500, Output: 100, Expected: 100,
+		Number: n, Rank: rank, Prompt: 500, MaxOutput: 100, ExpectedOutput: 100,
 		Goal: fireflypath.MicrosOf(time.Second), Patience: fireflypath.MicrosOf(4 * time.Second),
 		Deadline: fireflypath.MicrosOf(12 * time.Second),
 	}
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -202,7 +202,7 @@
 	s.lastNumber++
 	s.numbers[w] = s.lastNumber
 	o := fireflypath.Offer{
-		Number: s.lastNumber, Rank: w.Rank, Prompt: w.Cost.Prompt, Output: w.Cost.Output, Expected: w.ExpectedOutput,
+		Number: s.lastNumber, Rank: w.Rank, Prompt: w.Cost.Prompt, MaxOutput: w.Cost.MaxOutput, ExpectedOutput: w.ExpectedOutput,
 		Waited: fireflypath.MicrosOf(now.Sub(w.Arrived)), Goal: fireflypath.MicrosOf(w.Goal.Sub(now)),
 		Deadline: fireflypath.MicrosOf(w.Deadline.Sub(now)), Gap: fireflypath.MicrosOf(w.Gap), Avoid: w.Avoid,
 	}
@@ -289,7 +289,7 @@
 	}
 	s.Local.Observe(now, e)
 	s.addProgress(fireflypath.Progress{Number: n, Kind: e.Kind, Tokens: e.Tokens, CallerLeft: e.CallerLeft})
-	if e.Kind != fireflypath.EventFirst {
+	if e.Kind != fireflypath.EventFirstOutput {
 		delete(s.numbers, e.Work)
 	}
 }
--- a/internal/decide/remote/remote_test.go
+++ b/internal/decide/remote/remote_test.go
@@ -33,7 +33,7 @@
 	return &fireflypath.Work{
 		ID: fmt.Sprint(id), Rank: 1, Pool: "p", Weight: 1, Arrived: now, Deadline: now.Add(12 * time.Second),
 		Goal: now.Add(time.Second), PatienceEnds: now.Add(4 * time.Second),
-		Cost: fireflypath.Cost{Prompt: 500, Output: 100}, ExpectedOutput: 100,
+		Cost: fireflypath.Cost{Prompt: 500, MaxOutput: 100}, ExpectedOutput: 100,
 	}
 }
 
@@ -78,7 +78,7 @@
 	}
 	sent := nextPlacements(s, start)
 	is.Equal(len(sent), 3)
-	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirst, Target: "t0", Work: sent[0].Work})
+	s.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirstOutput, Target: "t0", Work: sent[0].Work})
 	s.Attach(start.Add(time.Second))
 	news := s.News()
 	is.Equal(len(news.InFlight), 3)
--- a/internal/decide/sched/bench_test.go
+++ b/internal/decide/sched/bench_test.go
@@ -69,7 +69,7 @@
 	*w = fireflypath.Work{
 		ID: "d.1", Team: b.teams[b.offered%len(b.teams)], Weight: 1, Rank: b.offered % 3, Pool: "llm",
 		Arrived: b.now, Deadline: b.now.Add(24 * time.Hour),
-		Cost: fireflypath.Cost{Prompt: 200 + b.offered%1000, Output: 50}, Bytes: 1000,
+		Cost: fireflypath.Cost{Prompt: 200 + b.offered%1000, MaxOutput: 50}, Bytes: 1000,
 		Prefix: b.prefixes[b.offered%len(b.prefixes)][:(200+b.offered%1000)/blockTokens],
 	}
 	b.offered++
@@ -92,7 +92,7 @@
 	}
 	w, t := b.inFlight[b.oldest], b.inFlightTargets[b.oldest]
 	b.oldest++
-	b.scheduler.Observe(b.now, fireflypath.Event{Kind: fireflypath.EventFirst, Target: t, Work: w, Cached: 0})
+	b.scheduler.Observe(b.now, fireflypath.Event{Kind: fireflypath.EventFirstOutput, Target: t, Work: w, Cached: 0})
 	b.scheduler.Observe(b.now, fireflypath.Event{Kind: fireflypath.EventDone, Target: t, Work: w, Tokens: 25})
 	b.freeWorks = append(b.freeWorks, w)
 	if b.oldest > 1<<16 {
--- a/internal/decide/sched/choose.go
+++ b/internal/decide/sched/choose.go
@@ -106,13 +106,13 @@
 	}
 	s.options = append(s.options, place.Candidate{Target: i, Hash: t.nameHash, Requests: t.requests, Score: score})
 	p.Considered = append(p.Considered, fireflypath.Candidate{
-		Target:   t.Name,
-		Held:     t.tokens,
-		Reported: t.report.Tokens,
-		Age:      now.Sub(t.report.Measured),
-		Window:   int(t.part * float64(t.window.Tokens(s.prefillRate(t)))),
-		Hit:      cached,
-		Score:    score,
+		Target:       t.Name,
+		InFlight:     t.tokens,
+		Reported:     t.report.Tokens,
+		Age:          now.Sub(t.report.MeasuredAt),
+		Window:       int(t.part * float64(t.window.Tokens(s.prefillRate(t)))),
+		CachedPrompt: cached,
+		Score:        score,
 	})
 }
 
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -33,7 +33,7 @@
 		return
 	}
 	switch e.Kind {
-	case fireflypath.EventFirst:
+	case fireflypath.EventFirstOutput:
 		s.observeFirst(now, i, e)
 	case fireflypath.EventDone:
 		s.observeDone(now, i, e)
@@ -107,7 +107,7 @@
 	}
 	t.speed.ObserveAnswer(e.Tokens, took)
 	s.maxDecodeRate = max(s.maxDecodeRate*maxRateDecay, t.speed.DecodeRate())
-	if out := it.work.Cost.Output; out > 0 {
+	if out := it.work.Cost.MaxOutput; out > 0 {
 		s.outputRatio += averageWeight * (min(float64(e.Tokens)/float64(out), 1) - s.outputRatio)
 	}
 	s.margin.Observe(now.Sub(it.dispatchedAt), it.expected)
--- a/internal/decide/sched/property_test.go
+++ b/internal/decide/sched/property_test.go
@@ -44,8 +44,8 @@
 		Rank: rapid.IntRange(0, 2).Draw(t, "rank"), Pool: "llm", Arrived: m.now,
 		Deadline: m.now.Add(time.Duration(rapid.IntRange(1, 60).Draw(t, "deadline")) * time.Second),
 		Cost: fireflypath.Cost{
-			Prompt: rapid.IntRange(1, 16000).Draw(t, "prompt"),
-			Output: rapid.IntRange(0, 300).Draw(t, "output"),
+			Prompt:    rapid.IntRange(1, 16000).Draw(t, "prompt"),
+			MaxOutput: rapid.IntRange(0, 300).Draw(t, "output"),
 		},
 	}
 	m.waiting[w] = true
@@ -130,7 +130,7 @@
 		w.Lifecycle = fireflypath.Lifecycle{}
 		m.waiting[w] = true
 	}
-	m.scheduler.Observe(m.now, fireflypath.Event{Kind: kind, Target: target, Work: w, Tokens: w.Cost.Output, Cached: -1})
+	m.scheduler.Observe(m.now, fireflypath.Event{Kind: kind, Target: target, Work: w, Tokens: w.Cost.MaxOutput, Cached: -1})
 }
 
 func (m *model) checkInvariants(t *rapid.T) {
--- a/internal/decide/sched/sched_test.go
+++ b/internal/decide/sched/sched_test.go
@@ -23,7 +23,7 @@
 	return &fireflypath.Work{
 		ID: team, Team: team, Weight: 1, Rank: rank, Pool: "llm",
 		Arrived: startTime, Deadline: startTime.Add(time.Minute),
-		Cost: fireflypath.Cost{Prompt: 100, Output: 10}, Bytes: 400, Idempotent: true,
+		Cost: fireflypath.Cost{Prompt: 100, MaxOutput: 10}, Bytes: 400, Idempotent: true,
 	}
 }
 
--- a/internal/decide/sched/target.go
+++ b/internal/decide/sched/target.go
@@ -294,10 +294,10 @@
 	if othersWaiting <= 0 {
 		return 0
 	}
-	return max(othersWaiting*s.avgUncached/s.prefillRate(t)-now.Sub(t.report.Measured).Seconds(), 0)
+	return max(othersWaiting*s.avgUncached/s.prefillRate(t)-now.Sub(t.report.MeasuredAt).Seconds(), 0)
 }
 
 // expectedOutput returns the expected number of output tokens.
 func (s *Scheduler) expectedOutput(w *fireflypath.Work) float64 {
-	return float64(w.Cost.Output) * s.outputRatio
+	return float64(w.Cost.MaxOutput) * s.outputRatio
 }
--- a/internal/decide/sched/views.go
+++ b/internal/decide/sched/views.go
@@ -45,11 +45,11 @@
 			State:       t.state(),
 			Window:      t.window.Tokens(s.prefillRate(t)),
 			Share:       t.part,
-			Held:        t.tokens,
+			InFlight:    t.tokens,
 			Requests:    t.requests,
 			PrefillRate: t.speed.PrefillRate(),
 			DecodeRate:  t.speed.DecodeRate(),
-			Age:         now.Sub(t.report.Measured),
+			Age:         now.Sub(t.report.MeasuredAt),
 		})
 	}
 	return out
--- a/internal/decide/sched/wait_test.go
+++ b/internal/decide/sched/wait_test.go
@@ -52,8 +52,8 @@
 		return
 	}
 	p.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched)
-	e := fireflypath.Event{Target: p.Target, Work: p.Work, Sent: now, Cached: -1, Tokens: p.Work.Cost.Output}
-	e.Kind = fireflypath.EventFirst
+	e := fireflypath.Event{Target: p.Target, Work: p.Work, Sent: now, Cached: -1, Tokens: p.Work.Cost.MaxOutput}
+	e.Kind = fireflypath.EventFirstOutput
 	s.Observe(now.Add(time.Millisecond), e)
 	e.Kind = fireflypath.EventDone
 	s.Observe(now.Add(2*time.Millisecond), e)
--- a/internal/decide/slots/observe.go
+++ b/internal/decide/slots/observe.go
@@ -27,7 +27,7 @@
 			t.leaving = e.Kind == fireflypath.EventLeaving
 		}
 	case fireflypath.EventCache:
-	case fireflypath.EventFirst:
+	case fireflypath.EventFirstOutput:
 		s.observeFirstEvent(now, e.Work)
 	case fireflypath.EventDone, fireflypath.EventFailed, fireflypath.EventRefused, fireflypath.EventUnsent:
 		s.complete(now, e)
--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -32,7 +32,7 @@
 	return &fireflypath.Work{
 		ID: id, Rank: rank, Pool: "p", Weight: 1, Arrived: now, Deadline: now.Add(12 * time.Second),
 		Goal: now.Add(time.Second), PatienceEnds: now.Add(4 * time.Second), Gap: 250 * time.Millisecond,
-		Cost: fireflypath.Cost{Prompt: 1000, Output: 100}, ExpectedOutput: 100,
+		Cost: fireflypath.Cost{Prompt: 1000, MaxOutput: 100}, ExpectedOutput: 100,
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // complete reports the first event and the end of an answer.
 func complete(s *slots.Scheduler, now time.Time, p fireflypath.Placement, took time.Duration) {
-	s.Observe(now.Add(-took/2), fireflypath.Event{Kind: fireflypath.EventFirst, Target: p.Target, Work: p.Work})
+	s.Observe(now.Add(-took/2), fireflypath.Event{Kind: fireflypath.EventFirstOutput, Target: p.Target, Work: p.Work})
 	s.Observe(now, fireflypath.Event{Kind: fireflypath.EventDone, Target: p.Target, Work: p.Work, Tokens: 33})
 }
 
@@ -258,7 +258,7 @@
 	slow := second[0].Target
 	for i, p := range append(first, second...) {
 		at := start.Add(time.Duration(14+66*i) * time.Millisecond)
-		s.Observe(at, fireflypath.Event{Kind: fireflypath.EventFirst, Target: p.Target, Work: p.Work})
+		s.Observe(at, fireflypath.Event{Kind: fireflypath.EventFirstOutput, Target: p.Target, Work: p.Work})
 		s.Observe(at.Add(time.Second), fireflypath.Event{Kind: fireflypath.EventDone, Target: p.Target, Work: p.Work, Tokens: 60})
 	}
 	now := start.Add(3 * time.Second)
@@ -292,7 +292,7 @@
 	}
 	for i, p := range dispatchAll(s, now) {
 		took := time.Duration(100+10*i) * time.Millisecond // 33 to 40 tokens per millisecond
-		s.Observe(now.Add(took), fireflypath.Event{Kind: fireflypath.EventFirst, Target: p.Target, Work: p.Work})
+		s.Observe(now.Add(took), fireflypath.Event{Kind: fireflypath.EventFirstOutput, Target: p.Target, Work: p.Work})
 		s.Observe(now.Add(2*took), fireflypath.Event{Kind: fireflypath.EventDone, Target: p.Target, Work: p.Work, Tokens: 33})
 	}
 	now = now.Add(time.Second)
@@ -331,7 +331,7 @@
 		is.True(p.Target != busy)
 	}
 	// After the prefill both engines are equal again.
-	other.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirst, Target: busy, Work: long})
+	other.Observe(start, fireflypath.Event{Kind: fireflypath.EventFirstOutput, Target: busy, Work: long})
 	m = fireflypath.NewPeerLoad("other")
 	other.Report(&m)
 	s.UpdatePeers(start, []fireflypath.PeerLoad{m})
@@ -440,7 +440,7 @@
 	s.SetShare(start, fireflypath.Share{Default: 1, UnknownSenders: true})
 	s.UpdatePeers(start, nil)
 	s.Observe(start, fireflypath.Event{
-		Kind: fireflypath.EventReport, Target: "t0", Cached: -1, Report: fireflypath.Report{Running: 5, Batch: 5},
+		Kind: fireflypath.EventReport, Target: "t0", Cached: -1, Report: fireflypath.Report{Running: 5, MaxRunning: 5},
 	})
 	s.Offer(start, newWork("a", 0, start), nil)
 	is.Equal(len(dispatchAll(s, start)), 0)
--- a/internal/decide/slots/views.go
+++ b/internal/decide/slots/views.go
@@ -13,8 +13,8 @@
 			continue
 		}
 		c := fireflypath.Candidate{
-			Target: t.Name, Held: t.pendingPrefill, Reported: s.otherRequests(now, t), Age: now.Sub(t.reportedAt),
-			Window: t.slots(), Score: s.score(now, t, w), Skip: s.skipReason(now, t, s.allowedExtra(w.Rank)),
+			Target: t.Name, InFlight: t.pendingPrefill, Reported: s.otherRequests(now, t), Age: now.Sub(t.reportedAt),
+			Window: t.slots(), Score: s.score(now, t, w), SkipReason: s.skipReason(now, t, s.allowedExtra(w.Rank)),
 		}
 		out = append(out, c)
 	}
@@ -53,7 +53,7 @@
 		}
 		out = append(out, fireflypath.TargetView{
 			Target: t.Name, Pool: s.pool.Name, State: state, Window: t.slots(), Share: 1,
-			Held: t.pendingPrefill, Requests: t.requests,
+			InFlight: t.pendingPrefill, Requests: t.requests,
 			PrefillRate: t.speed.PrefillRate(), DecodeRate: t.speed.DecodeRate(), Age: now.Sub(t.reportedAt),
 		})
 	}
--- a/internal/decide/window/window.go
+++ b/internal/decide/window/window.go
@@ -70,8 +70,8 @@
 // requests of all daemons. A daemon whose share of a small window is less than one
 // request would otherwise never see it grow.
 func (w *Window) ObserveReport(r fireflypath.Report) {
-	if r.Batch > 0 {
-		w.batch = r.Batch
+	if r.MaxRunning > 0 {
+		w.batch = r.MaxRunning
 	}
 	overloaded := float64(r.Waiting) > maxQueuedFraction*float64(max(r.Running, 1))
 	switch {
--- a/internal/decide/window/window_test.go
+++ b/internal/decide/window/window_test.go
@@ -16,7 +16,7 @@
 	is.Equal(w.Requests(), float64(initialRequests))
 	for range 4 {
 		n := int(w.Requests())
-		w.ObserveReport(fireflypath.Report{Running: n, Batch: 16})
+		w.ObserveReport(fireflypath.Report{Running: n, MaxRunning: 16})
 		is.True(w.Requests() <= growthFactor*float64(n+1))
 	}
 	is.True(w.Requests() >= 16)
--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -91,8 +91,8 @@
 	switch {
 	case got.Refusal != nil, err != nil:
 		return err
-	case a.Pool == mix.Models && got.Text != engine.Text(a.Prompt(), a.Cost.Output):
-		return errors.Wrapf(errWrong, "%s: %d tokens of %d", got.ID, got.Tokens, a.Cost.Output)
+	case a.Pool == mix.Models && got.Text != engine.Text(a.Prompt(), a.Cost.MaxOutput):
+		return errors.Wrapf(errWrong, "%s: %d tokens of %d", got.ID, got.Tokens, a.Cost.MaxOutput)
 	case a.Pool == mix.Models:
 		return nil
 	}
--- a/internal/directory/log.go
+++ b/internal/directory/log.go
@@ -44,7 +44,7 @@
 	if d.revision == 0 || after != 0 && after < d.compactedTo {
 		return fireflypath.Listing{}, nil, fireflypath.ErrCompacted
 	}
-	l := fireflypath.Listing{Revision: d.revision, Relayed: true, Hold: d.lapsesUntil.Sub(d.clock.Now())}
+	l := fireflypath.Listing{Revision: d.revision, Relayed: true, LapseWindow: d.lapsesUntil.Sub(d.clock.Now())}
 	for _, e := range d.latest {
 		if e.Revision > after && (after != 0 || !e.Deleted) {
 			l.Entries = append(l.Entries, e)
--- a/internal/directory/reading.go
+++ b/internal/directory/reading.go
@@ -49,7 +49,7 @@
 		return err
 	}
 	if changes.Relayed {
-		d.extendLapses(changes.Hold)
+		d.extendLapses(changes.LapseWindow)
 	}
 	if changes.Partial {
 		// Changes of targets apply at once, so that a target that leaves is not used
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -180,7 +180,7 @@
 	r := &request.Request{
 		Work: fireflypath.Work{
 			ID: id, Rank: 1, Pool: "p", Weight: 1, Arrived: now, Deadline: now.Add(10 * time.Second),
-			Goal: now.Add(time.Second), PatienceEnds: now.Add(4 * time.Second), Cost: fireflypath.Cost{Prompt: 100, Output: 10},
+			Goal: now.Add(time.Second), PatienceEnds: now.Add(4 * time.Second), Cost: fireflypath.Cost{Prompt: 100, MaxOutput: 10},
 		},
 		Config: &fireflypath.Config{}, WaitResult: make(chan request.WaitResult, 1),
 	}
@@ -194,7 +194,7 @@
 	c.maxInFlight[name] = max(c.maxInFlight[name], c.inFlight[name])
 	c.mu.Unlock()
 	time.Sleep(duration / 2)
-	d.pool.Notify(r, fireflypath.EventFirst, -1)
+	d.pool.Notify(r, fireflypath.EventFirstOutput, -1)
 	time.Sleep(duration / 2)
 	c.mu.Lock()
 	c.inFlight[name]--
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -99,12 +99,12 @@
 		d.set(0, 0)
 		name := fmt.Sprint("d", i)
 		clock, log := clockwork.NewRealClock(), zap.NewNop()
-		self := fireflypath.Member{Name: name, Peer: name + ":1", Incarnation: 1}
+		self := fireflypath.Member{Name: name, PeerAddr: name + ":1", Incarnation: 1}
 		d.members = member.New(self, nil, []string{"d0:1"}, time.Second, clock, tally.NoopScope, log)
 		d.peers = peer.New(net.Host(name), nil, d.members.Self, time.Second, clock, tally.NoopScope, log)
 		d.members.Attach(d.peers)
 		d.exchange = exchange.New(d.members, d.peers, d, d, false, clock, tally.NoopScope)
-		l, err := net.Host(name).Listen(self.Peer)
+		l, err := net.Host(name).Listen(self.PeerAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -168,7 +168,7 @@
 		c.firstByte = g.deps.Clock.Now()
 	}
 	att.Draft.First(c.firstByte)
-	att.Owner.Notify(&att.Request, fireflypath.EventFirst, -1)
+	att.Owner.Notify(&att.Request, fireflypath.EventFirstOutput, -1)
 }
 
 // writeHeader writes the response's status and headers.
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -292,7 +292,7 @@
 	}
 	g.deps.Pools.Observe(fireflypath.Event{
 		Kind: fireflypath.EventReport, Target: att.target.Name, Incarnation: att.target.Incarnation, Cached: -1,
-		Report: fireflypath.Report{Measured: g.deps.Clock.Now(), Running: l.Running, Waiting: l.Waiting, Batch: l.Slots},
+		Report: fireflypath.Report{MeasuredAt: g.deps.Clock.Now(), Running: l.Running, Waiting: l.Waiting, MaxRunning: l.Slots},
 	})
 }
 
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -49,7 +49,7 @@
 	prompt, output, ok := strings.Cut(h, ",")
 	p, _ := strconv.Atoi(prompt)
 	o, _ := strconv.Atoi(output)
-	return fireflypath.Cost{Prompt: p, Output: o}, ok
+	return fireflypath.Cost{Prompt: p, MaxOutput: o}, ok
 }
 
 type staticConfigs struct{ cfg *fireflypath.Config }
--- a/internal/gate/steps.go
+++ b/internal/gate/steps.go
@@ -200,9 +200,9 @@
 func (g *Gate) estimateOutput(c *call) int {
 	n, err := strconv.Atoi(c.r.Header.Get(g.headers.OutputHint))
 	if err != nil || n <= 0 {
-		return c.cost.Output
+		return c.cost.MaxOutput
 	}
-	return min(n, c.cost.Output)
+	return min(n, c.cost.MaxOutput)
 }
 
 // takeQuota takes the request's units from its team's quota.
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -86,7 +86,7 @@
 	}
 	r.Path = "/v1/completions"
 	// A struct of text and numbers can always be marshalled.
-	r.Body, _ = json.Marshal(completion{f.Model, a.Prompt(), a.Cost.Output, true})
+	r.Body, _ = json.Marshal(completion{f.Model, a.Prompt(), a.Cost.MaxOutput, true})
 	return r
 }
 
--- a/internal/member/calls.go
+++ b/internal/member/calls.go
@@ -93,7 +93,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout*3/4)
 	defer cancel()
-	found, err := m.peers.Connect(ctx, req.Member.Peer)
+	found, err := m.peers.Connect(ctx, req.Member.PeerAddr)
 	return probeResponse{Alive: err == nil && found.Name == req.Member.Name}, nil
 }
 
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -72,7 +72,7 @@
 	d := &daemon{name: name, scope: tally.NewTestScope("", nil)}
 	d.clock = &pausableClock{FakeClock: clockwork.NewFakeClockAt(time.Now())}
 	self := fireflypath.Member{
-		Name: name, Domain: domain(name), Peer: name + ":1", Incarnation: 1000 * f.startCount,
+		Name: name, Domain: domain(name), PeerAddr: name + ":1", Incarnation: 1000 * f.startCount,
 	}
 	log := zap.NewNop()
 	d.members = member.New(self, f.store, f.seeds, time.Second, d.clock, d.scope, log)
@@ -80,7 +80,7 @@
 	d.members.Attach(d.peers)
 	d.configs = configuration.New(f.store, &fireflypath.Config{}, name, d.clock, d.scope, log)
 	s := spread.New(d.configs, d.members, d.peers, log)
-	l, err := f.net.Host(name).Listen(self.Peer)
+	l, err := f.net.Host(name).Listen(self.PeerAddr)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/member/membership.go
+++ b/internal/member/membership.go
@@ -246,11 +246,11 @@
 // them.
 func (m *Membership) SetAddresses(caller, operator string) {
 	m.mu.Lock()
-	if m.self.Caller == caller && m.self.Operator == operator {
+	if m.self.CallerAddr == caller && m.self.OperatorAddr == operator {
 		m.mu.Unlock()
 		return
 	}
-	m.self.Caller, m.self.Operator = caller, operator
+	m.self.CallerAddr, m.self.OperatorAddr = caller, operator
 	m.announce()
 	m.mu.Unlock()
 	m.peers.Flush()
@@ -335,10 +335,10 @@
 	if m.left || u.Member.Incarnation < own || u.Member.Incarnation == own && u.State == peer.Alive {
 		return false
 	}
-	if u.State == peer.Alive && u.Member.Peer != m.self.Peer {
+	if u.State == peer.Alive && u.Member.PeerAddr != m.self.PeerAddr {
 		// Two daemons run with the same name. Only an operator can resolve this.
 		m.metrics.clashes.Inc(1)
-		m.log.Warn("another daemon uses this name", zap.String("peer", u.Member.Peer))
+		m.log.Warn("another daemon uses this name", zap.String("peer", u.Member.PeerAddr))
 	}
 	m.self.Incarnation = u.Member.Incarnation + 1
 	m.viewStale = true
--- a/internal/member/record.go
+++ b/internal/member/record.go
@@ -155,7 +155,7 @@
 		}
 		dials++
 		m.wg.Go(func() {
-			_, _ = m.peers.Connect(ctx, other.Peer) // handleConnect adds the daemon
+			_, _ = m.peers.Connect(ctx, other.PeerAddr) // handleConnect adds the daemon
 		})
 	}
 }
@@ -174,7 +174,7 @@
 func (m *Membership) knows(other fireflypath.Member) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if other.Name == m.self.Name || other.Peer == "" {
+	if other.Name == m.self.Name || other.PeerAddr == "" {
 		return true
 	}
 	e, ok := m.entries[other.Name]
--- a/internal/member/run.go
+++ b/internal/member/run.go
@@ -138,7 +138,7 @@
 	e.dialing = true
 	other := e.member
 	m.wg.Go(func() {
-		_, err := m.peers.Connect(ctx, other.Peer)
+		_, err := m.peers.Connect(ctx, other.PeerAddr)
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		e.dialing = false
@@ -269,13 +269,13 @@
 	m.mu.Lock()
 	m.lastSearch = m.clock.Now()
 	m.rotation++
-	known := map[string]bool{m.self.Peer: true}
+	known := map[string]bool{m.self.PeerAddr: true}
 	var dead []string
 	for _, e := range m.entries {
 		if e.live() {
-			known[e.member.Peer] = true
+			known[e.member.PeerAddr] = true
 		} else if e.state == peer.Dead {
-			dead = append(dead, e.member.Peer)
+			dead = append(dead, e.member.PeerAddr)
 		}
 	}
 	var addrs []string
--- a/internal/mix/arrival.go
+++ b/internal/mix/arrival.go
@@ -136,7 +136,7 @@
 		Tier:       s.Tier,
 		Rank:       g.mix.Rank(s.Tier),
 		Pool:       s.Pool,
-		Cost:       fireflypath.Cost{Prompt: g.tokens(s.Prompt), Output: g.tokens(s.Output)},
+		Cost:       fireflypath.Cost{Prompt: g.tokens(s.Prompt), MaxOutput: g.tokens(s.Output)},
 		Deadline:   s.Deadline,
 		Idempotent: s.Idempotent,
 		Own:        g.rnd.Uint64(),
--- a/internal/operator/api_test.go
+++ b/internal/operator/api_test.go
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	d := testDaemon{addr: ln.Addr().String(), ring: record.New(1 << 20), peers: &fakeMembers{}, held: &fakeQuarantine{}}
-	d.peers.list = []fireflypath.Member{{Name: name, Operator: d.addr}}
+	d.peers.list = []fireflypath.Member{{Name: name, OperatorAddr: d.addr}}
 	app := fiber.New()
 	newAPI(name, l, clock, o, &d).Register(app)
 	done := make(chan error, 1)
@@ -338,7 +338,7 @@
 	is.True(strings.Contains(ask(t, c, "why d2.Y"), "made room for newer ones"))
 	is.Equal(ask(t, c, "why d7.X"), "daemon d7 is gone or not known, and its records with it; the refusal that the caller got says why")
 	// Two daemons that each consider the other responsible must not forward forever.
-	one.peers.list = append(one.peers.list, fireflypath.Member{Name: "d3", Operator: two.addr})
+	one.peers.list = append(one.peers.list, fireflypath.Member{Name: "d3", OperatorAddr: two.addr})
 	is.True(strings.Contains(ask(t, c, "why d3.X"), "daemon d3 is gone"))
 }
 
@@ -365,7 +365,7 @@
 	is.Equal(show("count requests by tier"), "TIER COUNT bronze 1 gold 3")
 	is.Equal(show("count requests where state = answered"), "COUNT 3")
 	is.True(strings.HasPrefix(show("p50 requests of tokens by tier"), "DAEMON TIER COUNT P50 d1 gold 1 0 d2 bronze 1 0 d2 gold 2 0"))
-	one.peers.list = append(one.peers.list, fireflypath.Member{Name: "d3", Operator: "127.0.0.1:1"})
+	one.peers.list = append(one.peers.list, fireflypath.Member{Name: "d3", OperatorAddr: "127.0.0.1:1"})
 	is.True(strings.Contains(show("count requests"), "COUNT 4 # daemon d3 is missing: call http://127.0.0.1:1"))
 	_, err := c.Each("why d1.X")
 	is.True(err != nil)
--- a/internal/operator/ask.go
+++ b/internal/operator/ask.go
@@ -95,5 +95,5 @@
 	if i < 0 {
 		return ""
 	}
-	return live[i].Operator
+	return live[i].OperatorAddr
 }
--- a/internal/peer/endpoint.go
+++ b/internal/peer/endpoint.go
@@ -281,12 +281,12 @@
 func (e *Endpoint) Call(ctx context.Context, to fireflypath.Member, method string, params, result any) error {
 	c := e.mostRecentlyActive(to.Name)
 	if c == nil {
-		m, err := e.Connect(ctx, to.Peer)
+		m, err := e.Connect(ctx, to.PeerAddr)
 		if err != nil {
 			return err
 		}
 		if m.Name != to.Name {
-			return errors.Wrapf(ErrUnreachable, "%s is now %s", to.Peer, m.Name)
+			return errors.Wrapf(ErrUnreachable, "%s is now %s", to.PeerAddr, m.Name)
 		}
 		if c = e.mostRecentlyActive(to.Name); c == nil {
 			return errors.Wrapf(ErrUnreachable, "connection to %s closed", to.Name)
--- a/internal/peer/endpoint_test.go
+++ b/internal/peer/endpoint_test.go
@@ -119,7 +119,7 @@
 			t.Fatal(err)
 		}
 	}
-	self := func() fireflypath.Member { return fireflypath.Member{Name: name, Peer: name + ":1"} }
+	self := func() fireflypath.Member { return fireflypath.Member{Name: name, PeerAddr: name + ":1"} }
 	n.Endpoint = New(nw.Host(name), certs, self, time.Second, clock, n.scope, zap.NewNop())
 	n.AddSink(func(from string, _ *Heartbeat) { n.heartbeats <- from })
 	n.Handle("echo", func(_ context.Context, from string, p json.RawMessage) (any, error) {
@@ -135,7 +135,7 @@
 }
 
 func member(name string) fireflypath.Member {
-	return fireflypath.Member{Name: name, Peer: name + ":1"}
+	return fireflypath.Member{Name: name, PeerAddr: name + ":1"}
 }
 
 func TestCallAndHeartbeat(t *testing.T) {
--- a/internal/query/eval/eval_test.go
+++ b/internal/query/eval/eval_test.go
@@ -90,7 +90,7 @@
 	} else {
 		r.Target = "e1"
 		r.Dispatched = r.Arrived.Add(100 * time.Millisecond)
-		r.Considered = []fireflypath.Candidate{{Target: "e1", Held: 10, Age: time.Second}, {Target: "e2", Skip: "drained", Age: math.MaxInt64}}
+		r.Considered = []fireflypath.Candidate{{Target: "e1", InFlight: 10, Age: time.Second}, {Target: "e2", SkipReason: "drained", Age: math.MaxInt64}}
 	}
 	ring.Keep(r)
 }
--- a/internal/query/eval/live.go
+++ b/internal/query/eval/live.go
@@ -20,7 +20,7 @@
 			generation = e.src.Configs.Current().Generation
 		}
 		t.Rows = append(t.Rows, table.Row{
-			table.Str(m.Name), table.Str(m.Domain), table.Str(m.Caller), table.Str(m.Operator),
+			table.Str(m.Name), table.Str(m.Domain), table.Str(m.CallerAddr), table.Str(m.OperatorAddr),
 			table.Num(generation), table.Flag(m.Leaving),
 		})
 	}
@@ -84,8 +84,8 @@
 	return table.Row{
 		table.Str(r.ID), table.Str(r.Team), table.Str(r.Tier), table.Str(r.Pool),
 		table.Str(r.State), table.Str(reason), table.Str(r.Target), table.At(r.Arrived),
-		table.Between(r.Arrived, left), table.Between(r.Arrived, r.First), table.Between(r.Arrived, r.Ended),
-		table.Num(r.Cost.Prompt), table.Num(r.Cost.Output), table.Num(r.Tokens),
+		table.Between(r.Arrived, left), table.Between(r.Arrived, r.FirstOutput), table.Between(r.Arrived, r.Ended),
+		table.Num(r.Cost.Prompt), table.Num(r.Cost.MaxOutput), table.Num(r.Tokens),
 		table.Num(r.Ahead), table.Num(r.Resumes), table.Str(r.Rule), table.Num(r.Generation),
 	}
 }
--- a/internal/query/eval/tables.go
+++ b/internal/query/eval/tables.go
@@ -151,7 +151,7 @@
 		return table.Row{none, none, none, none, none, none, none, none}
 	}
 	return table.Row{
-		table.Str(v.State), table.Num(v.Window), table.Num(v.Share), table.Num(v.Held),
+		table.Str(v.State), table.Num(v.Window), table.Num(v.Share), table.Num(v.InFlight),
 		table.Num(v.Requests), table.Num(v.PrefillRate), table.Num(v.DecodeRate),
 		table.Age(v.Age),
 	}
--- a/internal/query/why/why.go
+++ b/internal/query/why/why.go
@@ -38,7 +38,7 @@
 func (s *Story) arrival(r *fireflypath.Record) {
 	s.add("request %s of team %s, tier %s, pool %s", r.ID, or(r.Team), or(r.Tier), or(r.Pool))
 	s.add("came %s, deadline %s later", r.Arrived.UTC().Format(stamp), span(r.Arrived, r.Deadline))
-	s.add("estimated at %d prompt and at most %d output tokens", r.Cost.Prompt, r.Cost.Output)
+	s.add("estimated at %d prompt and at most %d output tokens", r.Cost.Prompt, r.Cost.MaxOutput)
 	s.add("decided under configuration generation %d%s", r.Generation, ruled(r))
 }
 
@@ -73,8 +73,8 @@
 		return
 	}
 	s.add("sent to %s after waiting %s%s", r.Target, span(r.Arrived, r.Dispatched), choice(r))
-	if !r.First.IsZero() {
-		s.add("first output %s after it was sent", span(r.Dispatched, r.First))
+	if !r.FirstOutput.IsZero() {
+		s.add("first output %s after it was sent", span(r.Dispatched, r.FirstOutput))
 	}
 	if r.Resumes > 0 {
 		s.add("its answer was resumed on %d new connections; it was not sent again", r.Resumes)
@@ -84,7 +84,7 @@
 func choice(r *fireflypath.Record) string {
 	usable, skipped := 0, 0
 	for _, c := range r.Considered {
-		if c.Skip == "" {
+		if c.SkipReason == "" {
 			usable++
 		} else {
 			skipped++
@@ -145,7 +145,7 @@
 // hit and no score. A target that has not reported has no load.
 func row(r *fireflypath.Record, c *fireflypath.Candidate) table.Row {
 	none := table.Cell{Empty: true}
-	reported, hit, score := table.Num(c.Reported), table.Num(c.Hit), table.Num(c.Score)
+	reported, hit, score := table.Num(c.Reported), table.Num(c.CachedPrompt), table.Num(c.Score)
 	if r.Target == "" {
 		reported, hit, score = none, none, none
 	}
@@ -153,8 +153,8 @@
 		reported = none
 	}
 	return table.Row{
-		table.Str(c.Target), table.Flag(c.Target == r.Target), table.Num(c.Held),
-		reported, table.Age(c.Age), table.Num(c.Window), hit, score, table.Str(c.Skip),
+		table.Str(c.Target), table.Flag(c.Target == r.Target), table.Num(c.InFlight),
+		reported, table.Age(c.Age), table.Num(c.Window), hit, score, table.Str(c.SkipReason),
 	}
 }
 
--- a/internal/record/draft/draft.go
+++ b/internal/record/draft/draft.go
@@ -80,12 +80,12 @@
 
 // candidate is a target as a refused request of so many tokens met it.
 func candidate(v *fireflypath.TargetView, tokens int) fireflypath.Candidate {
-	c := fireflypath.Candidate{Target: v.Target, Held: v.Held, Age: v.Age, Window: int(float64(v.Window) * v.Share)}
+	c := fireflypath.Candidate{Target: v.Target, InFlight: v.InFlight, Age: v.Age, Window: int(float64(v.Window) * v.Share)}
 	switch {
 	case v.State != ready:
-		c.Skip = v.State
-	case v.Held > 0 && v.Held+tokens > c.Window:
-		c.Skip = "window full"
+		c.SkipReason = v.State
+	case v.InFlight > 0 && v.InFlight+tokens > c.Window:
+		c.SkipReason = "window full"
 	}
 	return c
 }
@@ -113,8 +113,8 @@
 
 // First marks the first token or byte of the answer.
 func (d *Draft) First(now time.Time) {
-	if d != nil && d.rec.First.IsZero() {
-		d.rec.First = now
+	if d != nil && d.rec.FirstOutput.IsZero() {
+		d.rec.FirstOutput = now
 	}
 }
 
--- a/internal/record/pack.go
+++ b/internal/record/pack.go
@@ -39,7 +39,7 @@
 	c.time(&r.Arrived)
 	c.time(&r.Deadline)
 	c.number(&r.Cost.Prompt)
-	c.number(&r.Cost.Output)
+	c.number(&r.Cost.MaxOutput)
 	c.unsigned(&r.Generation)
 	c.number(&r.Ahead)
 	c.text(&r.Rule)
@@ -47,7 +47,7 @@
 	c.text(&r.Target)
 	list(c, &r.Considered, (*cursor).candidate)
 	c.time(&r.Dispatched)
-	c.time(&r.First)
+	c.time(&r.FirstOutput)
 	c.time(&r.Ended)
 	c.number(&r.Resumes)
 	c.text(&r.Relief)
@@ -58,13 +58,13 @@
 
 func (c *cursor) candidate(v *fireflypath.Candidate) {
 	c.text(&v.Target)
-	c.number(&v.Held)
+	c.number(&v.InFlight)
 	c.number(&v.Reported)
 	c.duration(&v.Age)
 	c.number(&v.Window)
-	c.number(&v.Hit)
+	c.number(&v.CachedPrompt)
 	c.float(&v.Score)
-	c.text(&v.Skip)
+	c.text(&v.SkipReason)
 }
 
 func (c *cursor) refusal(r *fireflypath.Refusal) {
--- a/internal/record/ring.go
+++ b/internal/record/ring.go
@@ -125,8 +125,8 @@
 		if a.Target == rec.Target || b.Target == rec.Target {
 			return cmp.Compare(chosen(b, rec), chosen(a, rec))
 		}
-		if a.Skip == "" != (b.Skip == "") {
-			return cmp.Compare(len(a.Skip), len(b.Skip))
+		if a.SkipReason == "" != (b.SkipReason == "") {
+			return cmp.Compare(len(a.SkipReason), len(b.SkipReason))
 		}
 		return cmp.Compare(a.Score, b.Score)
 	}
--- a/internal/record/ring_test.go
+++ b/internal/record/ring_test.go
@@ -107,11 +107,11 @@
 	at := func(s int64) time.Time { return time.Unix(1_000_000+s, 5).UTC() }
 	want := fireflypath.Record{
 		ID: "d1.X", Team: "traders", Tier: "gold", Pool: "chat", Arrived: at(0), Deadline: at(2),
-		Cost: fireflypath.Cost{Prompt: 3, Output: 4}, Generation: 5, Ahead: 6, Rule: "calm",
-		Unsent: []string{"e1", "e2"}, Target: "e3", Dispatched: at(1), First: at(3), Ended: at(4),
+		Cost: fireflypath.Cost{Prompt: 3, MaxOutput: 4}, Generation: 5, Ahead: 6, Rule: "calm",
+		Unsent: []string{"e1", "e2"}, Target: "e3", Dispatched: at(1), FirstOutput: at(3), Ended: at(4),
 		Resumes: 7, Relief: "none", Tokens: 8, State: "failed",
 		Considered: []fireflypath.Candidate{{
-			Target: "e3", Held: 9, Reported: 10, Age: -1, Window: 11, Hit: 12, Score: 0.5, Skip: "slow",
+			Target: "e3", InFlight: 9, Reported: 10, Age: -1, Window: 11, CachedPrompt: 12, Score: 0.5, SkipReason: "slow",
 		}},
 		Refusal: &fireflypath.Refusal{
 			Code: fireflypath.ReasonTarget, Tier: "gold", Detail: "cut", Run: fireflypath.RunUnknown,
@@ -152,17 +152,17 @@
 	is := is.New(t)
 	r := record.New(0)
 	now := time.Unix(1000, 0)
-	p := fireflypath.Placement{Target: "e1", Considered: []fireflypath.Candidate{{Target: "e1", Held: 7}}}
+	p := fireflypath.Placement{Target: "e1", Considered: []fireflypath.Candidate{{Target: "e1", InFlight: 7}}}
 	d := draft.New(r, &fireflypath.Work{ID: "d1.x", Team: "traders"}, 9)
 	d.Placed(now, &p)
 	d.Unsent()
-	p.Considered[0].Held = 8
+	p.Considered[0].InFlight = 8
 	d.Placed(now.Add(time.Second), &p)
-	p.Considered[0].Held = 99
+	p.Considered[0].InFlight = 99
 	d.First(now.Add(2 * time.Second))
 	d.End(now.Add(3*time.Second), fireflypath.StateAnswered, 5, nil)
 	got := r.Find("d1.x")
-	is.Equal(got.Considered[0].Held, 8)
+	is.Equal(got.Considered[0].InFlight, 8)
 	is.Equal(got.Unsent, []string{"e1"})
 	is.Equal(got.Target, "e1")
 	is.Equal(got.Generation, uint64(9))
@@ -177,17 +177,17 @@
 	d := draft.New(r, &fireflypath.Work{ID: "d1.x", Cost: fireflypath.Cost{Prompt: 100}}, 9)
 	d.Ahead(4)
 	d.Refused([]fireflypath.TargetView{
-		{Target: "e1", State: "ready", Window: 1000, Share: 0.5, Held: 450},
+		{Target: "e1", State: "ready", Window: 1000, Share: 0.5, InFlight: 450},
 		{Target: "e2", State: "leaving", Window: 1000, Share: 0.5},
-		{Target: "e3", State: "ready", Window: 1000, Share: 0.5, Held: 300},
+		{Target: "e3", State: "ready", Window: 1000, Share: 0.5, InFlight: 300},
 	})
 	d.End(time.Unix(1000, 0), fireflypath.StateShed, 0, &fireflypath.Refusal{Code: fireflypath.ReasonFull})
 	got := r.Find("d1.x")
 	is.Equal(got.Ahead, 4)
 	is.Equal(got.Considered, []fireflypath.Candidate{
-		{Target: "e1", Held: 450, Window: 500, Skip: "window full"},
-		{Target: "e2", Window: 500, Skip: "leaving"},
-		{Target: "e3", Held: 300, Window: 500},
+		{Target: "e1", InFlight: 450, Window: 500, SkipReason: "window full"},
+		{Target: "e2", Window: 500, SkipReason: "leaving"},
+		{Target: "e3", InFlight: 300, Window: 500},
 	})
 }
 
@@ -212,13 +212,13 @@
 	r := &fireflypath.Record{
 		ID: fmt.Sprintf("d1.01JE%022d", i), Team: "traders", Tier: "gold", Pool: "chat",
 		Arrived: at, Deadline: at.Add(5 * time.Second), Dispatched: at.Add(time.Millisecond),
-		First: at.Add(time.Second), Ended: at.Add(2 * time.Second), State: "answered", Target: "e03",
-		Cost: fireflypath.Cost{Prompt: 900, Output: 256}, Tokens: 200, Generation: 1200, Ahead: 3,
+		FirstOutput: at.Add(time.Second), Ended: at.Add(2 * time.Second), State: "answered", Target: "e03",
+		Cost: fireflypath.Cost{Prompt: 900, MaxOutput: 256}, Tokens: 200, Generation: 1200, Ahead: 3,
 	}
 	for j := range 12 {
 		r.Considered = append(r.Considered, fireflypath.Candidate{
-			Target: fmt.Sprintf("e%02d", j), Held: 1200 + j, Reported: 3400, Age: 700 * time.Millisecond,
-			Window: 8192, Hit: 640, Score: 0.25,
+			Target: fmt.Sprintf("e%02d", j), InFlight: 1200 + j, Reported: 3400, Age: 700 * time.Millisecond,
+			Window: 8192, CachedPrompt: 640, Score: 0.25,
 		})
 	}
 	return r
@@ -236,7 +236,7 @@
 			w := &fireflypath.Work{ID: "d1.01JE" + strconv.FormatUint(n.Add(1), 36), Team: k.Team, Arrived: k.Arrived}
 			d := draft.New(to, w, 1)
 			d.Placed(k.Dispatched, &p)
-			d.First(k.First)
+			d.First(k.FirstOutput)
 			d.End(k.Ended, fireflypath.StateAnswered, 5, nil)
 		}
 	})
--- a/internal/route/classify/classify.go
+++ b/internal/route/classify/classify.go
@@ -40,7 +40,7 @@
 func (*Classify) Run(_ context.Context, r *request.Request) error {
 	r.Call.ID = r.Work.ID
 	r.Call.Method = r.Inbound.Method
-	r.Call.Key = r.Inbound.IdempotencyKey
+	r.Call.IdempotencyKey = r.Inbound.IdempotencyKey
 	r.Work.Bytes = len(r.Inbound.Body)
 	if r.Inbound.Service != "" {
 		return classifyService(r)
@@ -134,9 +134,9 @@
 }
 
 func estimateCost(b *body, text string) fireflypath.Cost {
-	c := fireflypath.Cost{Prompt: max(1, (len(text)+bytesPerToken-1)/bytesPerToken), Output: defaultOutput}
+	c := fireflypath.Cost{Prompt: max(1, (len(text)+bytesPerToken-1)/bytesPerToken), MaxOutput: defaultOutput}
 	if b.Max != nil {
-		c.Output = *b.Max
+		c.MaxOutput = *b.Max
 	}
 	return c
 }
--- a/internal/route/classify/classify_test.go
+++ b/internal/route/classify/classify_test.go
@@ -23,13 +23,13 @@
 		stream     bool
 		cost       fireflypath.Cost
 	}{
-		{"no stream", `{"model":"m","prompt":"hello","max_tokens":3}`, false, fireflypath.Cost{Prompt: 2, Output: 3}},
-		{"stream", `{"model":"m","prompt":"hello","stream":true}`, true, fireflypath.Cost{Prompt: 2, Output: 256}},
-		{"stream false", `{"stream":false,"model":"m","prompt":"","n":1}`, false, fireflypath.Cost{Prompt: 1, Output: 256}},
-		{"stream null", `{"model":"m","prompt":"x","stream":null }`, false, fireflypath.Cost{Prompt: 1, Output: 256}},
-		{"chat", `{"model":"m","messages":[{"content":"abcd"},{"content":"e"}]} `, false, fireflypath.Cost{Prompt: 2, Output: 256}},
-		{"chat of parts", `{"model":"m","messages":[{"content":[{"type":"text","text":"abcd"},{"type":"image"}]}]}`, false, fireflypath.Cost{Prompt: 1, Output: 256}},
-		{"stream in the prompt", `{"model":"m","prompt":"\"stream\":false"}`, false, fireflypath.Cost{Prompt: 4, Output: 256}},
+		{"no stream", `{"model":"m","prompt":"hello","max_tokens":3}`, false, fireflypath.Cost{Prompt: 2, MaxOutput: 3}},
+		{"stream", `{"model":"m","prompt":"hello","stream":true}`, true, fireflypath.Cost{Prompt: 2, MaxOutput: 256}},
+		{"stream false", `{"stream":false,"model":"m","prompt":"","n":1}`, false, fireflypath.Cost{Prompt: 1, MaxOutput: 256}},
+		{"stream null", `{"model":"m","prompt":"x","stream":null }`, false, fireflypath.Cost{Prompt: 1, MaxOutput: 256}},
+		{"chat", `{"model":"m","messages":[{"content":"abcd"},{"content":"e"}]} `, false, fireflypath.Cost{Prompt: 2, MaxOutput: 256}},
+		{"chat of parts", `{"model":"m","messages":[{"content":[{"type":"text","text":"abcd"},{"type":"image"}]}]}`, false, fireflypath.Cost{Prompt: 1, MaxOutput: 256}},
+		{"stream in the prompt", `{"model":"m","prompt":"\"stream\":false"}`, false, fireflypath.Cost{Prompt: 4, MaxOutput: 256}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/route/dispatch/dispatch.go
+++ b/internal/route/dispatch/dispatch.go
@@ -17,14 +17,14 @@
 
 // Dispatch is the step that sends a request's bytes at most once.
 type Dispatch struct {
-	backends    map[fireflypath.Kind]fireflypath.Backend
+	backends    map[fireflypath.PoolKind]fireflypath.Backend
 	leaving     func(target string)
 	unreachable func(target string)
 }
 
 // New returns the step. The function leaving is called with a target that refused a
 // request because it drains, unreachable with one that accepted no connection.
-func New(backends map[fireflypath.Kind]fireflypath.Backend, leaving, unreachable func(target string)) *Dispatch {
+func New(backends map[fireflypath.PoolKind]fireflypath.Backend, leaving, unreachable func(target string)) *Dispatch {
 	return &Dispatch{backends: backends, leaving: leaving, unreachable: unreachable}
 }
 
--- a/internal/route/dispatch/dispatch_test.go
+++ b/internal/route/dispatch/dispatch_test.go
@@ -48,7 +48,7 @@
 			is := is.New(t)
 			var reported []string
 			f := failingBackend{tt.err}
-			d := dispatch.New(map[fireflypath.Kind]fireflypath.Backend{fireflypath.KindEngine: f},
+			d := dispatch.New(map[fireflypath.PoolKind]fireflypath.Backend{fireflypath.KindEngine: f},
 				func(string) {}, func(target string) { reported = append(reported, target) })
 			r := &request.Request{
 				Owner: f, Target: fireflypath.Target{Name: "e0"}, Pool: &fireflypath.Pool{Kind: fireflypath.KindEngine},
--- a/internal/route/panic_test.go
+++ b/internal/route/panic_test.go
@@ -44,7 +44,7 @@
 	p.Apply(cfg)
 	rt := route.New(route.Deps{
 		Name: "d0", Clock: clock, Configs: staticConfig{cfg}, Pools: p, Meter: meter.New(tally.NoopScope),
-		Backends: map[fireflypath.Kind]fireflypath.Backend{fireflypath.KindService: &panickingBackend{}},
+		Backends: map[fireflypath.PoolKind]fireflypath.Backend{fireflypath.KindService: &panickingBackend{}},
 	})
 	first := serve(rt).Reply
 	is.Equal(first.Status, http.StatusBadGateway)
--- a/internal/route/poll/poll.go
+++ b/internal/route/poll/poll.go
@@ -30,7 +30,7 @@
 type Deps struct {
 	Clock    clockwork.Clock
 	Configs  fireflypath.Configs
-	Watchers map[fireflypath.Kind]fireflypath.Watcher
+	Watchers map[fireflypath.PoolKind]fireflypath.Watcher
 	// Hosts lists the platform's hosts; it may be nil.
 	Hosts fireflypath.Hosts
 	// Serves reports whether this daemon sends requests to a target; other targets
@@ -89,7 +89,7 @@
 
 func (p *Poller) startRound(ctx context.Context, reads *conc.WaitGroup, slots chan struct{}) {
 	cfg := p.deps.Configs.Current()
-	kinds := make(map[string]fireflypath.Kind, len(cfg.Pools))
+	kinds := make(map[string]fireflypath.PoolKind, len(cfg.Pools))
 	for _, c := range cfg.Pools {
 		kinds[c.Name] = c.Kind
 	}
@@ -109,7 +109,7 @@
 }
 
 // candidates returns the targets that this daemon serves and can poll.
-func (p *Poller) candidates(cfg *fireflypath.Config, kinds map[string]fireflypath.Kind) []candidate {
+func (p *Poller) candidates(cfg *fireflypath.Config, kinds map[string]fireflypath.PoolKind) []candidate {
 	var active, suspects map[string]bool
 	if p.deps.ActiveTargets != nil {
 		active = p.deps.ActiveTargets()
@@ -161,9 +161,9 @@
 	for _, e := range events {
 		switch e.Kind {
 		case fireflypath.EventLeaving:
-			p.deps.Evidence.ReportLeaving(t.Name, evidence.SourceTarget, e.Report.Measured)
+			p.deps.Evidence.ReportLeaving(t.Name, evidence.SourceTarget, e.Report.MeasuredAt)
 		case fireflypath.EventStaying:
-			p.deps.Evidence.ReportStaying(t.Name, evidence.SourceTarget, e.Report.Measured)
+			p.deps.Evidence.ReportStaying(t.Name, evidence.SourceTarget, e.Report.MeasuredAt)
 		default:
 			p.deps.Observe(e)
 		}
--- a/internal/route/poll/poll_test.go
+++ b/internal/route/poll/poll_test.go
@@ -59,7 +59,7 @@
 	)
 	p := poll.New(poll.Deps{
 		Clock: clock, Configs: staticConfig{testkit.Config([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}, nil)},
-		Watchers: map[fireflypath.Kind]fireflypath.Watcher{fireflypath.KindEngine: polled},
+		Watchers: map[fireflypath.PoolKind]fireflypath.Watcher{fireflypath.KindEngine: polled},
 		Hosts:    lists, Evidence: e, Observe: func(fireflypath.Event) {},
 		Serves: func(t fireflypath.Target) bool { return t.Name != "e2" },
 	})
--- a/internal/route/pool/pool.go
+++ b/internal/route/pool/pool.go
@@ -303,7 +303,7 @@
 	if v.State != "ready" || v.Window == 0 || v.Share == 0 {
 		return math.Inf(1)
 	}
-	return float64(v.Held) / (float64(v.Window) * v.Share)
+	return float64(v.InFlight) / (float64(v.Window) * v.Share)
 }
 
 func (p *Pool) newRefusal(r *request.Request, s fireflypath.Shed) *fireflypath.Refusal {
--- a/internal/route/records_test.go
+++ b/internal/route/records_test.go
@@ -65,7 +65,7 @@
 	p.Apply(cfg)
 	return route.New(route.Deps{
 		Name: "d0", Clock: clock, Configs: staticConfig{cfg}, Pools: p, Recorder: recorder, Meter: meter.New(tally.NoopScope),
-		Backends: map[fireflypath.Kind]fireflypath.Backend{fireflypath.KindService: instantBackend{}},
+		Backends: map[fireflypath.PoolKind]fireflypath.Backend{fireflypath.KindService: instantBackend{}},
 	})
 }
 
--- a/internal/route/relay/follower.go
+++ b/internal/route/relay/follower.go
@@ -116,7 +116,7 @@
 // the caller. An answer that arrives all at once is only reported as done.
 func (f *follower) reportFirstToken() {
 	f.firstReported = true
-	f.request.Owner.Notify(f.request, fireflypath.EventFirst, f.cachedTokens())
+	f.request.Owner.Notify(f.request, fireflypath.EventFirstOutput, f.cachedTokens())
 }
 
 // resume requests the rest of the answer until a connection answers, or returns an
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -47,7 +47,7 @@
 	Clock    clockwork.Clock
 	Configs  fireflypath.Configs
 	Pools    *pools.Pools
-	Backends map[fireflypath.Kind]fireflypath.Backend
+	Backends map[fireflypath.PoolKind]fireflypath.Backend
 	Claims   *claims.Claims
 	Meter    *meter.Meter
 	// Members returns the daemons that share the operators' limits; nil means that
--- a/internal/send/report/report.go
+++ b/internal/send/report/report.go
@@ -67,7 +67,7 @@
 		kind = fireflypath.EventLeaving
 	}
 	report := fireflypath.Report{
-		Measured: measured, Running: reported.Running, Waiting: reported.Waiting, Tokens: reported.Tokens, Batch: reported.Batch,
+		MeasuredAt: measured, Running: reported.Running, Waiting: reported.Waiting, Tokens: reported.Tokens, MaxRunning: reported.Batch,
 	}
 	return append(events,
 		fireflypath.Event{Kind: fireflypath.EventReport, Target: target.Name, Cached: -1, Report: report},
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -55,8 +55,8 @@
 		req.Header.Set(k, v)
 	}
 	req.Header.Set(headerID, c.ID)
-	if c.Key != "" {
-		req.Header.Set(headerKey, c.Key)
+	if c.IdempotencyKey != "" {
+		req.Header.Set(headerKey, c.IdempotencyKey)
 	}
 	req.SetBodyRaw(c.Body)
 	x, err := s.sender.Send(ctx, t.Addr, req, false)
--- a/internal/sim/call.go
+++ b/internal/sim/call.go
@@ -32,7 +32,7 @@
 	c.tries++
 	c.work = fireflypath.Work{
 		ID: r.id + "-" + strconv.Itoa(c.number), Rank: r.rank, Pool: pool, Weight: 1, Arrived: now, Deadline: r.deadline(),
-		Goal: r.goal(), Cost: fireflypath.Cost{Prompt: r.prompt + r.made, Output: r.hint}, ExpectedOutput: max(r.hint-r.made, 1),
+		Goal: r.goal(), Cost: fireflypath.Cost{Prompt: r.prompt + r.made, MaxOutput: r.hint}, ExpectedOutput: max(r.hint-r.made, 1),
 		Gap: k.Gap.Std(), Idempotent: k.Repeat, Avoid: c.avoid,
 	}
 	if r.made == 0 {
@@ -125,7 +125,7 @@
 	if c.d.calls[&c.work] != c {
 		return // the daemon was restarted
 	}
-	if e.Kind != fireflypath.EventFirst {
+	if e.Kind != fireflypath.EventFirstOutput {
 		delete(c.d.calls, &c.work)
 	}
 	c.d.observe(e)
@@ -140,9 +140,9 @@
 	if c.events == 0 {
 		c.d.observe(fireflypath.Event{
 			Kind: fireflypath.EventReport, Target: c.target.Name, Cached: -1,
-			Report: fireflypath.Report{Measured: now, Running: running, Waiting: waiting},
+			Report: fireflypath.Report{MeasuredAt: now, Running: running, Waiting: waiting},
 		})
-		c.tell(fireflypath.Event{Kind: fireflypath.EventFirst})
+		c.tell(fireflypath.Event{Kind: fireflypath.EventFirstOutput})
 	}
 	c.events++
 	r.made = min(r.made+r.w.o.Fleet.Engines.Stride, r.output-1)
--- a/internal/trial/bound.go
+++ b/internal/trial/bound.go
@@ -30,7 +30,7 @@
 // least is what an arrival needs if its document is cached. On average half of
 // the allowed output is generated.
 func least(a mix.Arrival) need {
-	return need{prefill: float64(a.Cost.Prompt - a.Shared*block), decode: float64(a.Cost.Output) / 2}
+	return need{prefill: float64(a.Cost.Prompt - a.Shared*block), decode: float64(a.Cost.MaxOutput) / 2}
 }
 
 // capacity is the rate in requests a second at which the scarcer of prefill and
--- a/internal/trial/daemon.go
+++ b/internal/trial/daemon.go
@@ -121,7 +121,7 @@
 		d.fleet.tally.prefilled(r, w.Cost.Prompt, r.fresh)
 		d.fleet.loop.after(hop, func() {
 			r.first = d.now()
-			d.observe(fireflypath.Event{Kind: fireflypath.EventFirst, Target: target, Work: w, Sent: sent, Cached: cached})
+			d.observe(fireflypath.Event{Kind: fireflypath.EventFirstOutput, Target: target, Work: w, Sent: sent, Cached: cached})
 		})
 	}
 	j.done = func() {
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -185,11 +185,11 @@
 		running++
 	}
 	return fireflypath.Report{
-		Measured: e.loop.now,
-		Running:  running,
-		Waiting:  len(e.queue),
-		Tokens:   e.held,
-		Batch:    batch,
+		MeasuredAt: e.loop.now,
+		Running:    running,
+		Waiting:    len(e.queue),
+		Tokens:     e.held,
+		MaxRunning: batch,
 	}
 }
 
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -153,7 +153,7 @@
 func (f *fleet) arrive(a mix.Arrival) {
 	r := &request{arrival: a, deadline: f.loop.now.Add(a.Deadline), started: f.loop.now, prefix: a.Blocks()}
 	r.rnd = random(f.o.Seed^a.Own, 7)
-	r.output = 1 + int(r.rnd.Float64()*float64(a.Cost.Output))
+	r.output = 1 + int(r.rnd.Float64()*float64(a.Cost.MaxOutput))
 	f.tally.sent(r)
 	f.attempt(r, false)
 }
--- a/record.go
+++ b/record.go
@@ -20,11 +20,11 @@
 	// Unsent lists the targets of attempts that failed before any byte was sent.
 	Unsent []string `json:"unsent,omitempty"`
 	// Target is the target that it was dispatched to, empty if it was not.
-	Target     string      `json:"target,omitempty"`
-	Considered []Candidate `json:"considered,omitempty"`
-	Dispatched time.Time   `json:"dispatched,omitzero"`
-	First      time.Time   `json:"first,omitzero"`
-	Ended      time.Time   `json:"ended,omitzero"`
+	Target      string      `json:"target,omitempty"`
+	Considered  []Candidate `json:"considered,omitempty"`
+	Dispatched  time.Time   `json:"dispatched,omitzero"`
+	FirstOutput time.Time   `json:"first,omitzero"`
+	Ended       time.Time   `json:"ended,omitzero"`
 	// Resumes counts the additional connections for the same answer.
 	Resumes int `json:"resumes,omitempty"`
 	// Relief describes the outcome of a relief round for it.
--- a/request.go
+++ b/request.go
@@ -64,13 +64,13 @@
 type Cost struct {
 	// Prompt is the number of prompt tokens to prefill; at least 1 for model work.
 	Prompt int `json:"prompt"`
-	// Output is the maximum number of tokens that the caller allows; at least 0.
-	Output int `json:"output"`
+	// MaxOutput is the maximum number of tokens that the caller allows; at least 0.
+	MaxOutput int `json:"output"`
 }
 
 // Tokens returns the total, which is the unit of windows and fair shares.
 func (c Cost) Tokens() int {
-	return c.Prompt + c.Output
+	return c.Prompt + c.MaxOutput
 }
 
 // Work is what the scheduling and admission packages know of a request.
--- a/routing.go
+++ b/routing.go
@@ -158,9 +158,9 @@
 	Pause time.Duration
 	// Age is how old a relayed view was when it was requested.
 	Age time.Duration
-	// Hold is how long a removal in a relayed view may be due to a registration that expired
+	// LapseWindow is how long a removal in a relayed view may be due to a registration that expired
 	// while the store was unavailable.
-	Hold time.Duration
+	LapseWindow time.Duration
 }
 
 // Freshness provides the age of the view of the configuration and the targets.
--- a/scheduler.go
+++ b/scheduler.go
@@ -81,20 +81,20 @@
 // Candidate is the state of a target at the time of a placement.
 type Candidate struct {
 	Target string `json:"target"`
-	// Held is this daemon's own in-flight work in estimated tokens; it is always up to date.
-	Held int `json:"held"`
+	// InFlight is this daemon's own in-flight work in estimated tokens; it is always up to date.
+	InFlight int `json:"held"`
 	// Reported is the target's last reported load in tokens.
 	Reported int `json:"reported"`
 	// Age is the age of Reported.
 	Age time.Duration `json:"age"`
 	// Window is this daemon's share of the target's window in tokens.
 	Window int `json:"window"`
-	// Hit is the number of prompt tokens expected in the target's prefix cache.
-	Hit int `json:"hit"`
+	// CachedPrompt is the number of prompt tokens expected in the target's prefix cache.
+	CachedPrompt int `json:"hit"`
 	// Score is the expected time in seconds; lower is better.
 	Score float64 `json:"score"`
-	// Skip is the reason why the target could not be chosen; empty if it could.
-	Skip string `json:"skip,omitempty"`
+	// SkipReason is the reason why the target could not be chosen; empty if it could.
+	SkipReason string `json:"skip,omitempty"`
 }
 
 // EventKind is the kind of an event at a target.
@@ -103,8 +103,8 @@
 const (
 	// EventUnsent is an attempt that failed before any byte was sent; the work waits again.
 	EventUnsent EventKind = iota
-	// EventFirst is the first token or byte of an answer.
-	EventFirst
+	// EventFirstOutput is the first token or byte of an answer.
+	EventFirstOutput
 	// EventDone is a complete answer.
 	EventDone
 	// EventFailed is an answer that will not be completed.
@@ -148,16 +148,16 @@
 
 // Report is a load report of a target. It arrives with a delay.
 type Report struct {
-	// Measured is when the target measured its load, by the reader's clock.
-	Measured time.Time
+	// MeasuredAt is when the target measured its load, by the reader's clock.
+	MeasuredAt time.Time
 	// Running is the number of requests in the batch.
 	Running int
 	// Waiting is the number of requests queued in the target.
 	Waiting int
 	// Tokens is the outstanding work, in tokens to prefill or generate.
 	Tokens int
-	// Batch is the maximum number of requests that the target runs concurrently; 0 if unknown.
-	Batch int
+	// MaxRunning is the maximum number of requests that the target runs concurrently; 0 if unknown.
+	MaxRunning int
 }
 
 // Share is one daemon's share of the windows of a pool's targets.
@@ -197,8 +197,8 @@
 	// of it.
 	Window int     `json:"window"`
 	Share  float64 `json:"part"`
-	// Held and Requests are this daemon's own in-flight work.
-	Held     int `json:"held"`
+	// InFlight and Requests are this daemon's own in-flight work.
+	InFlight int `json:"held"`
 	Requests int `json:"requests"`
 	// PrefillRate and DecodeRate are learned, in tokens per second.
 	PrefillRate float64 `json:"prefill_rate"`
--- a/target.go
+++ b/target.go
@@ -35,8 +35,8 @@
 	// Method and Path are those of the caller's request, without the pool's prefix.
 	Method string
 	Path   string
-	// Key is the caller's idempotency key, which is forwarded to services.
-	Key string
+	// IdempotencyKey is the caller's idempotency key, which is forwarded to services.
+	IdempotencyKey string
 	// Header holds the end-to-end headers to forward.
 	Header map[string]string
 	Body   []byte
