--- a/cmd/fireflypathd/check.go
+++ b/cmd/fireflypathd/check.go
@@ -10,22 +10,22 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// exitInput is the code for settings that cannot be used.
+// exitInput is the exit code for invalid settings.
 const exitInput = 2
 
-// input is an error of what the user wrote.
-type input struct {
+// inputError is an error in the user's input.
+type inputError struct {
 	error
 }
 
-// Unwrap gives the cause.
-func (i input) Unwrap() error {
+// Unwrap returns the cause.
+func (i inputError) Unwrap() error {
 	return i.error
 }
 
 func exitCode(err error) int {
-	var i input
-	if errors.As(err, &i) {
+	var inputErr inputError
+	if errors.As(err, &inputErr) {
 		return exitInput
 	}
 	return 1
@@ -34,16 +34,16 @@
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "check",
-		Usage:  "read a settings file and say what is wrong with it",
+		Usage:  "validate a settings file",
 		Flags:  []cli.Flag{settingsFlag()},
-		Action: check,
+		Action: checkSettings,
 	}
 }
 
-func check(_ context.Context, c *cli.Command) error {
+func checkSettings(_ context.Context, c *cli.Command) error {
 	path := c.String("settings")
 	if _, err := settings.Load(path); err != nil {
-		return input{err}
+		return inputError{err}
 	}
 	_, err := fmt.Fprintf(c.Root().Writer, "%s: good\n", path)
 	return err
--- a/cmd/fireflypathd/reload.go
+++ b/cmd/fireflypathd/reload.go
@@ -10,9 +10,10 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// reload reads the settings file again at each SIGHUP. What changed is in force from the next start on;
-// all that changes while a daemon runs comes from the platform's store.
-func reload(path string, cfg *settings.Settings, log *zap.Logger) (stop func()) {
+// reloadOnSignal reads and validates the settings file at each SIGHUP and logs the result.
+// Changes take effect at the next start. Everything that can change in a running daemon
+// comes from the platform's store.
+func reloadOnSignal(path string, cfg *settings.Settings, log *zap.Logger) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		for {
@@ -23,10 +24,10 @@
 			}
 			next, err := settings.Load(path)
 			if err != nil {
-				log.Error("settings refused, the last good ones stay in force", logs.Cause(err))
+				log.Error("settings file is invalid, keeping the current settings", logs.Cause(err))
 				continue
 			}
-			log.Info("settings read again", zap.Bool("changed", !reflect.DeepEqual(next, cfg)))
+			log.Info("settings file is valid, changes take effect at the next start", zap.Bool("changed", !reflect.DeepEqual(next, cfg)))
 		}
 	}()
 	return func() { close(done) }
--- a/cmd/fireflypathd/run.go
+++ b/cmd/fireflypathd/run.go
@@ -17,8 +17,8 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// defaultLimit is above the longest answers, which take minutes.
-const defaultLimit = 5 * time.Minute
+// defaultDrainTimeout is longer than the longest answers, which take minutes.
+const defaultDrainTimeout = 5 * time.Minute
 
 func settingsFlag() cli.Flag {
 	return &cli.StringFlag{Name: "settings", Usage: "settings `FILE`, JSON with comments", Required: true}
@@ -27,21 +27,21 @@
 func runCommand() *cli.Command {
 	return &cli.Command{
 		Name:   "run",
-		Usage:  "serve until a signal; a second signal ends a planned stop",
+		Usage:  "run the daemon until a signal; a second signal aborts a planned stop",
 		Flags:  []cli.Flag{settingsFlag()},
-		Action: run,
+		Action: runDaemon,
 	}
 }
 
-func run(ctx context.Context, c *cli.Command) error {
+func runDaemon(ctx context.Context, c *cli.Command) error {
 	path := c.String("settings")
 	cfg, err := settings.Load(path)
 	if err != nil {
-		return input{err}
+		return inputError{err}
 	}
 	w := logs.NewWriter(os.Stdout)
-	defer w.Close() //nolint:errcheck // it never fails
-	log, err := logger(cfg.LogLevel, w)
+	defer w.Close() //nolint:errcheck // Close never fails.
+	log, err := newLogger(cfg.LogLevel, w)
 	if err != nil {
 		return err
 	}
@@ -49,23 +49,23 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	d, err := daemon.New(*cfg, daemon.Deps{Log: log})
 	if err != nil {
-		return input{err}
+		return inputError{err}
 	}
-	stopReload := reload(path, cfg, log)
+	stopReload := reloadOnSignal(path, cfg, log)
 	defer stopReload()
-	if err := start(ctx, d, signals); err != nil {
+	if err := startDaemon(ctx, d, signals); err != nil {
 		return err
 	}
 	s := <-signals
-	log.Info("planned stop", zap.Stringer("signal", s))
-	err = stop(ctx, d, cfg.Stop.DrainTimeout.Std(), signals)
+	log.Info("stopping", zap.Stringer("signal", s))
+	err = stopDaemon(ctx, d, cfg.Stop.DrainTimeout.Std(), signals)
 	log.Info("stopped", logs.Cause(err), zap.Int64("dropped", w.Dropped()))
 	return err
 }
 
-// start gives up at a signal: a daemon without a configuration waits for one
-// as long as the platform's service and all peers are away.
-func start(ctx context.Context, d *daemon.Daemon, signals chan os.Signal) error {
+// startDaemon aborts the start at a signal: a daemon without a configuration waits for one
+// while the platform's service and all peers are unavailable.
+func startDaemon(ctx context.Context, d *daemon.Daemon, signals chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	started := make(chan struct{})
@@ -74,7 +74,7 @@
 		select {
 		case s := <-signals:
 			cancel()
-			// If the start was done all the same, the signal is still due.
+			// If the start has completed nevertheless, runDaemon must receive the signal.
 			signals <- s
 		case <-started:
 		}
@@ -82,12 +82,12 @@
 	return d.Start(ctx)
 }
 
-// stop gives requests in progress until the limit or a second signal.
-func stop(ctx context.Context, d *daemon.Daemon, limit time.Duration, signals <-chan os.Signal) error {
-	if limit == 0 {
-		limit = defaultLimit
+// stopDaemon waits for requests in progress until the timeout or a second signal.
+func stopDaemon(ctx context.Context, d *daemon.Daemon, timeout time.Duration, signals <-chan os.Signal) error {
+	if timeout == 0 {
+		timeout = defaultDrainTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	go func() {
 		select {
@@ -99,13 +99,13 @@
 	return errors.Wrap(d.Stop(ctx), "stop")
 }
 
-func logger(level string, w *logs.Writer) (*zap.Logger, error) {
+func newLogger(level string, w *logs.Writer) (*zap.Logger, error) {
 	if level == "" {
 		level = "info"
 	}
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
-		return nil, input{err}
+		return nil, inputError{err}
 	}
 	return logs.New(w, l), nil
 }
