--- a/internal/command/compile.go
+++ b/internal/command/compile.go
@@ -7,80 +7,80 @@
 	"github.com/fireflypath/fireflypath/internal/syntax"
 )
 
-func (c *compiler) command(cmd *command) {
+func (c *compiler) compileCommand(cmd *command) {
 	switch {
 	case cmd.Set != nil:
-		c.set(cmd.Set)
+		c.compileSet(cmd.Set)
 	case cmd.Delete != nil:
-		c.delete(cmd.Delete)
+		c.compileDelete(cmd.Delete)
 	case cmd.Drain != nil:
-		c.drained(cmd.Drain.Name.Text, true)
+		c.setDrained(cmd.Drain.Name.Text, true)
 	case cmd.Restore != nil:
-		c.drained(cmd.Restore.Name.Text, false)
+		c.setDrained(cmd.Restore.Name.Text, false)
 	case cmd.Key != nil:
-		c.key(cmd.Key)
+		c.compileKey(cmd.Key)
 	case cmd.Revoke != nil:
-		c.revoke(cmd.Revoke.Hash)
+		c.compileRevoke(cmd.Revoke.Hash)
 	case cmd.Load != nil:
-		c.order(fireflypath.OrderLoad, cmd.Load.Name, cmd.Load.Model)
+		c.setOrder(fireflypath.OrderLoad, cmd.Load.Name, cmd.Load.Model)
 	case cmd.Unload != nil:
-		c.order(fireflypath.OrderUnload, cmd.Unload.Name, cmd.Unload.Model)
+		c.setOrder(fireflypath.OrderUnload, cmd.Unload.Name, cmd.Unload.Model)
 	case cmd.Adapter != nil:
-		c.order(fireflypath.OrderAdapter, cmd.Adapter.Name, cmd.Adapter.Value)
+		c.setOrder(fireflypath.OrderAdapter, cmd.Adapter.Name, cmd.Adapter.Value)
 	case cmd.Version != nil:
-		c.order(fireflypath.OrderVersion, cmd.Version.Name, cmd.Version.Value)
+		c.setOrder(fireflypath.OrderVersion, cmd.Version.Name, cmd.Version.Value)
 	case cmd.Role != nil:
-		c.order(fireflypath.OrderRole, cmd.Role.Name, cmd.Role.Value)
+		c.setOrder(fireflypath.OrderRole, cmd.Role.Name, cmd.Role.Value)
 	}
 }
 
-func (c *compiler) order(kind fireflypath.OrderKind, name, value syntax.Word) {
+func (c *compiler) setOrder(kind fireflypath.OrderKind, name, value syntax.Word) {
 	c.script.Order = &fireflypath.Order{Kind: kind, Target: name.Text, Value: value.Text}
 }
 
-func (c *compiler) set(s *set) {
+func (c *compiler) compileSet(s *set) {
 	switch {
 	case s.Tier != nil:
-		c.tier(s.Tier)
+		c.compileTier(s.Tier)
 	case s.Team != nil:
-		c.team(s.Team)
+		c.compileTeam(s.Team)
 	case s.Pool != nil:
-		c.pool(s.Pool)
+		c.compilePool(s.Pool)
 	case s.Target != nil:
-		c.target(s.Target)
+		c.compileTarget(s.Target)
 	case s.Rule != nil:
-		c.rule(s.Rule)
+		c.compileRule(s.Rule)
 	case s.Operator != nil:
-		c.operator(s.Operator)
+		c.compileOperator(s.Operator)
 	}
 }
 
-// changes collects what a set command writes into an element.
-type changes[T any] []func(*T)
+// assignments collects the field values that a set command assigns to an element.
+type assignments[T any] []func(*T)
 
-func (ch *changes[T]) add(f func(*T)) {
+func (ch *assignments[T]) add(f func(*T)) {
 	*ch = append(*ch, f)
 }
 
-func (ch changes[T]) apply(v *T) {
+func (ch assignments[T]) apply(v *T) {
 	for _, f := range ch {
 		f(v)
 	}
 }
 
-// defaultDeadline is given to a tier that is created without one: long enough
-// for a summary of some thousand tokens at the letter's 37 ms between tokens.
+// defaultDeadline is the deadline of a tier that is created without one. It is enough
+// for a summary of a few thousand tokens at the specified 37 ms between tokens.
 const defaultDeadline = 2 * time.Minute
 
-func (c *compiler) tier(s *tier) {
-	var ch changes[fireflypath.Tier]
-	c.int(s.Rank, func(n int) { ch.add(func(t *fireflypath.Tier) { t.Rank = n }) })
-	c.duration(s.Deadline, func(d time.Duration) {
+func (c *compiler) compileTier(s *tier) {
+	var ch assignments[fireflypath.Tier]
+	c.intField(s.Rank, func(n int) { ch.add(func(t *fireflypath.Tier) { t.Rank = n }) })
+	c.durationField(s.Deadline, func(d time.Duration) {
 		ch.add(func(t *fireflypath.Tier) { t.Deadline = fireflypath.Duration(d) })
 	})
 	name := s.Name.Text
-	c.add(func(e *edit) {
-		t, created := e.tiers.put(name)
+	c.addStep(func(e *edit) {
+		t, created := e.tiers.getOrCreate(name)
 		if created {
 			t.Deadline = fireflypath.Duration(defaultDeadline)
 		}
@@ -88,27 +88,27 @@
 	})
 }
 
-func (c *compiler) team(s *team) {
-	var ch changes[fireflypath.Team]
-	c.list(s.Tiers, func(l []string) { ch.add(func(t *fireflypath.Team) { t.Tiers = l }) })
-	c.list(s.Pools, func(l []string) { ch.add(func(t *fireflypath.Team) { t.Pools = l }) })
-	c.int(s.Weight, func(n int) { ch.add(func(t *fireflypath.Team) { t.Weight = n }) })
+func (c *compiler) compileTeam(s *team) {
+	var ch assignments[fireflypath.Team]
+	c.listField(s.Tiers, func(l []string) { ch.add(func(t *fireflypath.Team) { t.Tiers = l }) })
+	c.listField(s.Pools, func(l []string) { ch.add(func(t *fireflypath.Team) { t.Pools = l }) })
+	c.intField(s.Weight, func(n int) { ch.add(func(t *fireflypath.Team) { t.Weight = n }) })
 	name := s.Name.Text
-	c.add(func(e *edit) {
-		t, _ := e.teams.put(name)
+	c.addStep(func(e *edit) {
+		t, _ := e.teams.getOrCreate(name)
 		ch.apply(t)
 	})
 }
 
-func (c *compiler) pool(s *pool) {
-	var ch changes[fireflypath.Pool]
-	c.string(s.Kind, func(v string) { ch.add(func(p *fireflypath.Pool) { p.Kind = fireflypath.Kind(v) }) })
-	c.list(s.Models, func(l []string) { ch.add(func(p *fireflypath.Pool) { p.Models = l }) })
-	c.int(s.Requests, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Requests = n }) })
-	c.int(s.Bytes, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Bytes = n }) })
+func (c *compiler) compilePool(s *pool) {
+	var ch assignments[fireflypath.Pool]
+	c.stringField(s.Kind, func(v string) { ch.add(func(p *fireflypath.Pool) { p.Kind = fireflypath.Kind(v) }) })
+	c.listField(s.Models, func(l []string) { ch.add(func(p *fireflypath.Pool) { p.Models = l }) })
+	c.intField(s.Requests, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Requests = n }) })
+	c.intField(s.Bytes, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Bytes = n }) })
 	name := s.Name.Text
-	c.add(func(e *edit) {
-		p, created := e.pools.put(name)
+	c.addStep(func(e *edit) {
+		p, created := e.pools.getOrCreate(name)
 		if created {
 			p.Kind = fireflypath.KindEngine
 		}
@@ -116,41 +116,41 @@
 	})
 }
 
-func (c *compiler) target(s *targetSet) {
-	var ch changes[fireflypath.Target]
-	c.string(s.Pool, func(v string) { ch.add(func(t *fireflypath.Target) { t.Pool = v }) })
-	c.string(s.Addr, func(v string) { ch.add(func(t *fireflypath.Target) { t.Addr = v }) })
-	c.string(s.Domain, func(v string) { ch.add(func(t *fireflypath.Target) { t.Domain = v }) })
-	c.int(s.Window, func(n int) { ch.add(func(t *fireflypath.Target) { t.Window = n }) })
-	c.bool(s.Fenced, func(v bool) { ch.add(func(t *fireflypath.Target) { t.Fenced = v }) })
+func (c *compiler) compileTarget(s *targetSet) {
+	var ch assignments[fireflypath.Target]
+	c.stringField(s.Pool, func(v string) { ch.add(func(t *fireflypath.Target) { t.Pool = v }) })
+	c.stringField(s.Addr, func(v string) { ch.add(func(t *fireflypath.Target) { t.Addr = v }) })
+	c.stringField(s.Domain, func(v string) { ch.add(func(t *fireflypath.Target) { t.Domain = v }) })
+	c.intField(s.Window, func(n int) { ch.add(func(t *fireflypath.Target) { t.Window = n }) })
+	c.boolField(s.Fenced, func(v bool) { ch.add(func(t *fireflypath.Target) { t.Fenced = v }) })
 	name := s.Name.Text
-	c.add(func(e *edit) {
-		t, _ := e.targets.put(name)
+	c.addStep(func(e *edit) {
+		t, _ := e.targets.getOrCreate(name)
 		ch.apply(t)
 	})
 }
 
-func (c *compiler) rule(s *rule) {
-	var ch changes[fireflypath.Rule]
-	c.string(s.Act, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Act = fireflypath.RuleAction(v) }) })
-	c.string(s.Team, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Team = v }) })
-	c.string(s.Tier, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Tier = v }) })
-	c.string(s.Pool, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Pool = v }) })
-	c.int(s.Above, func(n int) { ch.add(func(r *fireflypath.Rule) { r.Above = n }) })
-	c.int(s.Limit, func(n int) { ch.add(func(r *fireflypath.Rule) { r.Limit = n }) })
+func (c *compiler) compileRule(s *rule) {
+	var ch assignments[fireflypath.Rule]
+	c.stringField(s.Act, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Act = fireflypath.RuleAction(v) }) })
+	c.stringField(s.Team, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Team = v }) })
+	c.stringField(s.Tier, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Tier = v }) })
+	c.stringField(s.Pool, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Pool = v }) })
+	c.intField(s.Above, func(n int) { ch.add(func(r *fireflypath.Rule) { r.Above = n }) })
+	c.intField(s.Limit, func(n int) { ch.add(func(r *fireflypath.Rule) { r.Limit = n }) })
 	name := s.Name.Text
-	c.add(func(e *edit) {
-		r, _ := e.rules.put(name)
+	c.addStep(func(e *edit) {
+		r, _ := e.rules.getOrCreate(name)
 		ch.apply(r)
 	})
 }
 
-func (c *compiler) operator(s *operator) {
-	var ch changes[fireflypath.Operator]
-	c.string(s.Role, func(v string) { ch.add(func(o *fireflypath.Operator) { o.Role = fireflypath.Role(v) }) })
+func (c *compiler) compileOperator(s *operator) {
+	var ch assignments[fireflypath.Operator]
+	c.stringField(s.Role, func(v string) { ch.add(func(o *fireflypath.Operator) { o.Role = fireflypath.Role(v) }) })
 	name := s.Name.Text
-	c.add(func(e *edit) {
-		o, created := e.operators.put(name)
+	c.addStep(func(e *edit) {
+		o, created := e.operators.getOrCreate(name)
 		if created {
 			o.Role = fireflypath.RoleAsk
 		}
@@ -158,25 +158,25 @@
 	})
 }
 
-func (c *compiler) delete(d *deletion) {
+func (c *compiler) compileDelete(d *deletion) {
 	switch {
 	case d.Tier != nil:
-		c.add(func(e *edit) { e.tiers.remove(e, d.Tier.Text) })
+		c.addStep(func(e *edit) { e.tiers.remove(e, d.Tier.Text) })
 	case d.Team != nil:
-		c.add(func(e *edit) { e.teams.remove(e, d.Team.Text) })
+		c.addStep(func(e *edit) { e.teams.remove(e, d.Team.Text) })
 	case d.Pool != nil:
-		c.add(func(e *edit) { e.pools.remove(e, d.Pool.Text) })
+		c.addStep(func(e *edit) { e.pools.remove(e, d.Pool.Text) })
 	case d.Target != nil:
-		c.add(func(e *edit) { e.targets.remove(e, d.Target.Text) })
+		c.addStep(func(e *edit) { e.targets.remove(e, d.Target.Text) })
 	case d.Rule != nil:
-		c.add(func(e *edit) { e.rules.remove(e, d.Rule.Text) })
+		c.addStep(func(e *edit) { e.rules.remove(e, d.Rule.Text) })
 	case d.Operator != nil:
-		c.add(func(e *edit) { e.operators.remove(e, d.Operator.Text) })
+		c.addStep(func(e *edit) { e.operators.remove(e, d.Operator.Text) })
 	}
 }
 
-func (c *compiler) drained(name string, drained bool) {
-	c.add(func(e *edit) {
+func (c *compiler) setDrained(name string, drained bool) {
+	c.addStep(func(e *edit) {
 		if t := e.targets.get(e, name); t != nil {
 			t.Drained = drained
 		}
--- a/internal/command/edit.go
+++ b/internal/command/edit.go
@@ -8,8 +8,9 @@
 	"github.com/fireflypath/fireflypath/internal/check"
 )
 
-// edit is a configuration being changed. The lists are copies, their elements'
-// own lists are replaced and never written into.
+// edit is a configuration that is being changed. Its lists are copies. Lists within
+// their elements are shared with the old configuration, so they are replaced and never
+// modified in place.
 type edit struct {
 	now       time.Time
 	next      fireflypath.Config
@@ -33,7 +34,7 @@
 	return e
 }
 
-// config is the edited configuration; its generation is the next one.
+// config returns the edited configuration with the next generation number.
 func (e *edit) config() *fireflypath.Config {
 	next := e.next
 	next.Generation++
@@ -46,8 +47,8 @@
 	return &next
 }
 
-// table is a list with an index by name, so that a script of thousands of
-// commands does not search the whole list for each.
+// table is a list with an index by name. Without the index, a script of thousands of
+// commands would search the whole list for each of them.
 type table[T any] struct {
 	kind  string
 	list  []T
@@ -72,8 +73,8 @@
 	return -1
 }
 
-// put finds the element, or appends one with that name and says so.
-func (t *table[T]) put(name string) (element *T, created bool) {
+// getOrCreate returns the element with the name and appends it if it does not exist.
+func (t *table[T]) getOrCreate(name string) (element *T, created bool) {
 	i := t.find(name)
 	if i < 0 {
 		var zero T
@@ -86,7 +87,8 @@
 	return &t.list[i], created
 }
 
-// get finds the element, or reports that it does not exist.
+// get returns the element with the name. If it does not exist, get records a problem
+// and returns nil.
 func (t *table[T]) get(e *edit, name string) *T {
 	i := t.find(name)
 	if i < 0 {
--- a/internal/command/grammar.go
+++ b/internal/command/grammar.go
@@ -1,9 +1,10 @@
-// Package command is the language in which operators change the configuration and order targets.
+// Package command parses and applies the language in which operators change the configuration and send orders to targets.
 package command
 
 import "github.com/fireflypath/fireflypath/internal/syntax"
 
-// Grammar. Each field is a list so that one given twice can be refused by name.
+// Grammar of the language. Optional fields are lists so that a field given twice can be
+// reported at its position.
 type (
 	script struct {
 		Plan     bool         `parser:"@'plan'?"`
--- a/internal/command/key.go
+++ b/internal/command/key.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	hashBytes = 32
-	// minPrefix is the shortest part of a hash that "revoke key" takes: 8
-	// digits are 32 bits, so that among 30,000 teams' keys a prefix is seldom
-	// ambiguous, and an ambiguous one is refused.
-	minPrefix = 8
+	hashLength = 32
+	// minHashPrefix is the length of the shortest hash prefix that "revoke key"
+	// accepts. 8 digits are 32 bits, so a prefix is rarely ambiguous among the keys
+	// of 30,000 teams. An ambiguous prefix is refused.
+	minHashPrefix = 8
 )
 
-// key adds a key by its hash. The client makes the key and sends only the hash,
-// so that a lost answer does not lose the key, and no daemon, log or trail ever
-// holds it.
-func (c *compiler) key(k *key) {
-	hash, ok := c.one(k.Hash)
+// compileKey adds a key by its hash. The client generates the key and sends only the
+// hash, so that a lost response does not lose the key, and the key never appears in a
+// daemon, a log or the audit trail.
+func (c *compiler) compileKey(k *key) {
+	hash, ok := c.single(k.Hash)
 	if !ok {
 		owner := k.owner()
 		c.fail(owner, "the key's hash is missing: the client adds it, or give hash and the SHA-256 of the key")
 		return
 	}
-	if raw, err := hex.DecodeString(hash.Text); err != nil || len(raw) != hashBytes {
+	if raw, err := hex.DecodeString(hash.Text); err != nil || len(raw) != hashLength {
 		c.fail(hash, "expected the SHA-256 of a key, 64 hexadecimal digits")
 	}
 	var overlap time.Duration
-	c.duration(k.Overlap, func(d time.Duration) { overlap = d })
+	c.durationField(k.Overlap, func(d time.Duration) { overlap = d })
 	added := fireflypath.Key{Hash: strings.ToLower(hash.Text)}
-	c.add(func(e *edit) {
+	c.addStep(func(e *edit) {
 		if keys := k.keys(e); keys != nil {
 			*keys = rotate(*keys, added, overlap, e.now)
 		}
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// rotate adds a key. With an overlap the older keys end after it; keys that
-// have ended are dropped.
+// rotate adds a key and removes expired ones. If overlap is positive, older keys expire
+// after it.
 func rotate(old []fireflypath.Key, added fireflypath.Key, overlap time.Duration, now time.Time) []fireflypath.Key {
 	var out []fireflypath.Key
 	for _, k := range old {
@@ -77,17 +77,18 @@
 	return append(out, added)
 }
 
-func (c *compiler) revoke(hash syntax.Word) {
+func (c *compiler) compileRevoke(hash syntax.Word) {
 	prefix := strings.ToLower(hash.Text)
-	if len(prefix) < minPrefix || strings.Trim(prefix, "0123456789abcdef") != "" {
+	if len(prefix) < minHashPrefix || strings.Trim(prefix, "0123456789abcdef") != "" {
 		c.fail(hash, "expected at least 8 hexadecimal digits of the key's hash")
 		return
 	}
-	c.add(func(e *edit) { e.revoke(prefix) })
+	c.addStep(func(e *edit) { e.revokeKey(prefix) })
 }
 
-// revoke removes the one key whose hash begins with the prefix.
-func (e *edit) revoke(prefix string) {
+// revokeKey removes the only key whose hash starts with the prefix. It is a problem if
+// there is none or more than one.
+func (e *edit) revokeKey(prefix string) {
 	var found []*[]fireflypath.Key
 	match := func(k fireflypath.Key) bool { return strings.HasPrefix(k.Hash, prefix) }
 	for i := range e.teams.list {
@@ -104,22 +105,22 @@
 		e.problems.Add("key "+prefix, "matches the keys of %d owners, not one", len(found))
 		return
 	}
-	left := slices.DeleteFunc(slices.Clone(*found[0]), match)
-	if len(*found[0])-len(left) != 1 {
+	remaining := slices.DeleteFunc(slices.Clone(*found[0]), match)
+	if len(*found[0])-len(remaining) != 1 {
 		e.problems.Add("key "+prefix, "matches several keys of one owner")
 		return
 	}
-	*found[0] = left
+	*found[0] = remaining
 }
 
-// AddKeyHashes gives every key command of a text that names no hash one, made by the
-// given function for its owner, and returns the text with the hashes in it.
+// AddKeyHashes adds a hash to every key command in text that has none, and returns the
+// new text. It calls hash with the owner of the key, such as "team traders".
 func AddKeyHashes(text string, hash func(owner string) string) (string, error) {
 	parsed, err := language.Parse(text)
 	if err != nil {
 		return "", err
 	}
-	// From the last to the first, so that places before stay as they are.
+	// Insert from the end, so that the positions of earlier commands stay valid.
 	for _, cmd := range slices.Backward(parsed.Commands) {
 		if cmd.Key == nil || len(cmd.Key.Hash) > 0 {
 			continue
@@ -129,12 +130,12 @@
 		if text[owner.Pos.Offset] == '"' {
 			end += len(`""`)
 		}
-		text = text[:end] + " hash " + hash(cmd.Key.title()) + text[end:]
+		text = text[:end] + " hash " + hash(cmd.Key.ownerSubject()) + text[end:]
 	}
 	return text, nil
 }
 
-func (k *key) title() string {
+func (k *key) ownerSubject() string {
 	if k.Team != nil {
 		return "team " + k.Team.Text
 	}
--- a/internal/command/script.go
+++ b/internal/command/script.go
@@ -10,22 +10,23 @@
 	"github.com/fireflypath/fireflypath/internal/syntax"
 )
 
-// Script is one or several commands that are done together or not at all.
+// Script is a sequence of commands that are executed together or not at all.
 type Script struct {
-	// Plan is true if the script asks what it would do.
+	// Plan is true if the script only asks for a preview of its effect.
 	Plan bool
-	// Base is the generation it was written against; 0 means any.
+	// Base is the configuration generation that the script was written against;
+	// 0 means any.
 	Base uint64
-	// Order is set for an order to a target; a script holds either one order or
-	// any number of changes, because an order cannot be taken back.
+	// Order is set if the script is an order to a target. A script contains either
+	// one order or any number of changes, because an order cannot be undone.
 	Order *fireflypath.Order
 	steps []step
 }
 
-// step changes one thing of the configuration under edit.
+// step applies one command to the configuration.
 type step func(e *edit)
 
-// Parse reads a script. Its error is a *syntax.Error.
+// Parse parses a script. Its error is a *syntax.Error.
 func Parse(text string) (*Script, error) {
 	parsed, err := language.Parse(text)
 	if err != nil {
@@ -33,26 +34,26 @@
 	}
 	c := &compiler{text: text, script: &Script{Plan: parsed.Plan}}
 	if parsed.Base != nil {
-		c.script.Base = c.unsigned(*parsed.Base, "a generation number")
+		c.script.Base = c.parseUnsigned(*parsed.Base, "a generation number")
 	}
 	for _, cmd := range parsed.Commands {
-		c.command(cmd)
+		c.compileCommand(cmd)
 	}
-	c.whole(len(parsed.Commands))
+	c.checkScript(len(parsed.Commands))
 	if c.err != nil {
 		return nil, c.err
 	}
 	return c.script, nil
 }
 
-// Complete lists the keywords that may follow an unfinished text.
+// Complete returns the keywords that may follow an incomplete text.
 func Complete(text string) []string {
 	return language.Complete(text)
 }
 
-// Apply returns the next configuration; it does not change old and gives the
-// same result each time it is called with the same old. Its error is
-// check.Problems with all that is wrong.
+// Apply returns the configuration that results from applying the script to old. It does
+// not modify old and is deterministic. Its error is a check.Problems that lists
+// everything that is wrong.
 func (s *Script) Apply(old *fireflypath.Config, now time.Time) (*fireflypath.Config, error) {
 	e := newEdit(old, now)
 	for _, do := range s.steps {
@@ -69,7 +70,7 @@
 	return next, nil
 }
 
-// compiler turns the parsed commands into steps and keeps the first error.
+// compiler converts the parsed commands into steps and keeps the first error.
 type compiler struct {
 	text   string
 	script *Script
@@ -83,8 +84,8 @@
 	}
 }
 
-// whole checks what concerns the script and not one command.
-func (c *compiler) whole(n int) {
+// checkScript checks the script as a whole, which consists of n commands.
+func (c *compiler) checkScript(n int) {
 	if c.err != nil {
 		return
 	}
@@ -101,12 +102,12 @@
 	return line
 }
 
-func (c *compiler) add(s step) {
+func (c *compiler) addStep(s step) {
 	c.script.steps = append(c.script.steps, s)
 }
 
-// one is the value of a field that may be given once.
-func (c *compiler) one(words []syntax.Word) (syntax.Word, bool) {
+// single returns the value of a field that may be given at most once.
+func (c *compiler) single(words []syntax.Word) (syntax.Word, bool) {
 	if len(words) == 0 {
 		return syntax.Word{}, false
 	}
@@ -116,14 +117,14 @@
 	return words[0], true
 }
 
-func (c *compiler) string(words []syntax.Word, set func(string)) {
-	if w, ok := c.one(words); ok {
+func (c *compiler) stringField(words []syntax.Word, set func(string)) {
+	if w, ok := c.single(words); ok {
 		set(w.Text)
 	}
 }
 
-func (c *compiler) int(words []syntax.Word, set func(int)) {
-	w, ok := c.one(words)
+func (c *compiler) intField(words []syntax.Word, set func(int)) {
+	w, ok := c.single(words)
 	if !ok {
 		return
 	}
@@ -134,7 +135,7 @@
 	set(n)
 }
 
-func (c *compiler) unsigned(w syntax.Word, want string) uint64 {
+func (c *compiler) parseUnsigned(w syntax.Word, want string) uint64 {
 	n, err := strconv.ParseUint(w.Text, 10, 64)
 	if err != nil {
 		c.fail(w, "expected "+want)
@@ -142,8 +143,8 @@
 	return n
 }
 
-func (c *compiler) duration(words []syntax.Word, set func(time.Duration)) {
-	w, ok := c.one(words)
+func (c *compiler) durationField(words []syntax.Word, set func(time.Duration)) {
+	w, ok := c.single(words)
 	if !ok {
 		return
 	}
@@ -154,8 +155,8 @@
 	set(d)
 }
 
-func (c *compiler) bool(words []syntax.Word, set func(bool)) {
-	w, ok := c.one(words)
+func (c *compiler) boolField(words []syntax.Word, set func(bool)) {
+	w, ok := c.single(words)
 	if !ok {
 		return
 	}
@@ -165,8 +166,9 @@
 	set(w.Text == "yes")
 }
 
-// list is a list given once; the word "all" alone means the empty list.
-func (c *compiler) list(lists []list, set func([]string)) {
+// listField passes a list that may be given at most once to set. The single word "all"
+// means an empty list.
+func (c *compiler) listField(lists []list, set func([]string)) {
 	if len(lists) == 0 {
 		return
 	}
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -15,14 +15,14 @@
 var now = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
 const (
-	hashA = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
-	hashB = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
-	base  = `set tier gold rank 0 deadline 2s; set tier bronze rank 2 deadline 1m
+	hashA         = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
+	hashB         = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
+	tiersAndPools = `set tier gold rank 0 deadline 2s; set tier bronze rank 2 deadline 1m
 		set pool chat models m ; set pool packets kind service;`
 )
 
-// first is a whole small configuration, as an operator would write it.
-const first = `set tier gold rank 0 deadline 2s; set tier bronze rank 2 deadline 1m;
+// fullConfig creates a small configuration that uses every kind of element.
+const fullConfig = `set tier gold rank 0 deadline 2s; set tier bronze rank 2 deadline 1m;
 # pools and their targets
 set pool chat models m,n; set pool packets kind service;
 set target e1 pool chat addr 127.0.0.1:9001 domain a;
@@ -47,7 +47,7 @@
 
 func TestApply(t *testing.T) {
 	is := is.New(t)
-	cfg := apply(t, &fireflypath.Config{}, first)
+	cfg := apply(t, &fireflypath.Config{}, fullConfig)
 	is.Equal(cfg.Generation, uint64(1))
 	is.Equal(cfg.Tiers[0], fireflypath.Tier{Name: "gold", Deadline: fireflypath.Duration(2 * time.Second)})
 	is.Equal(cfg.Teams[0].Tiers, []string{"gold", "bronze"})
@@ -59,18 +59,18 @@
 	is.True(drained.Targets[0].Drained)
 	is.Equal(drained.Teams[0].Weight, 5)
 	is.Equal(drained.Teams[0].Pools, []string{"chat"})
-	is.True(!cfg.Targets[0].Drained) // the argument is not changed
-	back := apply(t, drained, "restore target e1; set team traders pools all; delete rule big")
-	is.True(!back.Targets[0].Drained)
-	is.Equal(len(back.Teams[0].Pools), 0)
-	is.Equal(len(back.Rules), 0)
+	is.True(!cfg.Targets[0].Drained) // Apply does not modify its argument
+	restored := apply(t, drained, "restore target e1; set team traders pools all; delete rule big")
+	is.True(!restored.Targets[0].Drained)
+	is.Equal(len(restored.Teams[0].Pools), 0)
+	is.Equal(len(restored.Rules), 0)
 }
 
-// A team's callers cannot all take a new key in the same second. Without the
-// overlap, those that still send the old one would be refused.
-func TestKeyRotatesWithOverlap(t *testing.T) {
+// The callers of a team cannot all switch to a new key at the same moment. During the
+// overlap the old key must stay valid, or callers that still use it would be refused.
+func TestOldKeyStaysValidDuringOverlap(t *testing.T) {
 	is := is.New(t)
-	cfg := apply(t, &fireflypath.Config{}, first)
+	cfg := apply(t, &fireflypath.Config{}, fullConfig)
 	hashC := strings.Repeat("c", 64)
 	next := apply(t, cfg, "key team traders overlap 24h hash "+hashC)
 	is.Equal(next.Teams[0].Keys, []fireflypath.Key{{Hash: hashA, Until: now.Add(24 * time.Hour)}, {Hash: hashC}})
@@ -110,33 +110,33 @@
 	}
 }
 
-func TestApplyRefusesWithAllProblems(t *testing.T) {
-	full := apply(t, &fireflypath.Config{}, first)
+func TestApplyReportsAllProblems(t *testing.T) {
+	cfg := apply(t, &fireflypath.Config{}, fullConfig)
 	for name, tc := range map[string]struct {
 		old  *fireflypath.Config
 		text string
 		want []string
 	}{
-		"two tiers of one rank": {full, "set tier silver rank 0", []string{"tier silver has rank 0, which tier gold has"}},
-		"missing names": {full, "set team t tiers nope pools none; set target x pool none addr localhost:1 domain a", []string{
+		"two tiers of one rank": {cfg, "set tier silver rank 0", []string{"tier silver has rank 0, which tier gold has"}},
+		"missing names": {cfg, "set team t tiers nope pools none; set target x pool none addr localhost:1 domain a", []string{
 			"team t names tier nope, which does not exist",
 			"team t names pool none, which does not exist",
 			"target x names pool none, which does not exist",
 			`target x has the address "localhost:1", which is not an IP number and a port`,
 		}},
-		"callers locked out":   {full, "delete team traders", []string{"teams would all be gone"}},
-		"last team key":        {full, "revoke key aaaaaaaa", []string{"teams would have no valid key left"}},
-		"operators locked out": {full, "set operator ana role ask", []string{"operators would have no valid key with the role change or order"}},
-		"operators gone":       {full, "delete operator ana", []string{"operators would all be gone"}},
+		"callers locked out":   {cfg, "delete team traders", []string{"teams would all be gone"}},
+		"last team key":        {cfg, "revoke key aaaaaaaa", []string{"teams would have no valid key left"}},
+		"operators locked out": {cfg, "set operator ana role ask", []string{"operators would have no valid key with the role change or order"}},
+		"operators gone":       {cfg, "delete operator ana", []string{"operators would all be gone"}},
 		"first operator":       {&fireflypath.Config{}, "set operator bo; key operator bo hash " + hashA, []string{"no further change could be made"}},
-		"engine without model": {full, "set pool x", []string{"pool x is of kind engine and has no models"}},
-		"model in two pools":   {full, "set pool x models m", []string{"pool x serves model m, which pool chat serves"}},
-		"pool in use":          {full, "delete pool chat", []string{"team traders names pool chat", "target e1 names pool chat", "target e2 names pool chat"}},
-		"fields":               {full, "set tier gold rank 16; set rule r act allow", []string{"tier gold has a value for rank that is not allowed: the most is 15", "rule r has a value for act that is not allowed: it must be one of admit, refuse, limit"}},
-		"limit without limit":  {full, "set rule r act limit", []string{"rule r limits and names no limit"}},
-		"key of two owners":    {full, "key operator ana hash " + hashA + "; set team x tiers gold; key team x hash " + hashA, []string{"team x has a key that team traders has"}},
-		"unknown names":        {full, "drain target no; delete rule no; key team no hash " + hashA, []string{"target no does not exist", "rule no does not exist", "team no does not exist"}},
-		"long name":            {full, "set team " + strings.Repeat("x", 65) + " tiers gold", []string{"has a value for name that is not allowed: the most is 64"}},
+		"engine without model": {cfg, "set pool x", []string{"pool x is of kind engine and has no models"}},
+		"model in two pools":   {cfg, "set pool x models m", []string{"pool x serves model m, which pool chat serves"}},
+		"pool in use":          {cfg, "delete pool chat", []string{"team traders names pool chat", "target e1 names pool chat", "target e2 names pool chat"}},
+		"fields":               {cfg, "set tier gold rank 16; set rule r act allow", []string{"tier gold has a value for rank that is not allowed: the most is 15", "rule r has a value for act that is not allowed: it must be one of admit, refuse, limit"}},
+		"limit without limit":  {cfg, "set rule r act limit", []string{"rule r limits and names no limit"}},
+		"key of two owners":    {cfg, "key operator ana hash " + hashA + "; set team x tiers gold; key team x hash " + hashA, []string{"team x has a key that team traders has"}},
+		"unknown names":        {cfg, "drain target no; delete rule no; key team no hash " + hashA, []string{"target no does not exist", "rule no does not exist", "team no does not exist"}},
+		"long name":            {cfg, "set team " + strings.Repeat("x", 65) + " tiers gold", []string{"has a value for name that is not allowed: the most is 64"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -155,7 +155,7 @@
 
 func TestPlan(t *testing.T) {
 	is := is.New(t)
-	cfg := apply(t, &fireflypath.Config{}, first)
+	cfg := apply(t, &fireflypath.Config{}, fullConfig)
 	next := apply(t, cfg, "drain target e1; drain target e2; set pool chat models n; set tier silver rank 1; delete rule big; set team traders tiers gold")
 	p := plan.New(cfg, next)
 	is.Equal(p.Lines, []string{
@@ -166,7 +166,7 @@
 		"~ target e2 drained false -> true",
 		"- rule big",
 	})
-	is.Equal(len(p.Breaks), 3) // no target left, a model unserved, a tier gone
+	is.Equal(len(p.Breaks), 3) // no target left, a model without pool, a tier removed from a team
 }
 
 func TestOrderAndBase(t *testing.T) {
@@ -181,14 +181,14 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, seed := range []string{first, base, "at 3 load target e1 model m", "plan revoke key aaaaaaaa", "set tier \"a b\" rank 0;;"} {
+	for _, seed := range []string{fullConfig, tiersAndPools, "at 3 load target e1 model m", "plan revoke key aaaaaaaa", "set tier \"a b\" rank 0;;"} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := command.Parse(text)
 		if err != nil {
 			if err.Error() == "" {
-				t.Fatal("an error without words")
+				t.Fatal("the error has an empty message")
 			}
 			return
 		}
--- a/internal/command/size_test.go
+++ b/internal/command/size_test.go
@@ -11,9 +11,9 @@
 	"github.com/fireflypath/fireflypath/internal/plan"
 )
 
-// sized is a configuration of the letter's shape: 3 tiers, 7 models, a target
-// for each eleven teams.
-func sized(teams int) *fireflypath.Config {
+// largeConfig has the proportions of the largest planned fleet: 3 tiers, 7 models and
+// one target for every eleven teams.
+func largeConfig(teams int) *fireflypath.Config {
 	cfg := &fireflypath.Config{Generation: 1}
 	for rank, name := range []string{"gold", "silver", "bronze"} {
 		cfg.Tiers = append(cfg.Tiers, fireflypath.Tier{Name: name, Rank: rank, Deadline: 1_000_000_000})
@@ -38,22 +38,22 @@
 	return cfg
 }
 
-// The letter's size must pass the limits, or the first large user could not
-// make a single change.
-func TestLettersSizeIsAllowed(t *testing.T) {
+// A configuration of 29,000 teams and 2,700 targets must be within the limits of package
+// check, or a fleet of that size could not make any change.
+func TestLargeConfigurationIsAllowed(t *testing.T) {
 	is := is.New(t)
 	s, err := command.Parse("drain target target2699")
 	is.NoErr(err)
-	next, err := s.Apply(sized(29_000), now)
+	next, err := s.Apply(largeConfig(29_000), now)
 	is.NoErr(err)
 	is.Equal(len(next.Targets), 2700)
 }
 
-// BenchmarkApply measures one change from words to a checked configuration.
+// BenchmarkApply measures one change, from parsing the command to the checked configuration.
 func BenchmarkApply(b *testing.B) {
 	for _, teams := range []int{5, 2_900, 29_000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			old := sized(teams)
+			old := largeConfig(teams)
 			b.ReportAllocs()
 			for b.Loop() {
 				s, err := command.Parse("set team team1 weight 3")
@@ -68,11 +68,11 @@
 	}
 }
 
-// BenchmarkPlan measures the comparison of two configurations.
+// BenchmarkPlan measures the comparison of two configurations with one difference.
 func BenchmarkPlan(b *testing.B) {
 	for _, teams := range []int{5, 2_900, 29_000} {
 		b.Run(fmt.Sprintf("teams=%d", teams), func(b *testing.B) {
-			old, next := sized(teams), sized(teams)
+			old, next := largeConfig(teams), largeConfig(teams)
 			next.Teams[2].Weight = 9
 			for b.Loop() {
 				plan.New(old, next)
