--- a/internal/command/compile.go
+++ b/internal/command/compile.go
@@ -102,7 +102,7 @@
 
 func (c *compiler) compilePool(s *pool) {
 	var ch assignments[fireflypath.Pool]
-	c.stringField(s.Kind, func(v string) { ch.add(func(p *fireflypath.Pool) { p.Kind = fireflypath.Kind(v) }) })
+	c.stringField(s.Kind, func(v string) { ch.add(func(p *fireflypath.Pool) { p.Kind = fireflypath.PoolKind(v) }) })
 	c.listField(s.Models, func(l []string) { ch.add(func(p *fireflypath.Pool) { p.Models = l }) })
 	c.intField(s.Requests, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Requests = n }) })
 	c.intField(s.Bytes, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Bytes = n }) })
