--- a/internal/send/conn.go
+++ b/internal/send/conn.go
@@ -17,7 +17,7 @@
 	written atomic.Int64
 	// readTimeout bounds each read; 0 means no timeout.
 	readTimeout time.Duration
-	// until, if set, takes the place of silence.
+	// readDeadline, if set, overrides readTimeout.
 	readDeadline time.Time
 	used         bool
 	// unfinished is the previous exchange, if its last chunk was not read yet.
--- a/internal/send/exchange.go
+++ b/internal/send/exchange.go
@@ -28,7 +28,8 @@
 	writtenBefore int64
 	reader        *bufio.Reader
 	body          io.Reader
-	// remaining counts down a body of known length; chunked is true for the other kind.
+	// remaining counts down the bytes of a body with a Content-Length; chunked is true
+	// for a chunked body.
 	remaining int
 	chunked   bool
 	complete  bool
--- a/internal/send/sender.go
+++ b/internal/send/sender.go
@@ -28,7 +28,7 @@
 	// maxConns bounds the connections to one target. The scheduler's window is far below.
 	maxConns = 1 << 14
 	// maxClients is the number of addresses above which those without connections are
-	// removed. It is above the 2,700 targets of the largest deployment, of which 160
+	// removed. It is above the 2,700 targets that must be supported, of which 160
 	// change their address per day.
 	maxClients = 4096
 	// writeTimeout bounds a write that makes no progress.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,4 +1,4 @@
-// Package service speaks HTTP with plain services.
+// Package service is a client of plain HTTP services.
 package service
 
 import (
@@ -19,175 +19,178 @@
 const (
 	headerID  = "X-Request-Id"
 	headerKey = "Idempotency-Key"
-	// maxNotice bounds a report and the answer of a target that did not run the work.
-	maxNotice = 64 << 10
-	// piece is the size of the pieces in which answers are passed on.
-	piece = 16 << 10
+	// maxErrorBody bounds the body of a 503 response in bytes.
+	maxErrorBody = 64 << 10
+	// chunkSize is the largest size of a chunk in which a response is passed on.
+	chunkSize = 16 << 10
 )
 
-// Service is the fireflypath.Backend and Watcher of service pools.
+// Service is the client of the targets of service pools. It implements
+// fireflypath.Backend and fireflypath.Watcher.
 type Service struct {
 	sender  *send.Sender
 	reports *report.Reader
 }
 
-// New returns a Service. An answer that brings nothing for silence is an
-// error: its outcome is unknown, because plain services cannot resume.
-func New(clock clockwork.Clock, silence time.Duration) *Service {
-	return &Service{sender: send.New(silence), reports: report.New(clock)}
+// New returns a Service. Reading a response fails if no bytes arrive for readTimeout. The
+// outcome of the request is then unknown, because plain services cannot resume a response.
+func New(clock clockwork.Clock, readTimeout time.Duration) *Service {
+	return &Service{sender: send.New(readTimeout), reports: report.New(clock)}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (s *Service) Close() {
 	s.sender.Close()
 	s.reports.Close()
 }
 
-// Dispatch sends the call once.
-func (s *Service) Dispatch(ctx context.Context, t fireflypath.Target, c *fireflypath.Call) (fireflypath.Answer, error) {
+// Dispatch sends the call once and returns when the response begins.
+func (s *Service) Dispatch(ctx context.Context, target fireflypath.Target, call *fireflypath.Call) (fireflypath.Answer, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.URI().DisablePathNormalizing = true
-	req.Header.SetMethod(c.Method)
-	req.SetRequestURI(c.Path)
-	req.Header.SetHost(t.Addr)
-	for k, v := range c.Header {
+	req.Header.SetMethod(call.Method)
+	req.SetRequestURI(call.Path)
+	req.Header.SetHost(target.Addr)
+	for k, v := range call.Header {
 		req.Header.Set(k, v)
 	}
-	req.Header.Set(headerID, c.ID)
-	if c.Key != "" {
-		req.Header.Set(headerKey, c.Key)
+	req.Header.Set(headerID, call.ID)
+	if call.Key != "" {
+		req.Header.Set(headerKey, call.Key)
 	}
-	req.SetBodyRaw(c.Body)
-	x, err := s.sender.Send(ctx, t.Addr, req, false)
+	req.SetBodyRaw(call.Body)
+	x, err := s.sender.Send(ctx, target.Addr, req, false)
 	if err != nil {
 		return nil, err
 	}
-	if string(x.Header.Peek(headerID)) != c.ID {
+	if string(x.Header.Peek(headerID)) != call.ID {
 		x.Close()
 		return nil, fireflypath.ErrRequestMismatch
 	}
 	if x.Header.StatusCode() == fasthttp.StatusServiceUnavailable {
-		return refused(x)
+		return newUnavailable(x)
 	}
-	return &answer{x: x, head: head(x)}, nil
+	return &answer{exchange: x, head: responseHead(x)}, nil
 }
 
-// Resume is not known to plain services.
+// Resume returns fireflypath.ErrGone: plain services cannot resume a response.
 func (s *Service) Resume(context.Context, fireflypath.Target, *fireflypath.Call, int) (fireflypath.Answer, error) {
 	return nil, fireflypath.ErrGone
 }
 
-// Cancel does nothing: plain services have no call for it.
+// Cancel does nothing: plain services have no way to cancel a request.
 func (s *Service) Cancel(context.Context, fireflypath.Target, string) error {
 	return nil
 }
 
-// Poll reads the load report.
-func (s *Service) Poll(ctx context.Context, t fireflypath.Target) ([]fireflypath.Event, error) {
-	return s.reports.Load(ctx, t, nil)
+// Poll reads the load report of a target.
+func (s *Service) Poll(ctx context.Context, target fireflypath.Target) ([]fireflypath.Event, error) {
+	return s.reports.Load(ctx, target, nil)
 }
 
-// hop lists the headers that belong to one connection (RFC 9110, 7.6.1) or are
-// written anew.
-var hop = map[string]bool{
+// omittedHeaders lists the headers that are not passed on to the caller: those that apply to
+// one connection only (RFC 9110, section 7.6.1) and those that are set anew.
+var omittedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Content-Length": true, "Date": true, "Server": true, headerID: true,
 }
 
-func head(x *send.Exchange) fireflypath.Head {
+func responseHead(x *send.Exchange) fireflypath.Head {
 	h := fireflypath.Head{Status: x.Header.StatusCode(), Cached: -1, Header: map[string]string{}}
 	for k, v := range x.Header.All() {
-		if !hop[string(k)] {
+		if !omittedHeaders[string(k)] {
 			h.Header[string(k)] = string(v)
 		}
 	}
 	return h
 }
 
-// refused reads a 503, which may state that the work was not run.
-func refused(x *send.Exchange) (fireflypath.Answer, error) {
-	h := head(x)
-	body, err := io.ReadAll(io.LimitReader(x, maxNotice))
+// newUnavailable reads a response with status 503. It returns an error if the body states
+// that the target did not run the request, and otherwise the response.
+func newUnavailable(x *send.Exchange) (fireflypath.Answer, error) {
+	h := responseHead(x)
+	body, err := io.ReadAll(io.LimitReader(x, maxErrorBody))
 	x.Close()
 	if err != nil {
 		return nil, errors.Wrap(err, "read error answer")
 	}
-	var m struct {
+	var message struct {
 		Error struct {
 			Code string `json:"code"`
 		} `json:"error"`
 	}
-	if json.Unmarshal(body, &m) == nil {
-		switch m.Error.Code {
+	if json.Unmarshal(body, &message) == nil {
+		switch message.Error.Code {
 		case "draining":
 			return nil, fireflypath.ErrDraining
 		case "not_run":
 			return nil, fireflypath.ErrNotRun
 		}
 	}
-	return &answer{x: nil, head: h, rest: body}, nil
+	return &answer{exchange: nil, head: h, buffered: body}, nil
 }
 
-// answer is a service's answer, passed on in pieces.
+// answer is the response of a service, which is passed on in chunks.
 type answer struct {
-	x    *send.Exchange
-	head fireflypath.Head
-	rest []byte
-	buf  []byte
-	sent int
+	// exchange is nil if the body was read completely into buffered.
+	exchange *send.Exchange
+	head     fireflypath.Head
+	buffered []byte
+	readBuf  []byte
+	offset   int
 }
 
-// Head is the status and header.
+// Head returns the status and the header.
 func (a *answer) Head() fireflypath.Head {
 	return a.head
 }
 
-// Length is the length of the body, or -1.
+// Length returns the length of the body, or -1 if it is not known in advance.
 func (a *answer) Length() int {
-	if a.x == nil {
-		return len(a.rest)
+	if a.exchange == nil {
+		return len(a.buffered)
 	}
-	return a.x.Length()
+	return a.exchange.Length()
 }
 
-// Next returns the next piece.
+// Next returns the next chunk.
 func (a *answer) Next(context.Context) (fireflypath.Chunk, error) {
-	if a.x == nil {
-		return a.last()
+	if a.exchange == nil {
+		return a.nextBuffered()
 	}
-	if a.buf == nil {
-		a.buf = make([]byte, a.size())
+	if a.readBuf == nil {
+		a.readBuf = make([]byte, a.readSize())
 	}
-	n, err := a.x.Read(a.buf)
+	n, err := a.exchange.Read(a.readBuf)
 	if n > 0 {
-		a.sent += n
-		return fireflypath.Chunk{Data: a.buf[:n], Offset: a.sent}, nil
+		a.offset += n
+		return fireflypath.Chunk{Data: a.readBuf[:n], Offset: a.offset}, nil
 	}
 	return fireflypath.Chunk{}, err
 }
 
-func (a *answer) size() int {
-	if n := a.x.Length(); n > 0 && n < piece {
+func (a *answer) readSize() int {
+	if n := a.exchange.Length(); n > 0 && n < chunkSize {
 		return n
 	}
-	return piece
+	return chunkSize
 }
 
-func (a *answer) last() (fireflypath.Chunk, error) {
-	if len(a.rest) == 0 {
+func (a *answer) nextBuffered() (fireflypath.Chunk, error) {
+	if len(a.buffered) == 0 {
 		return fireflypath.Chunk{}, io.EOF
 	}
-	c := fireflypath.Chunk{Data: a.rest, Offset: len(a.rest)}
-	a.rest = nil
+	c := fireflypath.Chunk{Data: a.buffered, Offset: len(a.buffered)}
+	a.buffered = nil
 	return c, nil
 }
 
-// Close gives the connection up.
+// Close releases the connection.
 func (a *answer) Close() error {
-	if a.x != nil {
-		a.x.Close()
+	if a.exchange != nil {
+		a.exchange.Close()
 	}
 	return nil
 }
