--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -56,8 +56,8 @@
 		req.Header.Set(k, v)
 	}
 	req.Header.Set(headerID, call.ID)
-	if call.Key != "" {
-		req.Header.Set(headerKey, call.Key)
+	if call.IdempotencyKey != "" {
+		req.Header.Set(headerKey, call.IdempotencyKey)
 	}
 	req.SetBodyRaw(call.Body)
 	x, err := s.sender.Send(ctx, target.Addr, req, false)
