--- a/internal/record/draft/draft.go
+++ b/internal/record/draft/draft.go
@@ -1,4 +1,4 @@
-// Package draft writes a request's record while the request is on its way.
+// Package draft builds a request's record while the request is processed.
 package draft
 
 import (
@@ -8,22 +8,22 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Draft collects the record of one request. It is used by the goroutine that
-// owns the request; a nil Draft does nothing, so that records can be left out.
+// Draft is the unfinished record of one request. Only the goroutine that owns the request uses
+// it. The methods of a nil Draft do nothing, so that recording can be disabled.
 type Draft struct {
-	rec fireflypath.Record
-	to  fireflypath.Recorder
-	// copy backs the record's candidates until End; nil before a placement.
-	copy *[]fireflypath.Candidate
+	rec      fireflypath.Record
+	recorder fireflypath.Recorder
+	// candidates backs the record's candidates until End. It is nil before the first placement.
+	candidates *[]fireflypath.Candidate
 }
 
-// New begins the record of w, decided on under the generation. It returns nil
-// if to is nil.
-func New(to fireflypath.Recorder, w *fireflypath.Work, generation uint64) *Draft {
-	if to == nil {
+// New starts the record of w, which is decided under the given configuration generation. It
+// returns nil if the recorder is nil.
+func New(recorder fireflypath.Recorder, w *fireflypath.Work, generation uint64) *Draft {
+	if recorder == nil {
 		return nil
 	}
-	d := &Draft{to: to}
+	d := &Draft{recorder: recorder}
 	d.rec = fireflypath.Record{
 		ID: w.ID, Team: w.Team, Tier: w.Tier, Pool: w.Pool,
 		Arrived: w.Arrived, Deadline: w.Deadline, Cost: w.Cost,
@@ -32,28 +32,28 @@
 	return d
 }
 
-// Rule names the operator's rule that decided.
+// Rule sets the name of the operator's rule that matched.
 func (d *Draft) Rule(name string) {
 	if d != nil {
 		d.rec.Rule = name
 	}
 }
 
-// Relief tells how a relief round went.
+// Relief sets the outcome of a relief round.
 func (d *Draft) Relief(outcome string) {
 	if d != nil {
 		d.rec.Relief = outcome
 	}
 }
 
-// Ahead is the number of requests that stood before it on arrival.
+// Ahead sets the number of requests that were queued before this one on arrival.
 func (d *Draft) Ahead(n int) {
 	if d != nil {
 		d.rec.Ahead = n
 	}
 }
 
-// Placed copies the decision, whose slice the scheduler uses again.
+// Placed records a dispatch. It copies the candidates, because the scheduler reuses their slice.
 func (d *Draft) Placed(now time.Time, p *fireflypath.Placement) {
 	if d == nil {
 		return
@@ -61,28 +61,28 @@
 	d.rec.Target = p.Target
 	d.rec.Ahead = p.Ahead
 	d.rec.Dispatched = now
-	d.borrow()
-	*d.copy = append(*d.copy, p.Considered...)
-	d.rec.Considered = *d.copy
+	d.resetCandidates()
+	*d.candidates = append(*d.candidates, p.Considered...)
+	d.rec.Considered = *d.candidates
 }
 
-// Refused copies what was known of the targets when the request was given up.
+// Refused records the state of the targets when the request was refused.
 func (d *Draft) Refused(views []fireflypath.TargetView) {
 	if d == nil {
 		return
 	}
-	d.borrow()
+	d.resetCandidates()
 	for i := range views {
-		*d.copy = append(*d.copy, candidate(&views[i], d.rec.Cost.Tokens()))
+		*d.candidates = append(*d.candidates, candidate(&views[i], d.rec.Cost.Tokens()))
 	}
-	d.rec.Considered = *d.copy
+	d.rec.Considered = *d.candidates
 }
 
-// candidate is a target as a refused request of so many tokens met it.
+// candidate describes a target as seen by a refused request with the given estimated tokens.
 func candidate(v *fireflypath.TargetView, tokens int) fireflypath.Candidate {
 	c := fireflypath.Candidate{Target: v.Target, Held: v.Held, Age: v.Age, Window: int(float64(v.Window) * v.Share)}
 	switch {
-	case v.State != ready:
+	case v.State != stateReady:
 		c.Skip = v.State
 	case v.Held > 0 && v.Held+tokens > c.Window:
 		c.Skip = "window full"
@@ -90,18 +90,18 @@
 	return c
 }
 
-// ready is the state of a target that takes work.
-const ready = "ready"
+// stateReady is the state of a target that accepts requests.
+const stateReady = "ready"
 
-// borrow empties the copy, or takes one from the pool.
-func (d *Draft) borrow() {
-	if d.copy == nil {
-		d.copy = copies.Get().(*[]fireflypath.Candidate)
+// resetCandidates empties the slice of candidates, or takes one from the pool.
+func (d *Draft) resetCandidates() {
+	if d.candidates == nil {
+		d.candidates = candidateSlices.Get().(*[]fireflypath.Candidate)
 	}
-	*d.copy = (*d.copy)[:0]
+	*d.candidates = (*d.candidates)[:0]
 }
 
-// Unsent takes the last placement back: no byte of it left.
+// Unsent reverts the last placement, of which no byte was sent.
 func (d *Draft) Unsent() {
 	if d == nil {
 		return
@@ -111,38 +111,38 @@
 	d.rec.Dispatched = time.Time{}
 }
 
-// First marks the first token or byte of the answer.
+// First sets the time of the first token or byte of the answer. Later calls have no effect.
 func (d *Draft) First(now time.Time) {
 	if d != nil && d.rec.First.IsZero() {
 		d.rec.First = now
 	}
 }
 
-// Resumed counts a new connection for the same answer.
+// Resumed counts a reconnection that continues the same answer.
 func (d *Draft) Resumed() {
 	if d != nil {
 		d.rec.Resumes++
 	}
 }
 
-// End hands the record over; ref is nil for a whole answer. The draft is not
-// to be used afterwards.
-func (d *Draft) End(now time.Time, state fireflypath.State, tokens int, ref *fireflypath.Refusal) {
+// End passes the record to the recorder. The refusal is nil for a complete answer. The draft must
+// not be used afterwards.
+func (d *Draft) End(now time.Time, state fireflypath.State, tokens int, refusal *fireflypath.Refusal) {
 	if d == nil {
 		return
 	}
 	d.rec.Ended = now
 	d.rec.State = state.String()
 	d.rec.Tokens = tokens
-	d.rec.Refusal = ref
-	d.to.Keep(&d.rec)
+	d.rec.Refusal = refusal
+	d.recorder.Keep(&d.rec)
 	d.rec.Considered = nil
-	if d.copy != nil {
-		copies.Put(d.copy)
-		d.copy = nil
+	if d.candidates != nil {
+		candidateSlices.Put(d.candidates)
+		d.candidates = nil
 	}
 }
 
-// copies holds *[]fireflypath.Candidate between requests: a copy of a dozen
-// candidates is a kilobyte, most of what a record would cost the collector.
-var copies = sync.Pool{New: func() any { return new([]fireflypath.Candidate) }}
+// candidateSlices reuses *[]fireflypath.Candidate between requests. A copy of a dozen candidates is
+// a kilobyte, which would be most of a record's cost to the garbage collector.
+var candidateSlices = sync.Pool{New: func() any { return new([]fireflypath.Candidate) }}
--- a/internal/record/ring_test.go
+++ b/internal/record/ring_test.go
@@ -18,7 +18,7 @@
 	"github.com/fireflypath/fireflypath/internal/record/draft"
 )
 
-func rec(id string, state fireflypath.State, candidates int) *fireflypath.Record {
+func newRecord(id string, state fireflypath.State, candidates int) *fireflypath.Record {
 	return &fireflypath.Record{
 		ID: id, State: state.String(),
 		Considered: make([]fireflypath.Candidate, candidates),
@@ -29,9 +29,9 @@
 	is := is.New(t)
 	r := record.New(0)
 	for i := range 5 {
-		r.Keep(rec(fmt.Sprint("d1.", i), fireflypath.StateAnswered, 1))
+		r.Keep(newRecord(fmt.Sprint("d1.", i), fireflypath.StateAnswered, 1))
 	}
-	r.Keep(rec("d1.shed", fireflypath.StateShed, 0))
+	r.Keep(newRecord("d1.shed", fireflypath.StateShed, 0))
 	is.Equal(r.Find("d1.3").ID, "d1.3")
 	is.Equal(r.Find("d1.nobody"), nil)
 	var ids []string
@@ -42,15 +42,14 @@
 	is.Equal(ids, []string{"d1.shed", "d1.4", "d1.3"})
 }
 
-// A burst of answered requests fills the memory for records. If it pushed out
-// the refused ones, an operator who asks why a trader was shed a minute ago
-// would read that nothing is known.
-func TestRingAnsweredDoNotPushOutRefused(t *testing.T) {
+// A burst of answered requests must not evict the records of refused ones: operators ask why a
+// request was refused a minute ago.
+func TestRingAnsweredDoNotEvictRefused(t *testing.T) {
 	is := is.New(t)
 	r := record.New(1 << 20)
-	r.Keep(rec("d1.shed", fireflypath.StateShed, 12))
+	r.Keep(newRecord("d1.shed", fireflypath.StateShed, 12))
 	for i := range 20_000 {
-		r.Keep(rec(fmt.Sprint("d1.", i), fireflypath.StateAnswered, 12))
+		r.Keep(newRecord(fmt.Sprint("d1.", i), fireflypath.StateAnswered, 12))
 	}
 	is.True(r.Dropped() > 0)
 	is.True(r.Find("d1.shed") != nil)
@@ -58,9 +57,8 @@
 	is.True(r.Find("d1.19999") != nil)
 }
 
-// Whatever is kept, the memory stays within the bound, and what
-// is found is what was kept last under that id: with candidates and without,
-// over repeated ids and through the ring's wrap-around.
+// Stores random records, with and without candidates, with repeated ids and past the buffer's
+// wrap-around. Memory stays within the limit, and Find returns the record stored last for an id.
 func TestRingStaysWithinBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 256 << 10
@@ -71,7 +69,7 @@
 		seed := rapid.Uint64().Draw(t, "seed")
 		rnd := rand.New(rand.NewPCG(seed, seed))
 		for i := range n {
-			k := rec(fmt.Sprint("d1.", rnd.IntN(ids)), fireflypath.StateAnswered, rnd.IntN(40))
+			k := newRecord(fmt.Sprint("d1.", rnd.IntN(ids)), fireflypath.StateAnswered, rnd.IntN(40))
 			k.Tokens = i
 			last[k.ID] = i
 			r.Keep(k)
@@ -79,16 +77,16 @@
 				continue
 			}
 			if got := r.Find(k.ID); got == nil || got.Tokens != i || len(got.Considered) > 16 {
-				t.Fatalf("kept %d, found %+v", i, got)
+				t.Fatalf("stored %d, found %+v", i, got)
 			}
 		}
 		if r.Bytes() > limit {
-			t.Fatalf("%d bytes taken of at most %d", r.Bytes(), limit)
+			t.Fatalf("%d bytes allocated, limit %d", r.Bytes(), limit)
 		}
 		newest := n
 		r.Each(func(k *fireflypath.Record) bool {
 			if k.Tokens >= newest {
-				t.Fatalf("%d listed behind %d", k.Tokens, newest)
+				t.Fatalf("record %d listed after %d", k.Tokens, newest)
 			}
 			newest = k.Tokens
 			if newest%50 != 0 {
@@ -102,7 +100,7 @@
 	})
 }
 
-func TestPackKeepsAllFields(t *testing.T) {
+func TestCodecKeepsAllFields(t *testing.T) {
 	is := is.New(t)
 	at := func(s int64) time.Time { return time.Unix(1_000_000+s, 5).UTC() }
 	want := fireflypath.Record{
@@ -120,7 +118,7 @@
 	}
 	v := reflect.ValueOf(want)
 	for i := range v.NumField() {
-		is.True(!v.Field(i).IsZero()) // a new field must be added here, and to pack
+		is.True(!v.Field(i).IsZero()) // a new field must be added here and to codec.record
 	}
 	r := record.New(0)
 	kept := want
@@ -129,10 +127,10 @@
 	is.Equal(*r.Find("d1.X"), want)
 }
 
-func TestTrimKeepsChosenAndBest(t *testing.T) {
+func TestCandidateLimitKeepsChosenAndBest(t *testing.T) {
 	is := is.New(t)
 	r := record.New(0)
-	k := rec("d1.a", fireflypath.StateAnswered, 0)
+	k := newRecord("d1.a", fireflypath.StateAnswered, 0)
 	k.Target = "e29"
 	for i := range 30 {
 		k.Considered = append(k.Considered, fireflypath.Candidate{
@@ -146,8 +144,8 @@
 	is.Equal(got[15].Target, "e14")
 }
 
-// The scheduler uses its slice of candidates again for the next request. If
-// the record shared it, "why" would show another request's figures.
+// The scheduler reuses its slice of candidates for the next request. If the record shared the
+// slice, "why" would show the figures of another request.
 func TestDraftCopiesCandidates(t *testing.T) {
 	is := is.New(t)
 	r := record.New(0)
@@ -169,9 +167,9 @@
 	is.Equal(got.State, "answered")
 }
 
-// A refused request was sent nowhere. What its targets held at that moment is
-// the only way to tell a full pool from one whose targets were all gone.
-func TestDraftOfARefusedRequest(t *testing.T) {
+// A refused request has no placement. Its record must contain the state of the targets: only that
+// distinguishes a full pool from one without usable targets.
+func TestDraftOfRefusedRequest(t *testing.T) {
 	is := is.New(t)
 	r := record.New(0)
 	d := draft.New(r, &fireflypath.Work{ID: "d1.x", Cost: fireflypath.Cost{Prompt: 100}}, 9)
@@ -191,13 +189,13 @@
 	})
 }
 
-// Records of 12 considered targets are kept at a steady rate; the test prints
-// how long one lives, and fails if a figure in OPERATORS.md is no longer held.
+// Prints how long a record with 12 considered targets is kept at constant rates. Fails if fewer
+// records are kept than OPERATORS.md promises.
 func TestRetention(t *testing.T) {
 	is := is.New(t)
 	r := record.New(0)
 	for i := range 30_000 {
-		r.Keep(typical(i))
+		r.Keep(typicalRecord(i))
 	}
 	n := 0
 	r.Each(func(*fireflypath.Record) bool { n++; return true })
@@ -205,9 +203,9 @@
 	is.True(n >= 16_000)
 }
 
-// typical is an answered request of today's users: 12 targets considered, with
-// figures of the size that trials show.
-func typical(i int) *fireflypath.Record {
+// typicalRecord returns the record of an answered request as current users send them, with 12
+// considered targets and figures of the size seen in trials.
+func typicalRecord(i int) *fireflypath.Record {
 	at := time.Unix(1_700_000_000, 123_456_789)
 	r := &fireflypath.Record{
 		ID: fmt.Sprintf("d1.01JE%022d", i), Team: "traders", Tier: "gold", Pool: "chat",
@@ -224,13 +222,13 @@
 	return r
 }
 
-// BenchmarkKeep measures a record from draft to ring, with all cores at once.
+// BenchmarkKeep measures building and storing a record, in parallel on all cores.
 func BenchmarkKeep(b *testing.B) {
 	to := record.New(0)
 	var n atomic.Uint64
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
-		k := typical(0)
+		k := typicalRecord(0)
 		p := fireflypath.Placement{Target: k.Target, Considered: k.Considered}
 		for pb.Next() {
 			w := &fireflypath.Work{ID: "d1.01JE" + strconv.FormatUint(n.Add(1), 36), Team: k.Team, Arrived: k.Arrived}
--- a/internal/record/shard.go
+++ b/internal/record/shard.go
@@ -7,49 +7,49 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// headBytes are the length, the id's hash and the sequence number in front of
-// each packed record.
-const headBytes = 4 + 8 + 8
-
-// shard is a circular buffer of packed records. Offsets count all bytes ever
-// written; an offset's place is its remainder by the buffer's length. There is
-// no index: a record is kept for each request and looked for when an operator
-// asks, and a look through the heads of one shard takes well under a
-// millisecond.
+// headerBytes is the size of the header in front of each encoded record: its length, the hash of
+// the id and the sequence number.
+const headerBytes = 4 + 8 + 8
+
+// shard is a circular buffer of encoded records. Offsets count all bytes ever written; the index
+// in the buffer is the offset modulo the buffer's length. There is no index by id: every request
+// stores a record, but only operators' queries search for one, and scanning the headers of one
+// shard takes well under a millisecond.
 type shard struct {
 	mu  sync.Mutex
 	buf []byte
-	// head is the oldest record's offset, tail the end of the newest.
+	// head is the offset of the oldest record, tail the end of the newest.
 	head, tail uint64
 	limit      int
-	// _ keeps neighbours' locks on other cache lines.
+	// The padding keeps the locks of adjacent shards on different cache lines.
 	_ [64]byte
 }
 
-// keep adds a record and returns how many made room for it. One that is larger
-// than the whole shard is not kept.
-func (s *shard) keep(hash, seq uint64, packed []byte) (dropped uint64) {
-	need := headBytes + len(packed)
-	if need > s.limit {
+// append adds a record and returns the number of records dropped: those evicted for it, or the
+// record itself if it is larger than the whole shard.
+func (s *shard) append(hash, seq uint64, encoded []byte) (dropped uint64) {
+	size := headerBytes + len(encoded)
+	if size > s.limit {
 		return 1
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.buf == nil {
-		// The whole buffer at once: memory not written yet takes no room in the
-		// host, and a buffer that grows leaves its old ones to the collector.
+		// The whole buffer is allocated at once: pages that were never written take no memory of
+		// the host, and a growing buffer would leave its previous copies to the garbage
+		// collector.
 		s.buf = make([]byte, s.limit)
 	}
-	for s.used()+need > s.limit {
-		s.head += uint64(headBytes + s.header(s.head).size)
+	for s.used()+size > s.limit {
+		s.head += uint64(headerBytes + s.header(s.head).size)
 		dropped++
 	}
-	var h [headBytes]byte
-	binary.LittleEndian.PutUint32(h[:], uint32(len(packed)))
+	var h [headerBytes]byte
+	binary.LittleEndian.PutUint32(h[:], uint32(len(encoded)))
 	binary.LittleEndian.PutUint64(h[4:], hash)
 	binary.LittleEndian.PutUint64(h[12:], seq)
 	s.write(h[:])
-	s.write(packed)
+	s.write(encoded)
 	return dropped
 }
 
@@ -64,27 +64,27 @@
 	s.tail += uint64(len(b))
 }
 
-func (s *shard) read(at uint64, n int) []byte {
+func (s *shard) read(offset uint64, n int) []byte {
 	out := make([]byte, n)
-	s.copy(out, at)
+	s.readInto(out, offset)
 	return out
 }
 
-func (s *shard) copy(out []byte, at uint64) {
-	i := int(at % uint64(len(s.buf)))
-	n := copy(out, s.buf[i:])
-	copy(out[n:], s.buf)
+func (s *shard) readInto(dst []byte, offset uint64) {
+	i := int(offset % uint64(len(s.buf)))
+	n := copy(dst, s.buf[i:])
+	copy(dst[n:], s.buf)
 }
 
-// header is what stands in front of a packed record.
+// header describes the encoded record that follows it.
 type header struct {
 	size      int
 	hash, seq uint64
 }
 
-func (s *shard) header(at uint64) header {
-	var b [headBytes]byte
-	s.copy(b[:], at)
+func (s *shard) header(offset uint64) header {
+	var b [headerBytes]byte
+	s.readInto(b[:], offset)
 	return header{
 		size: int(binary.LittleEndian.Uint32(b[:])),
 		hash: binary.LittleEndian.Uint64(b[4:]),
@@ -92,65 +92,65 @@
 	}
 }
 
-// find returns the newest record of the id, or nil.
+// find returns the newest record with the id, or nil.
 func (s *shard) find(hash uint64, id string) *fireflypath.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found *fireflypath.Record
-	s.each(func(at uint64, h header) {
+	s.forEach(func(offset uint64, h header) {
 		if h.hash != hash {
 			return
 		}
-		if r := s.unpack(at); r.ID == id {
+		if r := s.recordAt(offset); r.ID == id {
 			found = r
 		}
 	})
 	return found
 }
 
-// each visits the heads from the oldest to the newest.
-func (s *shard) each(fn func(at uint64, h header)) {
-	for at := s.head; at < s.tail; {
-		h := s.header(at)
-		fn(at, h)
-		at += uint64(headBytes + h.size)
+// forEach calls fn for the headers from the oldest to the newest. The caller holds mu.
+func (s *shard) forEach(fn func(offset uint64, h header)) {
+	for offset := s.head; offset < s.tail; {
+		h := s.header(offset)
+		fn(offset, h)
+		offset += uint64(headerBytes + h.size)
 	}
 }
 
-func (s *shard) unpack(at uint64) *fireflypath.Record {
-	return unpack(s.read(at+headBytes, s.header(at).size))
+func (s *shard) recordAt(offset uint64) *fireflypath.Record {
+	return decode(s.read(offset+headerBytes, s.header(offset).size))
 }
 
-// bytes is the memory taken.
-func (s *shard) bytes() int {
+// allocated returns the size of the buffer, 0 before the first record.
+func (s *shard) allocated() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.buf)
 }
 
-// place is where a record was when it was listed.
-type place struct {
-	shard *shard
-	seq   uint64
-	at    uint64
+// location is the position of a record when it was listed.
+type location struct {
+	shard  *shard
+	seq    uint64
+	offset uint64
 }
 
-func (s *shard) list(out []place) []place {
+func (s *shard) appendLocations(out []location) []location {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.each(func(at uint64, h header) {
-		out = append(out, place{shard: s, seq: h.seq, at: at})
+	s.forEach(func(offset uint64, h header) {
+		out = append(out, location{shard: s, seq: h.seq, offset: offset})
 	})
 	return out
 }
 
-// load reads a listed record, or returns nil if it has made room meanwhile.
-func (p place) load() *fireflypath.Record {
-	s := p.shard
+// record returns a listed record, or nil if it has been evicted since.
+func (l location) record() *fireflypath.Record {
+	s := l.shard
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p.at < s.head || p.at >= s.tail || s.header(p.at).seq != p.seq {
+	if l.offset < s.head || l.offset >= s.tail || s.header(l.offset).seq != l.seq {
 		return nil
 	}
-	return s.unpack(p.at)
+	return s.recordAt(l.offset)
 }
