--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -7,7 +7,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// Load reads and checks a settings file. Faults of its content are Problems.
+// Load reads and validates a settings file. Invalid content is returned as Problems.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -16,18 +16,18 @@
 	return Parse(path, text)
 }
 
-// Parse reads and checks settings; the path only appears in problems.
+// Parse decodes and validates settings. The path is used only in problems.
 func Parse(path string, text []byte) (*Settings, error) {
 	root, err := hujson.Parse(text)
 	if err != nil {
-		return nil, syntax(path, err)
+		return nil, syntaxProblems(path, err)
 	}
 	d := newDecoder(path, text)
 	var s Settings
-	d.value(rootName, &s, root)
+	d.decodeRoot(rootName, &s, root)
 	d.check(&s)
 	if len(d.problems) > 0 {
-		return nil, d.sorted()
+		return nil, d.sortedProblems()
 	}
 	return &s, nil
 }
