--- a/internal/record/ring.go
+++ b/internal/record/ring.go
@@ -64,7 +64,7 @@
 	buf := r.encodeBuffers.Get().(*[]byte)
 	*buf = encode((*buf)[:0], rec)
 	hash := xxhash.Sum64String(rec.ID)
-	r.dropped.Add(r.shard(hash, rec).append(hash, r.seq.Add(1), *buf))
+	r.dropped.Add(r.shard(hash, rec).put(hash, r.seq.Add(1), *buf))
 	r.encodeBuffers.Put(buf)
 }
 
--- a/internal/record/shard.go
+++ b/internal/record/shard.go
@@ -25,9 +25,9 @@
 	_ [64]byte
 }
 
-// append adds a record and returns the number of records dropped: those evicted for it, or the
+// put adds a record and returns the number of records dropped: those evicted for it, or the
 // record itself if it is larger than the whole shard.
-func (s *shard) append(hash, seq uint64, encoded []byte) (dropped uint64) {
+func (s *shard) put(hash, seq uint64, encoded []byte) (dropped uint64) {
 	size := headerBytes + len(encoded)
 	if size > s.limit {
 		return 1
