--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -38,7 +38,7 @@
 	c.time(&r.Arrived)
 	c.time(&r.Deadline)
 	c.integer(&r.Cost.Prompt)
-	c.integer(&r.Cost.Output)
+	c.integer(&r.Cost.MaxOutput)
 	c.uvarint(&r.Generation)
 	c.integer(&r.Ahead)
 	c.text(&r.Rule)
@@ -46,7 +46,7 @@
 	c.text(&r.Target)
 	slice(c, &r.Considered, (*codec).candidate)
 	c.time(&r.Dispatched)
-	c.time(&r.First)
+	c.time(&r.FirstOutput)
 	c.time(&r.Ended)
 	c.integer(&r.Resumes)
 	c.text(&r.Relief)
@@ -57,13 +57,13 @@
 
 func (c *codec) candidate(v *fireflypath.Candidate) {
 	c.text(&v.Target)
-	c.integer(&v.Held)
+	c.integer(&v.InFlight)
 	c.integer(&v.Reported)
 	c.duration(&v.Age)
 	c.integer(&v.Window)
-	c.integer(&v.Hit)
+	c.integer(&v.CachedPrompt)
 	c.float(&v.Score)
-	c.text(&v.Skip)
+	c.text(&v.SkipReason)
 }
 
 func (c *codec) refusal(r *fireflypath.Refusal) {
