--- a/internal/check/problems.go
+++ b/internal/check/problems.go
@@ -40,8 +40,8 @@
 	return p
 }
 
-// From finds the problems in an error's chain.
-func From(err error) (Problems, bool) {
+// AsProblems finds the problems in an error's chain.
+func AsProblems(err error) (Problems, bool) {
 	var p Problems
 	ok := errors.As(err, &p)
 	return p, ok
--- a/internal/command/script.go
+++ b/internal/command/script.go
@@ -61,7 +61,7 @@
 	}
 	next := e.config()
 	if err := check.Config(old, next); err != nil {
-		found, _ := check.From(err)
+		found, _ := check.AsProblems(err)
 		e.problems = append(e.problems, found...)
 	}
 	if err := e.problems.Err(); err != nil {
--- a/internal/operator/do.go
+++ b/internal/operator/do.go
@@ -213,7 +213,7 @@
 func refusedResult(result wire.CommandResult, err error) wire.CommandResult {
 	result.Outcome = wire.OutcomeRefused
 	result.Detail = err.Error()
-	if problems, ok := check.From(err); ok {
+	if problems, ok := check.AsProblems(err); ok {
 		result.Problems = problems
 		result.Detail = problems.Error()
 	}
