--- a/internal/check/check.go
+++ b/internal/check/check.go
@@ -12,9 +12,9 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Bounds of a configuration. The letter names 29,000 teams, 2,700 targets, 7
-// models and 3 tiers; the bounds leave room above that and keep a mistake, such
-// as a script in a loop, from filling every daemon's memory.
+// Limits of a configuration. They allow for more than the specified 29,000 teams, 2,700
+// targets, 7 models and 3 tiers, and prevent a mistake, such as a script in a loop, from
+// filling the memory of every daemon.
 const (
 	MaxTiers     = 16
 	MaxTeams     = 40_000
@@ -23,52 +23,54 @@
 	MaxRules     = 256
 	MaxOperators = 256
 	MaxKeys      = 8
-	MaxNames     = 64
-	// MaxBytes bounds the whole configuration as JSON: 29,000 teams of some 200
-	// bytes are 6 MB, and a daemon has 32 MB for all of control.
+	// MaxNames is the maximum length of a list of names, such as a team's pools.
+	MaxNames = 64
+	// MaxBytes limits the size of the configuration as JSON. 29,000 teams of about 200
+	// bytes take 6 MB, and a daemon has 32 MB for its whole control plane.
 	MaxBytes = 12 << 20
 )
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Config checks the next configuration against itself and, for what would lock
-// people out, against the one in force; old may be nil. It returns Problems
-// that hold everything found, or nil.
+// Config checks the next configuration. If old, the configuration in force, is not nil,
+// Config also refuses changes that would lock out all callers or operators. It returns a
+// Problems value with everything it found, or nil.
 func Config(old, next *fireflypath.Config) error {
 	c := &checker{cfg: next}
-	c.fields(old)
-	c.sizes()
-	c.tiers()
-	c.pools()
-	c.teams()
-	c.targets()
-	c.rules()
-	c.operators()
+	c.checkFields(old)
+	c.checkSizes()
+	c.checkTiers()
+	c.checkPools()
+	c.checkTeams()
+	c.checkTargets()
+	c.checkRules()
+	c.checkOperators()
 	if old != nil {
-		c.lockout(old)
+		c.checkLockout(old)
 	}
 	return c.problems.Err()
 }
 
+// checker checks one configuration and collects the problems.
 type checker struct {
-	cfg      *fireflypath.Config
-	problems Problems
-	tierSet  names
-	poolSet  names
-	teamSet  names
+	cfg       *fireflypath.Config
+	problems  Problems
+	tierNames nameSet
+	poolNames nameSet
+	teamNames nameSet
 }
 
-// names is a set of the names of one kind.
-type names map[string]struct{}
+// nameSet contains the names of all elements of one kind.
+type nameSet map[string]struct{}
 
-func (n names) has(name string) bool {
+func (n nameSet) has(name string) bool {
 	_, ok := n[name]
 	return ok
 }
 
-// collect reads the names of a kind and reports those given twice.
-func collect[T any](c *checker, kind string, list []T, name func(*T) string) names {
-	set := make(names, len(list))
+// collectNames returns the names of a list and reports duplicates.
+func collectNames[T any](c *checker, kind string, list []T, name func(*T) string) nameSet {
+	set := make(nameSet, len(list))
 	for i := range list {
 		s := name(&list[i])
 		if set.has(s) {
@@ -79,7 +81,7 @@
 	return set
 }
 
-func (c *checker) sizes() {
+func (c *checker) checkSizes() {
 	bounds := []struct {
 		kind   string
 		n, max int
@@ -96,15 +98,16 @@
 			c.problems.Add(b.kind, "are %d, above the limit of %d", b.n, b.max)
 		}
 	}
-	if n := c.bytes(); n > MaxBytes {
+	if n := c.encodedSize(); n > MaxBytes {
 		c.problems.Add("configuration", "is about %d bytes, above the limit of %d", n, MaxBytes)
 	}
 }
 
-// bytes is the length of the configuration as JSON, written element by element:
-// a buffer for all of it would be most of the memory that a check takes.
-func (c *checker) bytes() int {
-	var n counter
+// encodedSize returns the approximate size of the configuration as JSON. It encodes one
+// element at a time, because a buffer for the whole would be most of the memory that a
+// check uses.
+func (c *checker) encodedSize() int {
+	var n byteCounter
 	enc := json.NewEncoder(&n)
 	err := errors.Join(
 		encode(enc, c.cfg.Tiers), encode(enc, c.cfg.Teams), encode(enc, c.cfg.Pools),
@@ -125,16 +128,16 @@
 	return nil
 }
 
-// counter is a writer that keeps only the length.
-type counter int
+// byteCounter is an io.Writer that counts the bytes written.
+type byteCounter int
 
-func (n *counter) Write(p []byte) (int, error) {
-	*n += counter(len(p))
+func (n *byteCounter) Write(p []byte) (int, error) {
+	*n += byteCounter(len(p))
 	return len(p), nil
 }
 
-func (c *checker) tiers() {
-	c.tierSet = collect(c, "tier", c.cfg.Tiers, func(t *fireflypath.Tier) string { return t.Name })
+func (c *checker) checkTiers() {
+	c.tierNames = collectNames(c, "tier", c.cfg.Tiers, func(t *fireflypath.Tier) string { return t.Name })
 	ranks := make(map[int]string, len(c.cfg.Tiers))
 	for _, t := range c.cfg.Tiers {
 		if other, taken := ranks[t.Rank]; taken && other != t.Name {
@@ -144,8 +147,8 @@
 	}
 }
 
-func (c *checker) pools() {
-	c.poolSet = collect(c, "pool", c.cfg.Pools, func(p *fireflypath.Pool) string { return p.Name })
+func (c *checker) checkPools() {
+	c.poolNames = collectNames(c, "pool", c.cfg.Pools, func(p *fireflypath.Pool) string { return p.Name })
 	served := make(map[string]string)
 	for _, p := range c.cfg.Pools {
 		if p.Kind == fireflypath.KindEngine && len(p.Models) == 0 {
@@ -154,7 +157,7 @@
 		if p.Kind == fireflypath.KindService && len(p.Models) > 0 {
 			c.problems.Add("pool "+p.Name, "is of kind service and has models")
 		}
-		c.list("pool "+p.Name, "models", len(p.Models), MaxNames)
+		c.checkLength("pool "+p.Name, "models", len(p.Models), MaxNames)
 		for _, m := range p.Models {
 			if other, taken := served[m]; taken && other != p.Name {
 				c.problems.Add("pool "+p.Name, "serves model %s, which pool %s serves", m, other)
@@ -164,23 +167,24 @@
 	}
 }
 
-func (c *checker) teams() {
-	c.teamSet = collect(c, "team", c.cfg.Teams, func(t *fireflypath.Team) string { return t.Name })
+func (c *checker) checkTeams() {
+	c.teamNames = collectNames(c, "team", c.cfg.Teams, func(t *fireflypath.Team) string { return t.Name })
 	owners := make(map[string]string)
 	for i := range c.cfg.Teams {
 		t := &c.cfg.Teams[i]
 		subject := "team " + t.Name
-		c.named(subject, "tier", t.Tiers, c.tierSet)
-		c.named(subject, "pool", t.Pools, c.poolSet)
-		c.list(subject, "tiers", len(t.Tiers), MaxNames)
-		c.list(subject, "pools", len(t.Pools), MaxNames)
-		c.keys(subject, t.Keys, owners)
+		c.checkReferences(subject, "tier", t.Tiers, c.tierNames)
+		c.checkReferences(subject, "pool", t.Pools, c.poolNames)
+		c.checkLength(subject, "tiers", len(t.Tiers), MaxNames)
+		c.checkLength(subject, "pools", len(t.Pools), MaxNames)
+		c.checkKeys(subject, t.Keys, owners)
 	}
 }
 
-// keys finds keys held twice: two owners of one key could not be told apart.
-func (c *checker) keys(subject string, keys []fireflypath.Key, owners map[string]string) {
-	c.list(subject, "keys", len(keys), MaxKeys)
+// checkKeys reports keys that are used twice, because their owners could not be
+// distinguished.
+func (c *checker) checkKeys(subject string, keys []fireflypath.Key, owners map[string]string) {
+	c.checkLength(subject, "keys", len(keys), MaxKeys)
 	for _, k := range keys {
 		if other, taken := owners[k.Hash]; taken {
 			c.problems.Add(subject, "has a key that %s has", other)
@@ -189,15 +193,15 @@
 	}
 }
 
-func (c *checker) targets() {
-	collect(c, "target", c.cfg.Targets, func(t *fireflypath.Target) string { return t.Name })
+func (c *checker) checkTargets() {
+	collectNames(c, "target", c.cfg.Targets, func(t *fireflypath.Target) string { return t.Name })
 	addrs := make(map[string]string, len(c.cfg.Targets))
 	for _, t := range c.cfg.Targets {
 		subject := "target " + t.Name
-		if !c.poolSet.has(t.Pool) {
+		if !c.poolNames.has(t.Pool) {
 			c.problems.Add(subject, "names pool %s, which does not exist", t.Pool)
 		}
-		if !numeric(t.Addr) {
+		if !isNumericAddr(t.Addr) {
 			c.problems.Add(subject, "has the address %q, which is not an IP number and a port", t.Addr)
 		}
 		if other, taken := addrs[t.Addr]; taken && other != t.Name {
@@ -207,8 +211,9 @@
 	}
 }
 
-// numeric refuses host names: a daemon resolves none (brief: TCP by IP numbers).
-func numeric(addr string) bool {
+// isNumericAddr reports whether addr is an IP address and a port. Host names are not
+// allowed, because daemons do not resolve names.
+func isNumericAddr(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || port == "" {
 		return false
@@ -217,13 +222,13 @@
 	return err == nil
 }
 
-func (c *checker) rules() {
-	collect(c, "rule", c.cfg.Rules, func(r *fireflypath.Rule) string { return r.Name })
+func (c *checker) checkRules() {
+	collectNames(c, "rule", c.cfg.Rules, func(r *fireflypath.Rule) string { return r.Name })
 	for _, r := range c.cfg.Rules {
 		subject := "rule " + r.Name
-		c.named(subject, "team", some(r.Team), c.teamSet)
-		c.named(subject, "tier", some(r.Tier), c.tierSet)
-		c.named(subject, "pool", some(r.Pool), c.poolSet)
+		c.checkReferences(subject, "team", optionalName(r.Team), c.teamNames)
+		c.checkReferences(subject, "tier", optionalName(r.Tier), c.tierNames)
+		c.checkReferences(subject, "pool", optionalName(r.Pool), c.poolNames)
 		if r.Act == fireflypath.RuleLimit && r.Limit == 0 {
 			c.problems.Add(subject, "limits and names no limit")
 		}
@@ -233,22 +238,22 @@
 	}
 }
 
-func some(name string) []string {
+func optionalName(name string) []string {
 	if name == "" {
 		return nil
 	}
 	return []string{name}
 }
 
-func (c *checker) operators() {
-	collect(c, "operator", c.cfg.Operators, func(o *fireflypath.Operator) string { return o.Name })
+func (c *checker) checkOperators() {
+	collectNames(c, "operator", c.cfg.Operators, func(o *fireflypath.Operator) string { return o.Name })
 	owners := make(map[string]string)
 	for _, o := range c.cfg.Operators {
-		c.keys("operator "+o.Name, o.Keys, owners)
+		c.checkKeys("operator "+o.Name, o.Keys, owners)
 	}
 }
 
-func (c *checker) named(subject, kind string, list []string, known names) {
+func (c *checker) checkReferences(subject, kind string, list []string, known nameSet) {
 	for _, name := range list {
 		if !known.has(name) {
 			c.problems.Add(subject, "names %s %s, which does not exist", kind, name)
@@ -256,7 +261,7 @@
 	}
 }
 
-func (c *checker) list(subject, what string, n, limit int) {
+func (c *checker) checkLength(subject, what string, n, limit int) {
 	if n > limit {
 		c.problems.Add(subject, "has %s, above the limit of %d", fmt.Sprint(n, " ", what), limit)
 	}
--- a/internal/check/fields.go
+++ b/internal/check/fields.go
@@ -10,23 +10,24 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// fields applies the validator's tags to what a change touches: of 29,000 teams
-// it touches one, and walking over all of them was more than half of a check.
-func (c *checker) fields(old *fireflypath.Config) {
+// checkFields validates the fields of changed elements by their validate tags. A change
+// usually affects one of 29,000 teams, and validating all of them took more than half of
+// the time of a check.
+func (c *checker) checkFields(old *fireflypath.Config) {
 	if old == nil {
 		old = &fireflypath.Config{}
 	}
-	touched(c, "tier", old.Tiers, c.cfg.Tiers, func(t *fireflypath.Tier) string { return t.Name })
-	touched(c, "team", old.Teams, c.cfg.Teams, func(t *fireflypath.Team) string { return t.Name })
-	touched(c, "pool", old.Pools, c.cfg.Pools, func(p *fireflypath.Pool) string { return p.Name })
-	touched(c, "target", old.Targets, c.cfg.Targets, func(t *fireflypath.Target) string { return t.Name })
-	touched(c, "rule", old.Rules, c.cfg.Rules, func(r *fireflypath.Rule) string { return r.Name })
-	touched(c, "operator", old.Operators, c.cfg.Operators, func(o *fireflypath.Operator) string { return o.Name })
+	validateChanged(c, "tier", old.Tiers, c.cfg.Tiers, func(t *fireflypath.Tier) string { return t.Name })
+	validateChanged(c, "team", old.Teams, c.cfg.Teams, func(t *fireflypath.Team) string { return t.Name })
+	validateChanged(c, "pool", old.Pools, c.cfg.Pools, func(p *fireflypath.Pool) string { return p.Name })
+	validateChanged(c, "target", old.Targets, c.cfg.Targets, func(t *fireflypath.Target) string { return t.Name })
+	validateChanged(c, "rule", old.Rules, c.cfg.Rules, func(r *fireflypath.Rule) string { return r.Name })
+	validateChanged(c, "operator", old.Operators, c.cfg.Operators, func(o *fireflypath.Operator) string { return o.Name })
 }
 
-// touched validates the elements that differ from the old one in their place.
-// An element that only moved is validated again, which does no harm.
-func touched[T any](c *checker, kind string, old, next []T, name func(*T) string) {
+// validateChanged validates the elements that differ from the old element at the same
+// index. Elements that only moved are validated again, which is harmless.
+func validateChanged[T any](c *checker, kind string, old, next []T, name func(*T) string) {
 	for i := range next {
 		if i < len(old) && reflect.DeepEqual(&old[i], &next[i]) {
 			continue
@@ -37,12 +38,13 @@
 		}
 		for _, f := range found {
 			_, field, _ := strings.Cut(f.Namespace(), ".")
-			c.problems.Add(kind+" "+name(&next[i]), "has a value for %s that is not allowed: %s", strings.ToLower(field), allowed(f))
+			c.problems.Add(kind+" "+name(&next[i]), "has a value for %s that is not allowed: %s", strings.ToLower(field), requirement(f))
 		}
 	}
 }
 
-func allowed(f validator.FieldError) string {
+// requirement describes the condition that a field does not meet.
+func requirement(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "it must be given"
--- a/internal/check/problems.go
+++ b/internal/check/problems.go
@@ -1,4 +1,4 @@
-// Package check finds everything that is wrong with a configuration before it is put in force.
+// Package check validates a configuration before it is put in force.
 package check
 
 import (
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong.
+// Problem is one error in a configuration.
 type Problem struct {
-	// Subject is what it is wrong with, like "team traders".
+	// Subject names the invalid element, such as "team traders".
 	Subject string `json:"subject"`
-	// Detail is the rest of the sentence.
+	// Detail describes the error and completes a sentence that starts with Subject.
 	Detail string `json:"detail"`
 }
 
-// Problems is an error that holds all that is wrong, in the configuration's order.
+// Problems is an error that lists all problems of a configuration, in the order in which
+// they were found.
 type Problems []Problem
 
-// Error prints one problem a line.
+// Error returns one line per problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -32,7 +33,7 @@
 	*p = append(*p, Problem{Subject: subject, Detail: fmt.Sprintf(format, args...)})
 }
 
-// Err is nil if there are no problems.
+// Err returns p as an error, or nil if there are no problems.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
@@ -40,7 +41,7 @@
 	return p
 }
 
-// AsProblems finds the problems in an error's chain.
+// AsProblems returns the Problems in the error chain of err.
 func AsProblems(err error) (Problems, bool) {
 	var p Problems
 	ok := errors.As(err, &p)
