--- a/internal/caller/bodies/bodies.go
+++ b/internal/caller/bodies/bodies.go
@@ -3,46 +3,46 @@
 
 import "sync"
 
-// Bodies counts the bytes held for bodies over all connections.
+// Budget counts the bytes held for bodies over all connections.
 //
 // Without it the bound is connections times the largest body, 32 GiB by
 // default: callers that send slowly, or a burst of large packets, would end a
 // small host for want of memory and with it all requests held there.
-type Bodies struct {
+type Budget struct {
 	limit int
 
-	mu   sync.Mutex
-	used int
-	open map[*Body]struct{}
+	mu           sync.Mutex
+	used         int
+	reservations map[*Reservation]struct{}
 }
 
 // New returns an empty count with a bound in bytes.
-func New(limit int) *Bodies {
-	return &Bodies{limit: limit, open: map[*Body]struct{}{}}
+func New(limit int) *Budget {
+	return &Budget{limit: limit, reservations: map[*Reservation]struct{}{}}
 }
 
-// Body is one request's part. It is used by one goroutine.
-type Body struct {
-	of   *Bodies
-	rank int
-	cut  func()
+// Reservation is one request's part. It is used by one goroutine.
+type Reservation struct {
+	budget  *Budget
+	rank    int
+	onEvict func()
 	// held is 0 after the body gave way; both are under of.mu.
-	held int
-	gave bool
+	held    int
+	evicted bool
 }
 
-// Open begins a body of a tier's rank. cut is called if the body must give way
+// Reserve begins a body of a tier's rank. cut is called if the body must give way
 // to one of a higher tier; it must not block.
-func (b *Bodies) Open(rank int, cut func()) *Body {
-	body := &Body{of: b, rank: rank, cut: cut}
+func (b *Budget) Reserve(rank int, onEvict func()) *Reservation {
+	r := &Reservation{budget: b, rank: rank, onEvict: onEvict}
 	b.mu.Lock()
-	b.open[body] = struct{}{}
+	b.reservations[r] = struct{}{}
 	b.mu.Unlock()
-	return body
+	return r
 }
 
 // Used is the number of bytes held.
-func (b *Bodies) Used() int {
+func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
@@ -50,68 +50,68 @@
 
 // Grow reports whether n more bytes may be held. Bodies of lower tiers give
 // way, the lowest first: a higher tier is not refused while they hold memory.
-func (d *Body) Grow(n int) bool {
-	b := d.of
+func (r *Reservation) Grow(n int) bool {
+	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if d.gave || !b.room(n, d.rank) {
+	if r.evicted || !b.makeRoom(n, r.rank) {
 		return false
 	}
-	d.held += n
+	r.held += n
 	b.used += n
 	return true
 }
 
-// room makes room for n bytes of the rank. The caller holds mu.
-func (b *Bodies) room(n, rank int) bool {
+// makeRoom makes room for n bytes of the rank. The caller holds mu.
+func (b *Budget) makeRoom(n, rank int) bool {
 	if b.used+n <= b.limit {
 		return true
 	}
-	lower := 0
-	for o := range b.open {
+	evictable := 0
+	for o := range b.reservations {
 		if o.rank > rank {
-			lower += o.held
+			evictable += o.held
 		}
 	}
-	if b.used+n-lower > b.limit {
+	if b.used+n-evictable > b.limit {
 		return false
 	}
 	for b.used+n > b.limit {
-		b.lowest().giveWay()
+		b.evictionCandidate().evict()
 	}
 	return true
 }
 
-// lowest is a body of the lowest tier that holds bytes. The caller holds mu.
-func (b *Bodies) lowest() *Body {
-	var low *Body
-	for o := range b.open {
-		if o.held > 0 && (low == nil || o.rank > low.rank) {
-			low = o
+// evictionCandidate is a body of the lowest tier that holds bytes. The caller holds mu.
+func (b *Budget) evictionCandidate() *Reservation {
+	var candidate *Reservation
+	for o := range b.reservations {
+		if o.held > 0 && (candidate == nil || o.rank > candidate.rank) {
+			candidate = o
 		}
 	}
-	return low
+	return candidate
 }
 
-func (d *Body) giveWay() {
-	d.of.used -= d.held
-	d.held, d.gave = 0, true
-	d.cut()
+func (r *Reservation) evict() {
+	r.budget.used -= r.held
+	r.held, r.evicted = 0, true
+	r.onEvict()
 }
 
-// Gave reports whether the body had to give way.
-func (d *Body) Gave() bool {
-	d.of.mu.Lock()
-	defer d.of.mu.Unlock()
-	return d.gave
+// Evicted reports whether the body had to give way.
+func (r *Reservation) Evicted() bool {
+	r.budget.mu.Lock()
+	defer r.budget.mu.Unlock()
+	return r.evicted
 }
 
 // Close ends the body: it was read or refused.
-func (d *Body) Close() {
-	b := d.of
+func (r *Reservation) Close() {
+	b := r.budget
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.open, d)
-	b.used -= d.held
-	d.held = 0
+	delete(b.reservations, r)
+	b.used -= r.held
+	r.held = 0
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -12,7 +12,7 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/caller/bodies"
-	"github.com/fireflypath/fireflypath/internal/caller/departures"
+	"github.com/fireflypath/fireflypath/internal/caller/disconnect"
 	"github.com/fireflypath/fireflypath/internal/route/refuse"
 	"github.com/fireflypath/fireflypath/internal/route/request"
 	"github.com/fireflypath/fireflypath/pkg/settings"
@@ -24,14 +24,14 @@
 	headerDeadline   = "Fireflypath-Deadline"
 	headerIdempotent = "Fireflypath-Idempotent"
 	headerKey        = "Idempotency-Key"
-	bearer           = "Bearer "
+	bearerPrefix     = "Bearer "
 )
 
 const (
-	// defaultBody holds a prompt of a million tokens at 4 bytes each.
-	defaultBody = 4 << 20
-	// defaultHeader is the bound that most servers have.
-	defaultHeader = 16 << 10
+	// defaultMaxBody holds a prompt of a million tokens at 4 bytes each.
+	defaultMaxBody = 4 << 20
+	// defaultMaxHeader is the bound that most servers have.
+	defaultMaxHeader = 16 << 10
 	// readTimeout ends a request that trickles in: one held open for each
 	// connection would keep others out.
 	readTimeout = 30 * time.Second
@@ -54,33 +54,33 @@
 
 // Server is the callers' front door.
 type Server struct {
-	route  Route
-	gone   *departures.Watcher
-	server *fasthttp.Server
-	bodies *bodies.Bodies
-	// largest bounds one body.
-	largest int
+	route       Route
+	disconnects *disconnect.Watcher
+	server      *fasthttp.Server
+	bodies      *bodies.Budget
+	// maxBody bounds one body.
+	maxBody int
 }
 
 // New returns a server that does not listen yet.
-func New(route Route, gone *departures.Watcher, limits settings.Limits) *Server {
-	largest := orDefault(limits.Body, defaultBody)
+func New(route Route, disconnects *disconnect.Watcher, limits settings.Limits) *Server {
+	maxBody := orDefault(limits.Body, defaultMaxBody)
 	s := &Server{
-		route: route, gone: gone, largest: largest,
-		bodies: bodies.New(max(largest+1, orDefault(limits.PendingBodies, defaultBodies))),
+		route: route, disconnects: disconnects, maxBody: maxBody,
+		bodies: bodies.New(max(maxBody+1, orDefault(limits.PendingBodies, defaultBodyMemory))),
 	}
 	app := fiber.New(fiber.Config{CaseSensitive: true, StrictRouting: true, DisableHeadAutoRegister: true})
-	app.Post("/v1/completions", s.completions)
-	app.Post("/v1/chat/completions", s.completions)
-	app.All("/services/:pool", s.services)
-	app.All("/services/:pool/*", s.services)
-	app.Use(s.unknown)
+	app.Post("/v1/completions", s.handleCompletion)
+	app.Post("/v1/chat/completions", s.handleCompletion)
+	app.All("/services/:pool", s.handleService)
+	app.All("/services/:pool/*", s.handleService)
+	app.Use(s.handleUnknown)
 	s.server = &fasthttp.Server{
 		Handler:                       app.Handler(),
-		ErrorHandler:                  s.unreadable,
+		ErrorHandler:                  s.handleParseError,
 		Name:                          "fireflypath",
-		ReadBufferSize:                orDefault(limits.Header, defaultHeader),
-		MaxRequestBodySize:            prefetch,
+		ReadBufferSize:                orDefault(limits.Header, defaultMaxHeader),
+		MaxRequestBodySize:            prefetchedBody,
 		StreamRequestBody:             true,
 		ReadTimeout:                   readTimeout,
 		IdleTimeout:                   idleTimeout,
@@ -89,7 +89,7 @@
 		CloseOnShutdown:               true,
 		SecureErrorLogMessage:         true,
 		DisableHeaderNamesNormalizing: false,
-		Logger:                        silent{},
+		Logger:                        discardLogger{},
 	}
 	return s
 }
@@ -111,15 +111,15 @@
 	return s.server.ShutdownWithContext(ctx)
 }
 
-func (s *Server) completions(c fiber.Ctx) error {
-	r := inbound(c.RequestCtx())
+func (s *Server) handleCompletion(c fiber.Ctx) error {
+	r := newRequest(c.RequestCtx())
 	r.Inbound.Path = string(c.RequestCtx().Path())
 	s.serve(c.RequestCtx(), r)
 	return nil
 }
 
-func (s *Server) services(c fiber.Ctx) error {
-	r := inbound(c.RequestCtx())
+func (s *Server) handleService(c fiber.Ctx) error {
+	r := newRequest(c.RequestCtx())
 	rest := strings.TrimPrefix(r.Inbound.Path, "/services/")
 	pool, path, _ := strings.Cut(rest, "/")
 	pool, query, hasQuery := strings.Cut(pool, "?")
@@ -128,29 +128,29 @@
 	if hasQuery {
 		r.Inbound.ServicePath = "/?" + query
 	}
-	r.Inbound.Header = endToEnd(&c.RequestCtx().Request.Header)
+	r.Inbound.Header = forwardedHeaders(&c.RequestCtx().Request.Header)
 	s.serve(c.RequestCtx(), r)
 	return nil
 }
 
-func (s *Server) unknown(c fiber.Ctx) error {
+func (s *Server) handleUnknown(c fiber.Ctx) error {
 	id := s.route.NewID()
 	c.RequestCtx().Response.Header.Set(headerID, id)
-	write(c.RequestCtx(), refuse.Reply(&fireflypath.Refusal{
+	writeReply(c.RequestCtx(), refuse.Reply(&fireflypath.Refusal{
 		Code: fireflypath.ReasonNoPool, Detail: "no call has this path and method", Run: fireflypath.RunNo, ID: id,
 	}))
-	unread(c.RequestCtx())
+	closeUnread(c.RequestCtx())
 	return nil
 }
 
-// inbound copies what a request needs longer than its connection's buffers.
-func inbound(c *fasthttp.RequestCtx) *request.Request {
+// newRequest copies what a request needs longer than its connection's buffers.
+func newRequest(c *fasthttp.RequestCtx) *request.Request {
 	h := &c.Request.Header
 	r := &request.Request{}
 	r.Inbound = request.Inbound{
 		Method:         string(h.Method()),
 		Path:           string(h.RequestURI()),
-		Token:          token(h.Peek(fasthttp.HeaderAuthorization)),
+		Token:          bearerToken(h.Peek(fasthttp.HeaderAuthorization)),
 		Tier:           string(h.Peek(headerTier)),
 		Deadline:       string(h.Peek(headerDeadline)),
 		Idempotent:     string(h.Peek(headerIdempotent)),
@@ -159,27 +159,27 @@
 	return r
 }
 
-func token(h []byte) string {
-	t, ok := strings.CutPrefix(string(h), bearer)
+func bearerToken(h []byte) string {
+	t, ok := strings.CutPrefix(string(h), bearerPrefix)
 	if !ok {
 		return ""
 	}
 	return t
 }
 
-// own lists the headers that end here: they belong to this connection or are
+// droppedHeaders lists the headers that end here: they belong to this connection or are
 // meant for this daemon.
-var own = map[string]bool{
+var droppedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 	"Host": true, "Authorization": true, "X-Request-Id": true, "Expect": true,
 	headerTier: true, headerDeadline: true, headerIdempotent: true, headerKey: true,
 }
 
-func endToEnd(h *fasthttp.RequestHeader) map[string]string {
+func forwardedHeaders(h *fasthttp.RequestHeader) map[string]string {
 	out := map[string]string{}
 	for k, v := range h.All() {
-		if !own[string(k)] {
+		if !droppedHeaders[string(k)] {
 			out[string(k)] = string(v)
 		}
 	}
@@ -191,18 +191,18 @@
 func (s *Server) admit(c *fasthttp.RequestCtx, r *request.Request) bool {
 	rank, known := s.route.Rank(r)
 	if known {
-		body, ref := s.body(c, rank)
+		body, ref := s.readBody(c, rank)
 		if ref == nil {
 			r.Inbound.Body = body
 			return true
 		}
 		s.route.Refuse(r, ref)
 	}
-	if n := c.Request.Header.ContentLength(); known || n < 0 || n > firstPart {
-		unread(c) // the library skips a small body itself
+	if n := c.Request.Header.ContentLength(); known || n < 0 || n > initialBodyBuffer {
+		closeUnread(c) // the library skips a small body itself
 	}
 	c.Response.Header.Set(headerID, r.Work.ID)
-	write(c, r.Reply)
+	writeReply(c, r.Reply)
 	return false
 }
 
@@ -211,23 +211,23 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	held := s.gone.Add(c.Conn(), cancel)
+	watch := s.disconnects.Add(c.Conn(), cancel)
 	s.route.Serve(ctx, r)
 	c.Response.Header.Set(headerID, r.Work.ID)
 	if r.Reply.Stream != nil {
-		r.Reply.Stream = &watched{ReadCloser: r.Reply.Stream, end: func() {
-			s.gone.Remove(held)
+		r.Reply.Stream = &watchedStream{ReadCloser: r.Reply.Stream, stopWatch: func() {
+			s.disconnects.Remove(watch)
 			cancel()
 		}}
-		write(c, r.Reply)
+		writeReply(c, r.Reply)
 		return
 	}
-	s.gone.Remove(held)
+	s.disconnects.Remove(watch)
 	cancel()
-	write(c, r.Reply)
+	writeReply(c, r.Reply)
 }
 
-func write(c *fasthttp.RequestCtx, r request.Reply) {
+func writeReply(c *fasthttp.RequestCtx, r request.Reply) {
 	c.SetStatusCode(r.Status)
 	for k, v := range r.Header {
 		c.Response.Header.Set(k, v)
@@ -239,27 +239,27 @@
 	c.SetBody(r.Body)
 }
 
-// unreadable answers what the library could not parse.
-func (s *Server) unreadable(c *fasthttp.RequestCtx, err error) {
+// handleParseError answers what the library could not parse.
+func (s *Server) handleParseError(c *fasthttp.RequestCtx, err error) {
 	ref := &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: "the request is not HTTP", Run: fireflypath.RunNo, ID: s.route.NewID()}
 	reply := refuse.Reply(ref)
 	var small *fasthttp.ErrSmallBuffer
 	switch {
-	case asSmall(err, &small):
+	case asSmallBuffer(err, &small):
 		ref.Code, ref.Detail = fireflypath.ReasonTooLarge, "the header is above the limit"
 		reply = refuse.Reply(ref)
 		reply.Status = fasthttp.StatusRequestHeaderFieldsTooLarge
 	}
 	c.Response.Header.Set(headerID, ref.ID)
-	write(c, reply)
+	writeReply(c, reply)
 	c.SetConnectionClose()
 }
 
-// silent keeps the library's lines out of the log: they are counters here.
-type silent struct{}
+// discardLogger keeps the library's lines out of the log: they are counters here.
+type discardLogger struct{}
 
 // Printf does nothing.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // RefuseConnection answers a connection above the limit and closes it.
 func RefuseConnection(c net.Conn) {
--- a/internal/caller/departures/departures.go
+++ b/internal/caller/disconnect/disconnect.go
@@ -1,5 +1,5 @@
 // Package departures notices callers that close their connection while their request is held.
-package departures
+package disconnect
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// every is the time between two looks. Requests that end sooner cost none; a
+// pollInterval is the time between two looks. Requests that end sooner cost none; a
 // caller's leaving frees its place at most this much later.
-const every = 50 * time.Millisecond
+const pollInterval = 50 * time.Millisecond
 
 // Watcher looks at the sockets of held requests.
 //
@@ -23,9 +23,9 @@
 // would wait, be dispatched and run for nobody. The kernel knows: POLLRDHUP
 // tells that the other side has closed, and reads no byte of a next request.
 type Watcher struct {
-	clock clockwork.Clock
-	mu    sync.Mutex
-	held  map[*Watch]struct{}
+	clock   clockwork.Clock
+	mu      sync.Mutex
+	watches map[*Watch]struct{}
 }
 
 // Socket is a connection that knows the socket below it.
@@ -35,84 +35,84 @@
 
 // Watch is one request whose caller is watched.
 type Watch struct {
-	raw  syscall.RawConn
-	left func()
+	raw          syscall.RawConn
+	onDisconnect func()
 }
 
 // New returns Departures that watch nobody.
 func New(clock clockwork.Clock) *Watcher {
-	return &Watcher{clock: clock, held: map[*Watch]struct{}{}}
+	return &Watcher{clock: clock, watches: map[*Watch]struct{}{}}
 }
 
 // Add watches the connection, if it is a Socket, and calls left once if the caller closes it.
-func (d *Watcher) Add(c net.Conn, left func()) *Watch {
+func (w *Watcher) Add(c net.Conn, onDisconnect func()) *Watch {
 	s, ok := c.(Socket)
 	if !ok || s.Raw() == nil {
 		return nil
 	}
-	h := &Watch{raw: s.Raw(), left: left}
-	d.mu.Lock()
-	d.held[h] = struct{}{}
-	d.mu.Unlock()
-	return h
+	watch := &Watch{raw: s.Raw(), onDisconnect: onDisconnect}
+	w.mu.Lock()
+	w.watches[watch] = struct{}{}
+	w.mu.Unlock()
+	return watch
 }
 
 // Remove ends the watch; nil is allowed.
-func (d *Watcher) Remove(h *Watch) {
-	if h == nil {
+func (w *Watcher) Remove(watch *Watch) {
+	if watch == nil {
 		return
 	}
-	d.mu.Lock()
-	delete(d.held, h)
-	d.mu.Unlock()
+	w.mu.Lock()
+	delete(w.watches, watch)
+	w.mu.Unlock()
 }
 
 // Run looks until the context ends.
-func (d *Watcher) Run(ctx context.Context) {
-	t := d.clock.NewTicker(every)
+func (w *Watcher) Run(ctx context.Context) {
+	t := w.clock.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.Chan():
-			d.look()
+			w.poll()
 		}
 	}
 }
 
-func (d *Watcher) look() {
-	d.mu.Lock()
-	held := make([]*Watch, 0, len(d.held))
-	for h := range d.held {
+func (w *Watcher) poll() {
+	w.mu.Lock()
+	held := make([]*Watch, 0, len(w.watches))
+	for h := range w.watches {
 		held = append(held, h)
 	}
-	d.mu.Unlock()
+	w.mu.Unlock()
 	for _, h := range held {
-		if h.closed() {
-			d.Remove(h)
-			h.left()
+		if h.peerClosed() {
+			w.Remove(h)
+			h.onDisconnect()
 		}
 	}
 }
 
 // DisconnectAll treats all callers as gone.
-func (d *Watcher) DisconnectAll() {
-	d.mu.Lock()
-	held := make([]*Watch, 0, len(d.held))
-	for h := range d.held {
+func (w *Watcher) DisconnectAll() {
+	w.mu.Lock()
+	held := make([]*Watch, 0, len(w.watches))
+	for h := range w.watches {
 		held = append(held, h)
 	}
-	clear(d.held)
-	d.mu.Unlock()
+	clear(w.watches)
+	w.mu.Unlock()
 	for _, h := range held {
-		h.left()
+		h.onDisconnect()
 	}
 }
 
-func (h *Watch) closed() bool {
+func (w *Watch) peerClosed() bool {
 	closed := false
-	err := h.raw.Control(func(fd uintptr) {
+	err := w.raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(fds, 0)
 		closed = err == nil && n > 0
--- a/internal/caller/door/door.go
+++ b/internal/caller/listener/listener.go
@@ -1,5 +1,5 @@
 // Package door is a listener that knows its connections.
-package door
+package listener
 
 import (
 	"net"
@@ -11,14 +11,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// stall bounds a write that makes no progress: a caller that reads nothing for
+// writeTimeout bounds a write that makes no progress: a caller that reads nothing for
 // so long is gone, and holds a target's answer open.
-const stall = 60 * time.Second
+const writeTimeout = 60 * time.Second
 
 const (
-	// lingerTime bounds reading what a refused caller still sends: a MiB takes
+	// lingerTimeout bounds reading what a refused caller still sends: a MiB takes
 	// a second at the 10 Mbit/s of a slow line.
-	lingerTime = 2 * time.Second
+	lingerTimeout = 2 * time.Second
 	// lingerBuffer is the memory for it.
 	lingerBuffer = 4 << 10
 )
@@ -27,7 +27,7 @@
 type Listener struct {
 	net.Listener
 	limit  int
-	refuse func(net.Conn)
+	reject func(net.Conn)
 
 	mu     sync.Mutex
 	conns  map[*conn]struct{}
@@ -36,43 +36,43 @@
 
 // New wraps the listener. A connection above the limit is given to refuse,
 // which answers and closes it; a limit of 0 means none.
-func New(ln net.Listener, limit int, refuse func(net.Conn)) *Listener {
-	return &Listener{Listener: ln, limit: limit, refuse: refuse, conns: map[*conn]struct{}{}}
+func New(ln net.Listener, limit int, reject func(net.Conn)) *Listener {
+	return &Listener{Listener: ln, limit: limit, reject: reject, conns: map[*conn]struct{}{}}
 }
 
 // Accept waits for the next connection below the limit.
-func (d *Listener) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		c, err := d.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if t, ok := d.admit(c); ok {
-			return t, nil
+		if tracked, ok := l.track(c); ok {
+			return tracked, nil
 		}
 	}
 }
 
-func (d *Listener) admit(c net.Conn) (net.Conn, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.killed {
+func (l *Listener) track(c net.Conn) (net.Conn, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.killed {
 		c.Close()
 		return nil, false
 	}
-	if d.limit > 0 && len(d.conns) >= d.limit {
-		go d.refuse(c)
+	if l.limit > 0 && len(l.conns) >= l.limit {
+		go l.reject(c)
 		return nil, false
 	}
-	t := &conn{Conn: c, door: d, raw: socket(c)}
-	d.conns[t] = struct{}{}
-	return t, true
+	tracked := &conn{Conn: c, listener: l, raw: rawConn(c)}
+	l.conns[tracked] = struct{}{}
+	return tracked, true
 }
 
-// socket finds the socket below TLS, or nil. Without it a caller's leaving is
+// rawConn finds the socket below TLS, or nil. Without it a caller's leaving is
 // noticed later, at a write.
-func socket(c net.Conn) syscall.RawConn {
-	s, ok := below(c).(syscall.Conn)
+func rawConn(c net.Conn) syscall.RawConn {
+	s, ok := underlying(c).(syscall.Conn)
 	if !ok {
 		return nil
 	}
@@ -83,8 +83,8 @@
 	return raw
 }
 
-// below is the connection that TLS runs over, or the connection itself.
-func below(c net.Conn) net.Conn {
+// underlying is the connection that TLS runs over, or the connection itself.
+func underlying(c net.Conn) net.Conn {
 	if l, ok := c.(interface{ NetConn() net.Conn }); ok {
 		return l.NetConn()
 	}
@@ -92,44 +92,44 @@
 }
 
 // OpenConns is the number of open connections.
-func (d *Listener) OpenConns() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.conns)
+func (l *Listener) OpenConns() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns)
 }
 
 // Kill closes the listener and all connections at once.
-func (d *Listener) Kill() error {
-	err := d.Close()
+func (l *Listener) Kill() error {
+	err := l.Close()
 	if errors.Is(err, net.ErrClosed) {
 		err = nil
 	}
-	d.mu.Lock()
-	d.killed = true
-	conns := make([]*conn, 0, len(d.conns))
-	for c := range d.conns {
+	l.mu.Lock()
+	l.killed = true
+	conns := make([]*conn, 0, len(l.conns))
+	for c := range l.conns {
 		conns = append(conns, c)
 	}
-	d.mu.Unlock()
+	l.mu.Unlock()
 	for _, c := range conns {
 		c.abort()
 	}
 	return errors.Wrap(err, "close listener")
 }
 
-func (d *Listener) remove(c *conn) {
-	d.mu.Lock()
-	delete(d.conns, c)
-	d.mu.Unlock()
+func (l *Listener) remove(c *conn) {
+	l.mu.Lock()
+	delete(l.conns, c)
+	l.mu.Unlock()
 }
 
 // conn leaves the door's count when it closes.
 type conn struct {
 	net.Conn
-	door  *Listener
-	once  sync.Once
-	raw   syscall.RawConn
-	armed time.Time
+	listener    *Listener
+	once        sync.Once
+	raw         syscall.RawConn
+	deadlineSet time.Time
 	// linger is true if the other side may still send when this one closes.
 	linger atomic.Bool
 }
@@ -142,9 +142,9 @@
 // Write fails if the other side takes nothing for long. The deadline is moved
 // only now and then: setting it costs more than a small write.
 func (c *conn) Write(b []byte) (int, error) {
-	if now := time.Now(); now.Sub(c.armed) > stall/4 {
-		c.armed = now
-		if err := c.SetWriteDeadline(now.Add(stall)); err != nil {
+	if now := time.Now(); now.Sub(c.deadlineSet) > writeTimeout/4 {
+		c.deadlineSet = now
+		if err := c.SetWriteDeadline(now.Add(writeTimeout)); err != nil {
 			return 0, err
 		}
 	}
@@ -161,7 +161,7 @@
 // drain ends the sending side and reads until the other side does the same.
 func (c *conn) drain() {
 	t, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || t.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTime)) != nil {
+	if !ok || t.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
 	buf := make([]byte, lingerBuffer)
@@ -177,7 +177,7 @@
 	if c.linger.Swap(false) {
 		c.drain()
 	}
-	c.once.Do(func() { c.door.remove(c) })
+	c.once.Do(func() { c.listener.remove(c) })
 	return c.Conn.Close()
 }
 
@@ -185,7 +185,7 @@
 // that died.
 func (c *conn) abort() {
 	c.linger.Store(false)
-	if t, ok := below(c.Conn).(*net.TCPConn); ok {
+	if t, ok := underlying(c.Conn).(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
--- a/internal/caller/watched.go
+++ b/internal/caller/watched.go
@@ -7,18 +7,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// watched is a streamed answer whose caller is watched until its end.
-type watched struct {
+// watchedStream is a streamed answer whose caller is watched until its end.
+type watchedStream struct {
 	io.ReadCloser
-	end func()
+	stopWatch func()
 }
 
 // Close ends the watch.
-func (w *watched) Close() error {
-	defer w.end()
+func (w *watchedStream) Close() error {
+	defer w.stopWatch()
 	return w.ReadCloser.Close()
 }
 
-func asSmall(err error, small **fasthttp.ErrSmallBuffer) bool {
+func asSmallBuffer(err error, small **fasthttp.ErrSmallBuffer) bool {
 	return errors.As(err, small)
 }
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -8,8 +8,8 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/caller"
-	"github.com/fireflypath/fireflypath/internal/caller/departures"
-	"github.com/fireflypath/fireflypath/internal/caller/door"
+	"github.com/fireflypath/fireflypath/internal/caller/disconnect"
+	"github.com/fireflypath/fireflypath/internal/caller/listener"
 )
 
 const (
@@ -34,10 +34,10 @@
 	if limit == 0 {
 		limit = defaultMaxConnections
 	}
-	d.callerListener = door.New(ln, limit, caller.RefuseConnection)
-	d.departures = departures.New(d.deps.Clock)
-	d.callerServer = caller.New(d.route, d.departures, d.cfg.Limits)
-	d.background.Go(func() { d.departures.Run(d.ctx) })
+	d.callerListener = listener.New(ln, limit, caller.RefuseConnection)
+	d.disconnects = disconnect.New(d.deps.Clock)
+	d.callerServer = caller.New(d.route, d.disconnects, d.cfg.Limits)
+	d.background.Go(func() { d.disconnects.Run(d.ctx) })
 	d.background.Go(func() { _ = d.callerServer.Serve(d.callerListener) })
 	return nil
 }
@@ -67,6 +67,6 @@
 	case <-d.deps.Clock.After(flushTimeout):
 	}
 	err := d.callerListener.Kill()
-	d.departures.DisconnectAll()
+	d.disconnects.DisconnectAll()
 	return err
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -17,8 +17,8 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/caller"
-	"github.com/fireflypath/fireflypath/internal/caller/departures"
-	"github.com/fireflypath/fireflypath/internal/caller/door"
+	"github.com/fireflypath/fireflypath/internal/caller/disconnect"
+	"github.com/fireflypath/fireflypath/internal/caller/listener"
 	"github.com/fireflypath/fireflypath/internal/claim"
 	registry "github.com/fireflypath/fireflypath/internal/configuration"
 	"github.com/fireflypath/fireflypath/internal/decide/rules"
@@ -96,11 +96,11 @@
 	engine           *engine.Engine
 	service          *service.Service
 	route            *route.Route
-	departures       *departures.Watcher
+	disconnects      *disconnect.Watcher
 	callerServer     *caller.Server
-	callerListener   *door.Listener
+	callerListener   *listener.Listener
 	operatorApp      *fiber.App
-	operatorListener *door.Listener
+	operatorListener *listener.Listener
 	ready            atomic.Bool
 
 	// The fields below are set only in a daemon with a gate.
@@ -197,7 +197,7 @@
 		return
 	}
 	_ = d.callerListener.Kill()
-	d.departures.DisconnectAll()
+	d.disconnects.DisconnectAll()
 	_ = d.operatorListener.Kill()
 	if d.peers != nil {
 		d.peers.Close()
@@ -237,7 +237,7 @@
 }
 
 func listenerAddr(ln net.Listener) string {
-	if l, ok := ln.(*door.Listener); ok && l == nil {
+	if l, ok := ln.(*listener.Listener); ok && l == nil {
 		return ""
 	}
 	return ln.Addr().String()
--- a/internal/daemon/endpoint.go
+++ b/internal/daemon/endpoint.go
@@ -6,7 +6,7 @@
 
 	"github.com/gofiber/fiber/v3"
 
-	"github.com/fireflypath/fireflypath/internal/caller/door"
+	"github.com/fireflypath/fireflypath/internal/caller/listener"
 )
 
 const (
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	d.operatorListener = door.New(ln, 0, nil)
+	d.operatorListener = listener.New(ln, 0, nil)
 	d.operatorApp = fiber.New(fiber.Config{
 		BodyLimit: maxOperatorBody, ReadTimeout: operatorReadTimeout, IdleTimeout: operatorIdleTimeout,
 	})
