--- a/internal/keys/keyring.go
+++ b/internal/keys/keyring.go
@@ -1,4 +1,4 @@
-// Package keys tells who holds a key and slows those who guess.
+// Package keys generates API keys and finds the operator that a key belongs to.
 package keys
 
 import (
@@ -15,79 +15,83 @@
 )
 
 const (
-	// secretBytes makes a key that cannot be guessed; see fireflypath.Key.
+	// secretBytes is the size of the random part, large enough that a key cannot be guessed; see
+	// fireflypath.Key.
 	secretBytes = 32
-	// prefix lets people and secret scanners see what a leaked string is.
+	// prefix lets people and secret scanners recognize a leaked key.
 	prefix = "fp_"
 )
 
-// Generate makes a key and the hash that the configuration holds.
+// Generate returns a new key and its hash, which is what the configuration stores.
 func Generate() (key, hash string) {
 	var raw [secretBytes]byte
-	// Read never fails: crypto/rand ends the program instead.
+	// Read never returns an error: crypto/rand terminates the program instead.
 	_, _ = rand.Read(raw[:])
 	key = prefix + base64.RawURLEncoding.EncodeToString(raw[:])
 	return key, Hash(key)
 }
 
-// Hash is the lower-case hexadecimal SHA-256 of a key.
+// Hash returns the lower-case hexadecimal SHA-256 of a key.
 func Hash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Keyring finds operators by their keys. It reads the configuration in force
-// with one atomic load and keeps an index of it until the next generation.
+// Keyring finds operators by their keys. It caches an index of the configuration in force and
+// rebuilds it when the configuration changes.
 type Keyring struct {
 	configs fireflypath.Configs
 	index   atomic.Pointer[index]
 }
 
-// New returns the keyring of the configuration in force.
+// New returns a keyring for the operators of the configuration in force.
 func New(configs fireflypath.Configs) *Keyring {
 	return &Keyring{configs: configs}
 }
 
-// index holds the operators' keys of one configuration.
+// index contains the operators' keys of one configuration.
 type index struct {
 	cfg *fireflypath.Config
-	// byTag finds keys by the first bytes of their hash. The rest is compared
-	// in constant time, so that the time of an answer does not tell how much of
-	// a guessed hash is right; a caller cannot choose the hash of its key anyway.
-	byTag map[tag][]holder
+	// byPrefix finds keys by the first bytes of their hash. The whole hash is then compared in
+	// constant time, so that response times do not reveal how much of a guessed hash is correct;
+	// a caller cannot choose the hash of its key anyway.
+	byPrefix map[hashPrefix][]entry
 }
 
-type tag [4]byte
+type hashPrefix [4]byte
 
-type holder struct {
+type entry struct {
 	hash     [sha256.Size]byte
 	until    time.Time
 	operator fireflypath.Operator
 }
 
-// Operator returns the holder of a key that is valid now, or nil.
+// Operator returns the operator that the key belongs to, or nil if the key is unknown or expired.
 func (k *Keyring) Operator(key string, now time.Time) *fireflypath.Operator {
 	sum := sha256.Sum256([]byte(key))
-	candidates := k.current().byTag[tag(sum[:4])]
+	candidates := k.currentIndex().byPrefix[hashPrefix(sum[:4])]
 	for i := range candidates {
-		h := &candidates[i]
-		if subtle.ConstantTimeCompare(h.hash[:], sum[:]) == 1 && valid(h.until, now) {
-			return &h.operator
+		e := &candidates[i]
+		if subtle.ConstantTimeCompare(e.hash[:], sum[:]) == 1 && isValid(e.until, now) {
+			return &e.operator
 		}
 	}
 	return nil
 }
 
-func valid(until, now time.Time) bool {
+// isValid reports whether a key that expires at the given time is still valid. The zero time means
+// that it does not expire.
+func isValid(until, now time.Time) bool {
 	return until.IsZero() || now.Before(until)
 }
 
-func (k *Keyring) current() *index {
+// currentIndex returns the index of the configuration in force, and builds it if necessary.
+func (k *Keyring) currentIndex() *index {
 	cfg := k.configs.Current()
-	if idx := k.index.Load(); idx != nil && idx.cfg == cfg {
-		return idx
+	if cached := k.index.Load(); cached != nil && cached.cfg == cfg {
+		return cached
 	}
-	idx := &index{cfg: cfg, byTag: make(map[tag][]holder)}
+	idx := &index{cfg: cfg, byPrefix: make(map[hashPrefix][]entry)}
 	for _, o := range cfg.Operators {
 		for _, key := range o.Keys {
 			idx.add(o, key)
@@ -97,17 +101,18 @@
 	return idx
 }
 
+// add indexes a key of an operator. A hash that cannot be decoded is skipped.
 func (i *index) add(o fireflypath.Operator, key fireflypath.Key) {
-	h := holder{until: key.Until, operator: o}
-	raw, err := hex.DecodeString(key.Hash)
-	if err != nil || len(raw) != sha256.Size {
+	e := entry{until: key.Until, operator: o}
+	decoded, err := hex.DecodeString(key.Hash)
+	if err != nil || len(decoded) != sha256.Size {
 		return
 	}
-	copy(h.hash[:], raw)
-	i.byTag[tag(raw[:4])] = append(i.byTag[tag(raw[:4])], h)
+	copy(e.hash[:], decoded)
+	i.byPrefix[hashPrefix(decoded[:4])] = append(i.byPrefix[hashPrefix(decoded[:4])], e)
 }
 
-// Bearer takes the key out of an Authorization header.
+// Bearer returns the token of an Authorization header, or "" if its scheme is not Bearer.
 func Bearer(header string) string {
 	scheme, key, ok := strings.Cut(header, " ")
 	if !ok || !strings.EqualFold(scheme, "bearer") {
--- a/internal/keys/keyring_test.go
+++ b/internal/keys/keyring_test.go
@@ -11,11 +11,11 @@
 	"github.com/fireflypath/fireflypath/internal/keys"
 )
 
-// fixed is a configuration that the test swaps.
-type fixed struct{ cfg *fireflypath.Config }
+// staticConfigs returns a configuration that the test can replace.
+type staticConfigs struct{ cfg *fireflypath.Config }
 
-func (f *fixed) Current() *fireflypath.Config              { return f.cfg }
-func (f *fixed) Changed(generation uint64) <-chan struct{} { return nil }
+func (f *staticConfigs) Current() *fireflypath.Config              { return f.cfg }
+func (f *staticConfigs) Changed(generation uint64) <-chan struct{} { return nil }
 
 func TestOperator(t *testing.T) {
 	is := is.New(t)
@@ -27,15 +27,15 @@
 	ana := fireflypath.Operator{Name: "ana", Role: fireflypath.RoleChange, Keys: []fireflypath.Key{
 		{Hash: hash}, {Hash: oldHash, Until: now.Add(time.Minute)},
 	}}
-	f := &fixed{&fireflypath.Config{Operators: []fireflypath.Operator{ana}}}
+	f := &staticConfigs{&fireflypath.Config{Operators: []fireflypath.Operator{ana}}}
 	ring := keys.New(f)
 	is.Equal(ring.Operator(key, now).Name, "ana")
 	is.Equal(ring.Operator(old, now).Name, "ana")
-	is.Equal(ring.Operator(old, now.Add(time.Minute)), nil) // the overlap has ended
+	is.Equal(ring.Operator(old, now.Add(time.Minute)), nil) // the old key has expired
 	is.Equal(ring.Operator("fp_guess", now), nil)
 	is.Equal(ring.Operator("", now), nil)
 	f.cfg = &fireflypath.Config{}
-	is.Equal(ring.Operator(key, now), nil) // revoked by the next generation
+	is.Equal(ring.Operator(key, now), nil) // removed by the next configuration
 }
 
 func TestBearer(t *testing.T) {
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -10,7 +10,7 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/keys"
-	"github.com/fireflypath/fireflypath/internal/keys/tries"
+	"github.com/fireflypath/fireflypath/internal/keys/throttle"
 	"github.com/fireflypath/fireflypath/internal/operator/wire"
 	"github.com/fireflypath/fireflypath/internal/query/eval"
 )
@@ -50,11 +50,11 @@
 
 // API implements the endpoints for operators.
 type API struct {
-	deps    Deps
-	eval    *eval.Evaluator
-	keyring *keys.Keyring
-	tries   *tries.Tries
-	metrics metrics
+	deps     Deps
+	eval     *eval.Evaluator
+	keyring  *keys.Keyring
+	throttle *throttle.Throttle
+	metrics  metrics
 }
 
 type metrics struct {
@@ -66,10 +66,10 @@
 func New(deps Deps) *API {
 	scope := deps.Scope.SubScope("operator")
 	return &API{
-		deps:    deps,
-		eval:    eval.New(deps.Sources),
-		keyring: keys.New(deps.Configs),
-		tries:   tries.New(deps.Clock),
+		deps:     deps,
+		eval:     eval.New(deps.Sources),
+		keyring:  keys.New(deps.Configs),
+		throttle: throttle.New(deps.Clock),
 		metrics: metrics{
 			queries:          scope.Counter("asked"),
 			failedQueries:    scope.Counter("failed"),
--- a/internal/operator/auth.go
+++ b/internal/operator/auth.go
@@ -35,9 +35,9 @@
 	}
 	key := keys.Bearer(c.Get(fiber.HeaderAuthorization))
 	operator := a.keyring.Operator(key, a.deps.Clock.Now())
-	wait := a.tries.Wait(addr)
-	if operator != nil && (wait == 0 || a.tries.Known(addr, operator.Name)) {
-		a.tries.Passed(addr, operator.Name)
+	wait := a.throttle.Wait(addr)
+	if operator != nil && (wait == 0 || a.throttle.Known(addr, operator.Name)) {
+		a.throttle.RecordSuccess(addr, operator.Name)
 		return operator, nil
 	}
 	if wait > 0 {
@@ -46,7 +46,7 @@
 		detail := fmt.Sprintf("too many failed keys from %s: wait %s", addr, wait.Round(time.Millisecond))
 		return nil, sendError(c, fiber.StatusTooManyRequests, wire.ErrorResponse{Detail: detail})
 	}
-	a.tries.Fail(addr)
+	a.throttle.RecordFailure(addr)
 	return nil, a.sendUnauthorized(c, "the operator's key is missing, unknown or ended")
 }
 
