--- a/dispatch.go
+++ b/dispatch.go
@@ -9,8 +9,8 @@
 	// number only once.
 	Number uint64 `json:"n"`
 	Rank   int    `json:"r,omitempty"`
-	// Prompt is the length of the prompt, Output the maximum output and Expected the expected
-	// output, in tokens.
+	// Prompt is the length of the prompt, MaxOutput the maximum output and ExpectedOutput the
+	// expected output, in tokens.
 	Prompt         int `json:"p,omitempty"`
 	MaxOutput      int `json:"o,omitempty"`
 	ExpectedOutput int `json:"e,omitempty"`
--- a/doc.go
+++ b/doc.go
@@ -1,2 +1,3 @@
-// Package fireflypath schedules requests for heterogeneous model engines and plain services behind one entry point.
+// Package fireflypath schedules requests for heterogeneous model engines and plain services
+// behind one entry point.
 package fireflypath
--- a/internal/daemon/backends.go
+++ b/internal/daemon/backends.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// defaultSilenceTimeout is many times the pause between two tokens, and short compared
+	// defaultIdleTimeout is many times the pause between two tokens, and short compared
 	// to the minute that callers usually wait.
-	defaultSilenceTimeout = 10 * time.Second
-	// serviceSilenceFactor is how many times longer a plain service may be silent. Its answer
+	defaultIdleTimeout = 10 * time.Second
+	// serviceIdleFactor is how many times longer a plain service may be silent. Its answer
 	// cannot be resumed, so that a wrong guess loses it.
-	serviceSilenceFactor = 12
+	serviceIdleFactor = 12
 	// defaultBufferSize is many times the size of the largest event seen in completions APIs.
 	defaultBufferSize = 256 << 10
 )
@@ -30,16 +30,16 @@
 func (backends) String() string { return "backends" }
 
 func (backends) Run(ctx context.Context, d *Daemon) error {
-	silence := d.cfg.Limits.IdleTimeout.Std()
-	if silence == 0 {
-		silence = defaultSilenceTimeout
+	idleTimeout := d.cfg.Limits.IdleTimeout.Std()
+	if idleTimeout == 0 {
+		idleTimeout = defaultIdleTimeout
 	}
 	buffer := d.cfg.Limits.Buffer
 	if buffer == 0 {
 		buffer = defaultBufferSize
 	}
-	d.engine = engine.New(d.deps.Clock, silence, buffer)
-	d.service = service.New(d.deps.Clock, serviceSilenceFactor*silence)
+	d.engine = engine.New(d.deps.Clock, idleTimeout, buffer)
+	d.service = service.New(d.deps.Clock, serviceIdleFactor*idleTimeout)
 	return nil
 }
 
--- a/internal/daemon/endpoint.go
+++ b/internal/daemon/endpoint.go
@@ -72,9 +72,9 @@
 	if d.members != nil {
 		d.members.SetLeaving()
 	}
-	if notice := d.cfg.Stop.ReadinessDelay.Std(); notice > 0 {
+	if delay := d.cfg.Stop.ReadinessDelay.Std(); delay > 0 {
 		select {
-		case <-d.deps.Clock.After(notice):
+		case <-d.deps.Clock.After(delay):
 		case <-ctx.Done():
 		}
 	}
--- a/internal/daemon/fault_test.go
+++ b/internal/daemon/fault_test.go
@@ -36,15 +36,15 @@
 
 // options configures a testDaemon; the default has one fast engine and one service.
 type options struct {
-	engine  engine.Config
-	service service.Config
-	engines int
-	window  int
-	silence time.Duration
-	deps    daemon.Deps
-	// body, header, connections, waiting and bodies are the limits of the settings.
-	body, header, connections, waiting, bodies int
-	notice                                     time.Duration
+	engine      engine.Config
+	service     service.Config
+	engines     int
+	window      int
+	idleTimeout time.Duration
+	deps        daemon.Deps
+	// body, header, connections, maxWaitingBytes and pendingBodies are limits of the settings.
+	body, header, connections, maxWaitingBytes, pendingBodies int
+	readinessDelay                                            time.Duration
 }
 
 func newTestDaemon(t *testing.T, s options) *testDaemon {
@@ -71,11 +71,11 @@
 		cfg.Targets[i].Window = s.window
 	}
 	daemonSettings := testkit.Settings(cfg)
-	daemonSettings.Limits.IdleTimeout = fireflypath.Duration(s.silence)
-	daemonSettings.Stop.ReadinessDelay = fireflypath.Duration(s.notice)
-	daemonSettings.Limits.PendingBodies = s.bodies
+	daemonSettings.Limits.IdleTimeout = fireflypath.Duration(s.idleTimeout)
+	daemonSettings.Stop.ReadinessDelay = fireflypath.Duration(s.readinessDelay)
+	daemonSettings.Limits.PendingBodies = s.pendingBodies
 	daemonSettings.Limits.Body, daemonSettings.Limits.Header = s.body, s.header
-	daemonSettings.Limits.Connections, daemonSettings.Limits.Waiting = s.connections, s.waiting
+	daemonSettings.Limits.Connections, daemonSettings.Limits.Waiting = s.connections, s.maxWaitingBytes
 	s.deps.Recorder = r
 	r.Daemon, err = daemon.New(daemonSettings, s.deps)
 	is.NoErr(err)
@@ -263,7 +263,7 @@
 // carry no data; new connections work. The caller must get the rest of its answer over a new one.
 func TestSilentConnection(t *testing.T) {
 	is := is.New(t)
-	r := newTestDaemon(t, options{engine: engine.Config{Decode: 40}, silence: 150 * time.Millisecond})
+	r := newTestDaemon(t, options{engine: engine.Config{Decode: 40}, idleTimeout: 150 * time.Millisecond})
 	resp, err := http.DefaultClient.Do(r.request(t.Context(), "/v1/completions", completion(8)))
 	is.NoErr(err)
 	defer resp.Body.Close()
@@ -281,7 +281,7 @@
 // connection may be silent, and the connection is lost meanwhile.
 func TestSilentConnectionBeforeAnswer(t *testing.T) {
 	is := is.New(t)
-	r := newTestDaemon(t, options{engine: engine.Config{Prefill: 4}, silence: 100 * time.Millisecond})
+	r := newTestDaemon(t, options{engine: engine.Config{Prefill: 4}, idleTimeout: 100 * time.Millisecond})
 	got := make(chan result, 1)
 	go func() { got <- r.stream(3) }()
 	for sum, _ := r.dispatches(); sum == 0; sum, _ = r.dispatches() {
@@ -298,7 +298,7 @@
 // longer timeout the caller is told that the call may have run.
 func TestSilentService(t *testing.T) {
 	is := is.New(t)
-	r := newTestDaemon(t, options{service: service.Config{Delay: time.Minute}, silence: 20 * time.Millisecond})
+	r := newTestDaemon(t, options{service: service.Config{Delay: time.Minute}, idleTimeout: 20 * time.Millisecond})
 	got := make(chan result, 1)
 	go func() { got <- r.post("/services/packets/a", "x") }()
 	for len(r.services[0].Counts().Runs) == 0 {
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -135,15 +135,15 @@
 func (gatedScheduling) String() string { return "scheduling" }
 
 func (gatedScheduling) Run(_ context.Context, d *Daemon) error {
-	waiting := d.cfg.Limits.Waiting
-	if waiting == 0 {
-		waiting = defaultMaxWaitingBytes
+	maxWaitingBytes := d.cfg.Limits.Waiting
+	if maxWaitingBytes == 0 {
+		maxWaitingBytes = defaultMaxWaitingBytes
 	}
 	if d.deps.Scheduler == nil {
 		d.deps.Scheduler = d.gatedScheduler
 	}
 	d.pools = pools.New(d.deps.Clock, nil, d.deps.Scheduler)
-	d.pools.SetMaxWaitingBytes(waiting)
+	d.pools.SetMaxWaitingBytes(maxWaitingBytes)
 	if d.members != nil {
 		d.dispatch = dispatch.New(d.cfg.Name, d.peers, d.members, d.deps.Clock, d.scope, d.deps.Log, d.dispatcherScheduler)
 		d.pools.OnCreate(d.addToDispatcher)
--- a/internal/daemon/input_test.go
+++ b/internal/daemon/input_test.go
@@ -110,7 +110,7 @@
 // one of them; another of the low tier is refused.
 func TestWaitingBytesLimit(t *testing.T) {
 	is := is.New(t)
-	r := newTestDaemon(t, options{engine: engine.Config{Decode: 10, Batch: 1}, window: 1, waiting: 2000})
+	r := newTestDaemon(t, options{engine: engine.Config{Decode: 10, Batch: 1}, window: 1, maxWaitingBytes: 2000})
 	running, err := http.DefaultClient.Do(r.request(t.Context(), "/v1/completions", completion(1000)))
 	is.NoErr(err)
 	defer running.Body.Close()
--- a/internal/daemon/scheduling.go
+++ b/internal/daemon/scheduling.go
@@ -24,12 +24,12 @@
 	if d.deps.Scheduler == nil {
 		d.deps.Scheduler = d.scheduler
 	}
-	waiting := d.cfg.Limits.Waiting
-	if waiting == 0 {
-		waiting = defaultMaxWaitingBytes
+	maxWaitingBytes := d.cfg.Limits.Waiting
+	if maxWaitingBytes == 0 {
+		maxWaitingBytes = defaultMaxWaitingBytes
 	}
 	d.pools = pools.New(d.deps.Clock, d.deps.Relief, d.deps.Scheduler)
-	d.pools.SetMaxWaitingBytes(waiting)
+	d.pools.SetMaxWaitingBytes(maxWaitingBytes)
 	d.evidence = evidence.New(d.onTargetLeaving, d.onTargetStaying)
 	d.pools.Apply(d.deps.Configs.Current())
 	d.background.Go(func() { d.pools.Follow(d.ctx, d.deps.Configs) })
--- a/internal/daemon/staticconfigs.go
+++ b/internal/daemon/staticconfigs.go
@@ -2,7 +2,8 @@
 
 import "github.com/fireflypath/fireflypath"
 
-// staticConfigs provides the configuration of a daemon without a platform service, which never changes.
+// staticConfigs provides the configuration of a daemon without a platform service. It never
+// changes.
 type staticConfigs struct {
 	cfg   *fireflypath.Config
 	never chan struct{}
--- a/routing.go
+++ b/routing.go
@@ -158,8 +158,8 @@
 	Pause time.Duration
 	// Age is how old a relayed view was when it was requested.
 	Age time.Duration
-	// LapseWindow is how long a removal in a relayed view may be due to a registration that expired
-	// while the store was unavailable.
+	// LapseWindow is how long a removal in a relayed view may be due to a registration that
+	// expired while the store was unavailable.
 	LapseWindow time.Duration
 }
 
--- a/scheduler.go
+++ b/scheduler.go
@@ -156,7 +156,8 @@
 	Waiting int
 	// Tokens is the outstanding work, in tokens to prefill or generate.
 	Tokens int
-	// MaxRunning is the maximum number of requests that the target runs concurrently; 0 if unknown.
+	// MaxRunning is the maximum number of requests that the target runs concurrently; 0 if
+	// unknown.
 	MaxRunning int
 }
 
@@ -197,7 +198,8 @@
 	// of it.
 	Window int     `json:"window"`
 	Share  float64 `json:"part"`
-	// InFlight and Requests are this daemon's own in-flight work.
+	// InFlight is this daemon's own in-flight work in tokens, Requests the number of
+	// its requests in flight.
 	InFlight int `json:"held"`
 	Requests int `json:"requests"`
 	// PrefillRate and DecodeRate are learned, in tokens per second.
