--- a/internal/daemon/endpoint.go
+++ b/internal/daemon/endpoint.go
@@ -6,7 +6,7 @@
 
 	"github.com/gofiber/fiber/v3"
 
-	"github.com/fireflypath/fireflypath/internal/caller/door"
+	"github.com/fireflypath/fireflypath/internal/caller/listener"
 )
 
 const (
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	d.operatorListener = door.New(ln, 0, nil)
+	d.operatorListener = listener.New(ln, 0, nil)
 	d.operatorApp = fiber.New(fiber.Config{
 		BodyLimit: maxOperatorBody, ReadTimeout: operatorReadTimeout, IdleTimeout: operatorIdleTimeout,
 	})
@@ -72,9 +72,9 @@
 	if d.members != nil {
 		d.members.SetLeaving()
 	}
-	if notice := d.cfg.Stop.ReadinessDelay.Std(); notice > 0 {
+	if delay := d.cfg.Stop.ReadinessDelay.Std(); delay > 0 {
 		select {
-		case <-d.deps.Clock.After(notice):
+		case <-d.deps.Clock.After(delay):
 		case <-ctx.Done():
 		}
 	}
