--- a/cmd/fireflypath/ask.go
+++ b/cmd/fireflypath/ask.go
@@ -60,9 +60,9 @@
 }
 
 func (a asker) run(w io.Writer, text string) error {
-	ask := a.client.Ask
+	ask := a.client.Query
 	if a.each {
-		ask = a.client.Each
+		ask = a.client.QueryAll
 	}
 	answer, err := ask(text)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return printAnswer(w, answer)
 }
 
-func printAnswer(w io.Writer, answer *eval.Answer) error {
+func printAnswer(w io.Writer, answer *eval.Result) error {
 	var b strings.Builder
 	for _, l := range answer.Lines {
 		fmt.Fprintln(&b, l)
--- a/cmd/fireflypath/do.go
+++ b/cmd/fireflypath/do.go
@@ -83,7 +83,7 @@
 		return coded{errors.New("a repeated key command must name the hash: a new key would not be the one that the id created"), exitInput}
 	}
 	req.Text = text
-	done := d.client.Do(req)
+	done := d.client.Execute(req)
 	if done.Outcome != wire.OutcomeDone && done.Outcome != wire.OutcomeUnknown {
 		made = nil
 	}
@@ -115,7 +115,7 @@
 	for _, l := range p.Lines {
 		fmt.Fprintln(b, l)
 	}
-	for _, l := range p.Breaks {
+	for _, l := range p.BreakingChanges {
 		fmt.Fprintln(b, "! "+l)
 	}
 	if len(p.Lines) == 0 {
--- a/cmd/fireflypath/held.go
+++ b/cmd/fireflypath/held.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				return err
 			}
-			rows, err := c.Held()
+			rows, err := c.HeldRequests()
 			if err != nil {
 				return err
 			}
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -49,8 +49,8 @@
 	return c, nil
 }
 
-// Config is for a listener; later pairs are served without a new one.
-func (c *Certificate) Config() *tls.Config {
+// TLSConfig is for a listener; later pairs are served without a new one.
+func (c *Certificate) TLSConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: c.get}
 }
 
--- a/internal/certificate/certificate_test.go
+++ b/internal/certificate/certificate_test.go
@@ -34,7 +34,7 @@
 	clock := clockwork.NewFakeClock()
 	c, err := certificate.New(certFile, keyFile, clock, zap.NewNop())
 	is.NoErr(err)
-	cfg := c.Config()
+	cfg := c.TLSConfig()
 	is.Equal(serial(t, cfg), int64(1))
 	testkit.Pair(t, dir, 2)
 	is.Equal(serial(t, cfg), int64(1)) // not looked again yet
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -30,8 +30,8 @@
 
 // Errors of a Client, apart from *syntax.Error.
 var (
-	// ErrUnreached means that no daemon took the call.
-	ErrUnreached = errors.New("no daemon can be reached")
+	// ErrUnreachable means that no daemon took the call.
+	ErrUnreachable = errors.New("no daemon can be reached")
 	// ErrRefused means that the daemon refused to answer.
 	ErrRefused = errors.New("refused")
 )
@@ -65,7 +65,7 @@
 	c.http.Dial = func(addr string) (net.Conn, error) {
 		conn, err := fasthttp.DialTimeout(addr, dialTimeout)
 		if err != nil {
-			return nil, errors.Mark(err, ErrUnreached)
+			return nil, errors.Mark(err, ErrUnreachable)
 		}
 		return conn, nil
 	}
@@ -77,9 +77,9 @@
 	body   []byte
 }
 
-// Do has a command done. The answer's outcome is OutcomeUnknown unless a daemon
+// Execute has a command done. The answer's outcome is OutcomeUnknown unless a daemon
 // said otherwise, and OutcomeUnavailable if none was reached at all.
-func (c *Client) Do(d wire.CommandRequest) wire.CommandResult {
+func (c *Client) Execute(d wire.CommandRequest) wire.CommandResult {
 	best := wire.CommandResult{ID: d.ID, Outcome: wire.OutcomeUnavailable, Detail: "no address is given"}
 	for i := range tries {
 		addr := c.opts.Addrs[i%len(c.opts.Addrs)]
@@ -102,7 +102,7 @@
 func (c *Client) doOnce(addr string, d wire.CommandRequest) wire.CommandResult {
 	done := wire.CommandResult{ID: d.ID}
 	r, err := c.post(addr, wire.PathDo, d)
-	if errors.Is(err, ErrUnreached) {
+	if errors.Is(err, ErrUnreachable) {
 		done.Outcome, done.Detail = wire.OutcomeUnavailable, "nothing was changed: "+err.Error()
 		return done
 	}
@@ -121,13 +121,13 @@
 	return done
 }
 
-// Ask answers a query. Its errors are *syntax.Error, ErrUnreached and ErrRefused.
-func (c *Client) Ask(words string) (*eval.Answer, error) {
+// Query answers a query. Its errors are *syntax.Error, ErrUnreachable and ErrRefused.
+func (c *Client) Query(words string) (*eval.Result, error) {
 	var last error
 	for _, addr := range c.opts.Addrs {
 		r, err := c.post(addr, wire.PathAsk, wire.QueryRequest{Text: words})
 		if err != nil {
-			last = errors.Mark(err, ErrUnreached)
+			last = errors.Mark(err, ErrUnreachable)
 			continue
 		}
 		return decode(r)
@@ -135,8 +135,8 @@
 	return nil, last
 }
 
-// Held lists the requests that are held or suspected since they end targets.
-func (c *Client) Held() ([]quarantine.Row, error) {
+// HeldRequests lists the requests that are held or suspected since they end targets.
+func (c *Client) HeldRequests() ([]quarantine.Row, error) {
 	var h wire.HeldResponse
 	return h.Rows, c.call(wire.PathHeld, struct{}{}, &h)
 }
@@ -152,7 +152,7 @@
 	for _, addr := range c.opts.Addrs {
 		r, err := c.post(addr, path, message)
 		if err != nil {
-			last = errors.Mark(err, ErrUnreached)
+			last = errors.Mark(err, ErrUnreachable)
 			continue
 		}
 		if r.status != fasthttp.StatusOK {
@@ -163,9 +163,9 @@
 	return last
 }
 
-func decode(r *reply) (*eval.Answer, error) {
+func decode(r *reply) (*eval.Result, error) {
 	if r.status == fasthttp.StatusOK {
-		var a eval.Answer
+		var a eval.Result
 		return &a, errors.Wrap(json.Unmarshal(r.body, &a), "read the answer")
 	}
 	return nil, failure(r)
--- a/internal/client/each.go
+++ b/internal/client/each.go
@@ -18,19 +18,19 @@
 // peer is a daemon and what it answered.
 type peer struct {
 	name, addr string
-	answer     *eval.Answer
+	answer     *eval.Result
 	err        error
 }
 
-// Each asks every live daemon. Counts are added up; other tables get a column
+// QueryAll asks every live daemon. Counts are added up; other tables get a column
 // with the daemon's name. A daemon that does not answer is named in a note, so
 // that a sum is not taken for the whole.
-func (c *Client) Each(words string) (*eval.Answer, error) {
+func (c *Client) QueryAll(words string) (*eval.Result, error) {
 	q, err := query.Parse(words)
 	if err != nil {
 		return nil, err
 	}
-	if q.Kind != query.KindList && q.Kind != query.KindCount && q.Kind != query.KindMeasure {
+	if q.Kind != query.KindList && q.Kind != query.KindCount && q.Kind != query.KindPercentile {
 		return nil, errors.Wrap(ErrRefused, "only lists, counts and percentiles can be asked of each daemon")
 	}
 	peers, err := c.peers()
@@ -42,7 +42,7 @@
 		at := &Client{opts: c.opts}
 		at.opts.Addrs = []string{p.addr}
 		at.connect()
-		p.answer, p.err = at.Ask(words)
+		p.answer, p.err = at.Query(words)
 	})
 	t := &table.Table{}
 	for _, p := range peers {
@@ -53,12 +53,12 @@
 	if q.Kind == query.KindCount {
 		t = total(t)
 	}
-	return &eval.Answer{Sections: []eval.Section{{Table: t}}}, nil
+	return &eval.Result{Sections: []eval.Section{{Table: t}}}, nil
 }
 
 // peers reads the live daemons from the first one that answers.
 func (c *Client) peers() ([]peer, error) {
-	a, err := c.Ask("daemons")
+	a, err := c.Query("daemons")
 	if err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 // wrong is wrong at every daemon.
 func add(t *table.Table, p peer) error {
 	if p.err != nil {
-		if !errors.IsAny(p.err, ErrUnreached, ErrRefused) {
+		if !errors.IsAny(p.err, ErrUnreachable, ErrRefused) {
 			return p.err
 		}
 		t.Notes = append(t.Notes, "daemon "+p.name+" is missing: "+p.err.Error())
--- a/internal/command/script.go
+++ b/internal/command/script.go
@@ -79,7 +79,7 @@
 
 func (c *compiler) fail(w syntax.Word, detail string) {
 	if c.err == nil {
-		c.err = syntax.At(c.text, w.Pos, detail)
+		c.err = syntax.NewError(c.text, w.Pos, detail)
 		c.err.Found = w.Text
 	}
 }
--- a/internal/command/script_test.go
+++ b/internal/command/script_test.go
@@ -157,7 +157,7 @@
 	is := is.New(t)
 	cfg := apply(t, &fireflypath.Config{}, fullConfig)
 	next := apply(t, cfg, "drain target e1; drain target e2; set pool chat models n; set tier silver rank 1; delete rule big; set team traders tiers gold")
-	p := plan.New(cfg, next)
+	p := plan.Compare(cfg, next)
 	is.Equal(p.Lines, []string{
 		"+ tier silver rank 1 deadline 2m0s",
 		"~ team traders tiers gold,bronze -> gold",
@@ -166,7 +166,7 @@
 		"~ target e2 drained false -> true",
 		"- rule big",
 	})
-	is.Equal(len(p.Breaks), 3) // no target left, a model without pool, a tier removed from a team
+	is.Equal(len(p.BreakingChanges), 3) // no target left, a model without pool, a tier removed from a team
 }
 
 func TestOrderAndBase(t *testing.T) {
@@ -194,7 +194,7 @@
 		}
 		old := &fireflypath.Config{}
 		if next, err := s.Apply(old, now); err == nil {
-			plan.New(old, next)
+			plan.Compare(old, next)
 		}
 	})
 }
--- a/internal/command/size_test.go
+++ b/internal/command/size_test.go
@@ -75,7 +75,7 @@
 			old, next := largeConfig(teams), largeConfig(teams)
 			next.Teams[2].Weight = 9
 			for b.Loop() {
-				plan.New(old, next)
+				plan.Compare(old, next)
 			}
 		})
 	}
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			return nil, err
 		}
-		cfg = cert.Config()
+		cfg = cert.TLSConfig()
 	}
 	ln, err := net.Listen("tcp", addr)
 	if err != nil || cfg == nil {
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -49,7 +49,7 @@
 		Sources: eval.Sources{
 			Name: d.cfg.Name, Configs: d.deps.Configs, Members: members,
 			Recorder: d.deps.Recorder, Committer: committer,
-			Views: d.pools.Views, Demands: d.pools.Demands, Open: d.pools.OpenRequests, Clock: d.deps.Clock,
+			Views: d.pools.Views, Demands: d.pools.Demands, OpenRequests: d.pools.OpenRequests, Clock: d.deps.Clock,
 		},
 		Orderer:   d.deps.Orderer,
 		Forwarder: forward.New(tlsConfig),
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -46,6 +46,6 @@
 	is.NoErr(err)
 	roots := x509.NewCertPool()
 	is.True(roots.AppendCertsFromPEM(pem))
-	_, err = client.New(client.Options{Addrs: []string{addr}, Roots: roots}).Ask("teams")
+	_, err = client.New(client.Options{Addrs: []string{addr}, Roots: roots}).Query("teams")
 	return err
 }
--- a/internal/operator/api_test.go
+++ b/internal/operator/api_test.go
@@ -106,12 +106,12 @@
 }
 
 func execute(c *client.Client, text string) wire.CommandResult {
-	return c.Do(wire.CommandRequest{ID: ulid.Make().String(), Text: text})
+	return c.Execute(wire.CommandRequest{ID: ulid.Make().String(), Text: text})
 }
 
 func ask(t *testing.T, c *client.Client, text string) string {
 	t.Helper()
-	a, err := c.Ask(text)
+	a, err := c.Query(text)
 	if err != nil {
 		return err.Error()
 	}
@@ -139,10 +139,10 @@
 	result := execute(c, setupCommands)
 	is.Equal(result.Outcome, wire.OutcomeDone)
 	is.Equal(result.Generation, uint64(2))
-	repeated := c.Do(wire.CommandRequest{ID: result.ID, Text: setupCommands})
+	repeated := c.Execute(wire.CommandRequest{ID: result.ID, Text: setupCommands})
 	is.True(repeated.Repeated)
 	is.Equal(l.Current().Generation, uint64(2)) // not executed twice
-	other := c.Do(wire.CommandRequest{ID: result.ID, Text: "drain target e1"})
+	other := c.Execute(wire.CommandRequest{ID: result.ID, Text: "drain target e1"})
 	is.Equal(other.Outcome, wire.OutcomeRefused) // the ID belongs to another command
 	is.True(strings.Contains(other.Detail, setupCommands))
 	is.Equal(ask(t, c, "settle "+result.ID), "done: in force from generation 2")
@@ -160,7 +160,7 @@
 
 	planned := execute(c, "plan drain target e1")
 	is.Equal(planned.Plan.Lines, []string{"~ target e1 drained false -> true"})
-	is.Equal(len(planned.Plan.Breaks), 1)
+	is.Equal(len(planned.Plan.BreakingChanges), 1)
 	is.True(!l.Current().Targets[0].Drained)
 }
 
@@ -234,8 +234,8 @@
 	closedAddr := ln.Addr().String()
 	is.Equal(execute(newClient(closedAddr, startDaemon(t, "d1", l, clock, nil).addr), setupCommands).Outcome, wire.OutcomeDone)
 	is.Equal(execute(newClient(closedAddr), setupCommands).Outcome, wire.OutcomeUnavailable)
-	_, err = newClient(closedAddr).Ask("teams")
-	is.True(errors.Is(err, client.ErrUnreached))
+	_, err = newClient(closedAddr).Query("teams")
+	is.True(errors.Is(err, client.ErrUnreachable))
 }
 
 // A daemon receives the command and closes the connection without a response. The
@@ -305,7 +305,7 @@
 	is.Equal(execute(bo, "plan restore target e1").Outcome, wire.OutcomePlanned)
 	is.True(strings.Contains(ask(t, bo, "changes where who = bo"), "operator bo has the role ask; this needs change"))
 	is.True(errors.Is(bo.Release(heldDigest.String()), client.ErrRefused))
-	rows, err := bo.Held()
+	rows, err := bo.HeldRequests()
 	is.NoErr(err)
 	is.Equal(len(rows), 1) // the role ask may list held requests
 
@@ -314,7 +314,7 @@
 		is.Equal(ask(t, wrongKey, "teams"), "the operator's key is missing, unknown or ended")
 	}
 	is.True(strings.Contains(ask(t, wrongKey, "teams"), "too many failed keys"))
-	_, err = wrongKey.Held()
+	_, err = wrongKey.HeldRequests()
 	is.True(err != nil)
 	is.True(strings.Contains(ask(t, bo, "teams"), "NAME"))                 // this key was used from this address before
 	is.True(strings.Contains(ask(t, cy, "teams"), "too many failed keys")) // a valid key that was not
@@ -356,7 +356,7 @@
 	two.ring.Keep(&fireflypath.Record{ID: "d2.b", Tier: "bronze", State: "shed"})
 	c := newClient(one.addr)
 	show := func(text string) string {
-		a, err := c.Each(text)
+		a, err := c.QueryAll(text)
 		is.NoErr(err)
 		var b strings.Builder
 		is.NoErr(a.Sections[0].Table.Write(&b))
@@ -367,7 +367,7 @@
 	is.True(strings.HasPrefix(show("p50 requests of tokens by tier"), "DAEMON TIER COUNT P50 d1 gold 1 0 d2 bronze 1 0 d2 gold 2 0"))
 	one.peers.list = append(one.peers.list, fireflypath.Member{Name: "d3", OperatorAddr: "127.0.0.1:1"})
 	is.True(strings.Contains(show("count requests"), "COUNT 4 # daemon d3 is missing: call http://127.0.0.1:1"))
-	_, err := c.Each("why d1.X")
+	_, err := c.QueryAll("why d1.X")
 	is.True(err != nil)
 }
 
@@ -417,11 +417,11 @@
 	l := newLedger(clock)
 	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
 	oldID := ulid.MustNew(ulid.Timestamp(clock.Now().Add(-48*time.Hour)), ulid.DefaultEntropy()).String()
-	is.Equal(c.Do(wire.CommandRequest{ID: oldID, Text: setupCommands}).Outcome, wire.OutcomeDone)
-	for i := range eval.SettleLines {
+	is.Equal(c.Execute(wire.CommandRequest{ID: oldID, Text: setupCommands}).Outcome, wire.OutcomeDone)
+	for i := range eval.SettleSearchLines {
 		is.NoErr(l.AppendAudit(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), At: clock.Now()}))
 	}
-	result := c.Do(wire.CommandRequest{ID: oldID, Text: setupCommands})
+	result := c.Execute(wire.CommandRequest{ID: oldID, Text: setupCommands})
 	is.Equal(result.Outcome, wire.OutcomeRefused)
 	is.True(strings.Contains(result.Detail, "older than the trail"))
 	is.Equal(l.Current().Generation, uint64(2))
@@ -433,14 +433,14 @@
 	clock := clockwork.NewFakeClock()
 	l := newLedger(clock)
 	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
-	rows, err := c.Held()
+	rows, err := c.HeldRequests()
 	is.NoErr(err)
 	is.Equal(len(rows), 1)
 	is.True(c.Release("no digest") != nil)
 	is.True(c.Release(digest.Digest(1).String()) != nil)
 	is.NoErr(c.Release(rows[0].Digest))
 	is.True(errors.Is(c.Release(rows[0].Digest), client.ErrRefused)) // it is not held any more
-	rows, err = c.Held()
+	rows, err = c.HeldRequests()
 	is.NoErr(err)
 	is.Equal(len(rows), 0)
 }
--- a/internal/operator/ask.go
+++ b/internal/operator/ask.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		return a.sendQueryError(c, err)
 	}
-	ans, err := a.eval.Ask(ctx, q)
-	var elsewhere *eval.Elsewhere
+	ans, err := a.eval.Evaluate(ctx, q)
+	var elsewhere *eval.WrongDaemonError
 	if errors.As(err, &elsewhere) {
 		return a.forwardQuery(c, elsewhere.Daemon, text)
 	}
@@ -62,9 +62,9 @@
 	switch {
 	case errors.As(err, &f.Syntax):
 		status = fiber.StatusBadRequest
-	case errors.Is(err, eval.ErrNotKept):
+	case errors.Is(err, eval.ErrNoRecord):
 		status = fiber.StatusNotFound
-	case errors.Is(err, eval.ErrTrail):
+	case errors.Is(err, eval.ErrAuditTrail):
 		status = fiber.StatusServiceUnavailable
 	}
 	return sendError(c, status, f)
--- a/internal/operator/do.go
+++ b/internal/operator/do.go
@@ -79,9 +79,9 @@
 		return false
 	}
 	// The error is ignored: if the trail is unreadable, the commit fails too.
-	lines, _ := a.deps.Committer.Trail(ctx, eval.SettleLines)
+	lines, _ := a.deps.Committer.Trail(ctx, eval.SettleSearchLines)
 	n := len(lines)
-	return n == eval.SettleLines && createdAt.Before(lines[n-1].At)
+	return n == eval.SettleSearchLines && createdAt.Before(lines[n-1].At)
 }
 
 func requiredRole(s *command.Script) fireflypath.Role {
@@ -129,7 +129,7 @@
 	if err != nil {
 		return refusedResult(result, err)
 	}
-	result.Outcome, result.Plan = wire.OutcomePlanned, plan.New(old, next)
+	result.Outcome, result.Plan = wire.OutcomePlanned, plan.Compare(old, next)
 	return result
 }
 
@@ -182,7 +182,7 @@
 const repeatAuditLines = 175
 
 func (a *API) auditRefusal(ctx context.Context, operator string, req wire.CommandRequest, result wire.CommandResult) wire.CommandResult {
-	result.AuditFailed = a.audit(ctx, eval.RefusedID(req.ID), operator, req.Text, "refused: "+result.Detail) != nil
+	result.AuditFailed = a.audit(ctx, eval.RefusalLineID(req.ID), operator, req.Text, "refused: "+result.Detail) != nil
 	return result
 }
 
--- a/internal/operator/order.go
+++ b/internal/operator/order.go
@@ -23,7 +23,7 @@
 		result.Outcome, result.Detail = wire.OutcomeRefused, reason
 		return a.auditRefusal(ctx, operator, req, result)
 	}
-	if err := a.audit(ctx, req.ID, operator, req.Text, eval.Ordered); err != nil {
+	if err := a.audit(ctx, req.ID, operator, req.Text, eval.ResultOrdered); err != nil {
 		result.Outcome = wire.OutcomeUnavailable
 		result.Detail = "the order was not sent, because the trail cannot be written: " + err.Error()
 		return result
@@ -33,7 +33,7 @@
 	if result.Detail != "" {
 		summary += ": " + result.Detail
 	}
-	result.AuditFailed = a.audit(ctx, eval.ResultID(req.ID), operator, req.Text, summary) != nil
+	result.AuditFailed = a.audit(ctx, eval.ResultLineID(req.ID), operator, req.Text, summary) != nil
 	return result
 }
 
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -14,12 +14,12 @@
 type Plan struct {
 	// Lines begin with + for what is new, - for what goes and ~ for what changes.
 	Lines []string `json:"lines"`
-	// Breaks tells what would no longer work though the change is allowed.
-	Breaks []string `json:"breaks,omitempty"`
+	// BreakingChanges tells what would no longer work though the change is allowed.
+	BreakingChanges []string `json:"breaks,omitempty"`
 }
 
-// New compares the configuration in force with the next one.
-func New(old, next *fireflypath.Config) *Plan {
+// Compare compares the configuration in force with the next one.
+func Compare(old, next *fireflypath.Config) *Plan {
 	p := &Plan{}
 	diff(p, "tier", old.Tiers, next.Tiers)
 	diff(p, "team", old.Teams, next.Teams)
@@ -27,7 +27,7 @@
 	diff(p, "target", old.Targets, next.Targets)
 	diff(p, "rule", old.Rules, next.Rules)
 	diff(p, "operator", old.Operators, next.Operators)
-	p.Breaks = breaks(old, next)
+	p.BreakingChanges = breaks(old, next)
 	return p
 }
 
--- a/internal/query/eval/eval.go
+++ b/internal/query/eval/eval.go
@@ -16,20 +16,20 @@
 
 // Errors of an Evaluator, apart from *syntax.Error.
 var (
-	// ErrNotKept means that no record of the request is held here.
-	ErrNotKept = errors.New("no record of the request is kept")
-	// ErrTrail means that the audit trail could not be read.
-	ErrTrail = errors.New("the audit trail cannot be read now")
+	// ErrNoRecord means that no record of the request is held here.
+	ErrNoRecord = errors.New("no record of the request is kept")
+	// ErrAuditTrail means that the audit trail could not be read.
+	ErrAuditTrail = errors.New("the audit trail cannot be read now")
 )
 
-// Elsewhere is the error for a request that another daemon took.
-type Elsewhere struct {
+// WrongDaemonError is the error for a request that another daemon took.
+type WrongDaemonError struct {
 	// Daemon is the name at the beginning of the request's id.
 	Daemon string
 }
 
 // Error names the daemon.
-func (e *Elsewhere) Error() string {
+func (e *WrongDaemonError) Error() string {
 	return "the request was taken by daemon " + e.Daemon
 }
 
@@ -44,9 +44,9 @@
 	// Views and Demands read all pools of this daemon.
 	Views   func() []fireflypath.TargetView
 	Demands func() []fireflypath.Demand
-	// Open reads the requests that wait or run now and that match; nil has none.
-	Open  func(match func(*fireflypath.Work) bool) []fireflypath.Record
-	Clock clockwork.Clock
+	// OpenRequests reads the requests that wait or run now and that match; nil has none.
+	OpenRequests func(match func(*fireflypath.Work) bool) []fireflypath.Record
+	Clock        clockwork.Clock
 }
 
 // Section is a table with its title, empty if it stands alone.
@@ -55,8 +55,8 @@
 	Table *table.Table `json:"table"`
 }
 
-// Answer is what a query gives.
-type Answer struct {
+// Result is what a query gives.
+type Result struct {
 	// Lines are sentences, before the tables.
 	Lines    []string  `json:"lines,omitempty"`
 	Sections []Section `json:"sections,omitempty"`
@@ -78,10 +78,10 @@
 	return &Evaluator{src: src}
 }
 
-// Ask answers a query. Its errors are *syntax.Error, *Elsewhere, ErrNotKept,
-// ErrTrail and those of Committer.Settle.
-func (e *Evaluator) Ask(ctx context.Context, q *query.Query) (*Answer, error) {
-	a := &Answer{Daemon: e.src.Name}
+// Evaluate answers a query. Its errors are *syntax.Error, *Elsewhere, ErrNoRecord,
+// ErrAuditTrail and those of Committer.Settle.
+func (e *Evaluator) Evaluate(ctx context.Context, q *query.Query) (*Result, error) {
+	a := &Result{Daemon: e.src.Name}
 	switch q.Kind {
 	case query.KindWhy:
 		return a, e.why(q.ID, a)
@@ -105,8 +105,8 @@
 	return a, nil
 }
 
-func explain(rec *fireflypath.Record, a *Answer) {
-	s := why.New(rec)
+func explain(rec *fireflypath.Record, a *Result) {
+	s := why.Explain(rec)
 	a.Record, a.Lines = rec, s.Lines
 	if s.Considered != nil {
 		a.Sections = []Section{{Title: "targets, as known at that moment", Table: s.Considered}}
@@ -117,10 +117,10 @@
 // waiting one is counted by tier and arrival; among the teams of its tier the
 // fair order may differ.
 func (e *Evaluator) open(id string) *fireflypath.Record {
-	if e.src.Open == nil {
+	if e.src.OpenRequests == nil {
 		return nil
 	}
-	found := e.src.Open(func(w *fireflypath.Work) bool { return w.ID == id })
+	found := e.src.OpenRequests(func(w *fireflypath.Work) bool { return w.ID == id })
 	if len(found) == 0 {
 		return nil
 	}
@@ -129,7 +129,7 @@
 		return rec
 	}
 	rank := e.rank(rec.Tier)
-	rec.Ahead = len(e.src.Open(func(w *fireflypath.Work) bool {
+	rec.Ahead = len(e.src.OpenRequests(func(w *fireflypath.Work) bool {
 		before := w.Rank < rank || w.Rank == rank && w.Arrived.Before(rec.Arrived)
 		return w.Pool == rec.Pool && before && w.Lifecycle.State() == fireflypath.StateWaiting
 	}))
@@ -145,7 +145,7 @@
 	return 0
 }
 
-func (e *Evaluator) why(id string, a *Answer) error {
+func (e *Evaluator) why(id string, a *Result) error {
 	// Open ones first: a request that ends between the two looks is then found.
 	rec := e.open(id)
 	if rec == nil {
@@ -157,7 +157,7 @@
 	}
 	daemon, _, ok := strings.Cut(id, ".")
 	if ok && daemon != e.src.Name {
-		return &Elsewhere{Daemon: daemon}
+		return &WrongDaemonError{Daemon: daemon}
 	}
-	return errors.Wrapf(ErrNotKept, "request %s: it never came here, came before this daemon's last start, or made room for newer ones; a refusal itself says why", id)
+	return errors.Wrapf(ErrNoRecord, "request %s: it never came here, came before this daemon's last start, or made room for newer ones; a refusal itself says why", id)
 }
--- a/internal/query/eval/eval_test.go
+++ b/internal/query/eval/eval_test.go
@@ -48,7 +48,7 @@
 	return eval.New(eval.Sources{
 		Name: "d1", Configs: ledger, Committer: ledger, Recorder: ring, Clock: clock,
 		Members: members{{Name: "d1", Domain: "a", Generation: 1}, {Name: "d2", Domain: "b", Generation: 3}},
-		Open: func(match func(*fireflypath.Work) bool) []fireflypath.Record {
+		OpenRequests: func(match func(*fireflypath.Work) bool) []fireflypath.Record {
 			return open(clock.Now(), match)
 		},
 		Views: func() []fireflypath.TargetView {
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	a, err := e.Ask(context.Background(), q)
+	a, err := e.Evaluate(context.Background(), q)
 	if err != nil {
 		return err.Error()
 	}
@@ -203,8 +203,8 @@
 	is.Equal(show(t, e, "count teams"), "COUNT\n3")
 	q, err := query.Parse("changes")
 	is.NoErr(err)
-	_, err = e.Ask(context.Background(), q)
-	is.True(errors.Is(err, eval.ErrTrail))
+	_, err = e.Evaluate(context.Background(), q)
+	is.True(errors.Is(err, eval.ErrAuditTrail))
 }
 
 func TestTableOverTheWire(t *testing.T) {
@@ -212,7 +212,7 @@
 	e, _ := newEvaluator()
 	q, err := query.Parse("requests")
 	is.NoErr(err)
-	a, err := e.Ask(context.Background(), q)
+	a, err := e.Evaluate(context.Background(), q)
 	is.NoErr(err)
 	data, err := json.Marshal(a.Sections[0].Table)
 	is.NoErr(err)
@@ -237,7 +237,7 @@
 		if err != nil {
 			return
 		}
-		if a, err := e.Ask(context.Background(), q); err == nil && a.Daemon != "d1" {
+		if a, err := e.Evaluate(context.Background(), q); err == nil && a.Daemon != "d1" {
 			t.Fatal("an answer of nobody")
 		}
 	})
--- a/internal/query/eval/live.go
+++ b/internal/query/eval/live.go
@@ -39,8 +39,8 @@
 func (e *Evaluator) openNow() *table.Table {
 	t := requestColumns()
 	var open []fireflypath.Record
-	if e.src.Open != nil {
-		open = e.src.Open(func(*fireflypath.Work) bool { return true })
+	if e.src.OpenRequests != nil {
+		open = e.src.OpenRequests(func(*fireflypath.Work) bool { return true })
 	}
 	slices.SortFunc(open, func(a, b fireflypath.Record) int { return a.Arrived.Compare(b.Arrived) })
 	now := e.src.Clock.Now()
@@ -93,7 +93,7 @@
 func (e *Evaluator) changes(ctx context.Context) (*table.Table, error) {
 	lines, err := e.src.Committer.Trail(ctx, trailLines)
 	if err != nil && len(lines) == 0 {
-		return nil, errors.Wrapf(ErrTrail, "%v", err)
+		return nil, errors.Wrapf(ErrAuditTrail, "%v", err)
 	}
 	t := columns(text("id"), moment("at"), text("who"), number("from"), number("to"), text("result"), text("words"))
 	for _, l := range lines {
--- a/internal/query/eval/settle.go
+++ b/internal/query/eval/settle.go
@@ -13,44 +13,44 @@
 )
 
 const (
-	// SettleLines is how far back a command is looked for: two hours at the
+	// SettleSearchLines is how far back a command is looked for: two hours at the
 	// letter's 4,200 changes a day, and no further than a Committer looks.
-	SettleLines = 384
+	SettleSearchLines = 384
 	// settleSkew is how much the clock of the client that made an id may be off.
 	settleSkew = 5 * time.Minute
 )
 
-// Ordered is the result in an order's first line, written before it is sent.
-const Ordered = "ordered"
+// ResultOrdered is the result in an order's first line, written before it is sent.
+const ResultOrdered = "ordered"
 
-// RefusedID is the id of a refused command's line in the trail. It is not the
+// RefusalLineID is the id of a refused command's line in the trail. It is not the
 // command's own: a commit that finds its id in the trail takes it for done.
-func RefusedID(id string) string {
+func RefusalLineID(id string) string {
 	return id + "/refused"
 }
 
-// ResultID is the id of the line with an order's result.
-func ResultID(id string) string {
+// ResultLineID is the id of the line with an order's result.
+func ResultLineID(id string) string {
 	return id + "/result"
 }
 
 // settle tells the fate of a command from the trail.
-func (e *Evaluator) settle(ctx context.Context, id string, a *Answer) error {
+func (e *Evaluator) settle(ctx context.Context, id string, a *Result) error {
 	c, err := e.src.Committer.FindCommit(ctx, id)
 	missing := errors.Is(err, fireflypath.ErrNotFound)
 	if err != nil && !missing {
-		return errors.Wrapf(ErrTrail, "command %s: %v", id, err)
+		return errors.Wrapf(ErrAuditTrail, "command %s: %v", id, err)
 	}
-	lines, terr := e.src.Committer.Trail(ctx, SettleLines)
+	lines, terr := e.src.Committer.Trail(ctx, SettleSearchLines)
 	if terr != nil {
-		return errors.Wrapf(ErrTrail, "command %s: %v", id, terr)
+		return errors.Wrapf(ErrAuditTrail, "command %s: %v", id, terr)
 	}
 	if missing {
 		a.Lines = []string{undone(lines, id)}
 		return nil
 	}
-	if result(lines, id, "") == Ordered {
-		a.Lines = []string{"ordered: " + result(lines, ResultID(id), "the trail holds no result, the target may or may not have taken it")}
+	if result(lines, id, "") == ResultOrdered {
+		a.Lines = []string{"ordered: " + result(lines, ResultLineID(id), "the trail holds no result, the target may or may not have taken it")}
 		return nil
 	}
 	a.Commit = &c
@@ -61,14 +61,14 @@
 // undone tells of a command that was not found. One made before the oldest line
 // that was looked at may have been done: saying that it was not would be untrue.
 func undone(lines []fireflypath.AuditLine, id string) string {
-	if why := result(lines, RefusedID(id), ""); why != "" {
+	if why := result(lines, RefusalLineID(id), ""); why != "" {
 		return "not done: " + why
 	}
 	made, err := ulid.ParseStrict(id)
 	if err != nil {
 		return "not done: the trail holds no command " + id
 	}
-	if n := len(lines); n == SettleLines && ulid.Time(made.Time()).Before(lines[n-1].At.Add(settleSkew)) {
+	if n := len(lines); n == SettleSearchLines && ulid.Time(made.Time()).Before(lines[n-1].At.Add(settleSkew)) {
 		return fmt.Sprintf("unknown: command %s is older than the %d newest lines of the trail", id, n)
 	}
 	return "not done: the trail holds no command " + id
--- a/internal/query/eval/shape.go
+++ b/internal/query/eval/shape.go
@@ -49,7 +49,7 @@
 
 func (c conjunction) match(r table.Row) bool {
 	for _, t := range c {
-		if !table.Match(t.kind, r[t.column], t.op, t.literal) {
+		if !table.Matches(t.kind, r[t.column], t.op, t.literal) {
 			return false
 		}
 	}
@@ -64,9 +64,9 @@
 			return nil, err
 		}
 		kind := t.Columns[i].Kind
-		literal, ok := table.Literal(kind, c.Value, e.src.Clock.Now())
+		literal, ok := table.ParseLiteral(kind, c.Value, e.src.Clock.Now())
 		if !ok {
-			return nil, q.Mismatch(c, table.Example(kind))
+			return nil, q.TypeMismatch(c, table.LiteralExample(kind))
 		}
 		out = append(out, test{column: i, kind: kind, op: c.Op, literal: literal})
 	}
@@ -81,7 +81,7 @@
 	for _, column := range t.Columns {
 		have = append(have, column.Name)
 	}
-	return 0, q.Unknown(c, have)
+	return 0, q.UnknownColumn(c, have)
 }
 
 // shape orders, limits, counts or measures the rows left.
@@ -89,7 +89,7 @@
 	switch q.Kind {
 	case query.KindCount:
 		return group(q, t, counted)
-	case query.KindMeasure:
+	case query.KindPercentile:
 		return group(q, t, counted, measured(q, t))
 	default:
 		return t, list(q, t)
@@ -110,7 +110,7 @@
 
 // measured is the query's percentile of the column that it names.
 func measured(q *query.Query, t *table.Table) aggregate {
-	i := t.Index(q.Of)
+	i := t.Index(q.Measured)
 	return aggregate{
 		column: table.Column{Name: fmt.Sprintf("p%d", q.Percentile), Kind: t.Columns[i].Kind},
 		of:     func(rows []table.Row) table.Cell { return percentile(rows, i, q.Percentile) },
@@ -118,14 +118,14 @@
 }
 
 func list(q *query.Query, t *table.Table) error {
-	if q.Order.Name != "" {
-		i, err := find(q, t, q.Order)
+	if q.OrderBy.Name != "" {
+		i, err := find(q, t, q.OrderBy)
 		if err != nil {
 			return err
 		}
 		kind := t.Columns[i].Kind
 		slices.SortStableFunc(t.Rows, func(a, b table.Row) int {
-			if q.Down {
+			if q.Descending {
 				a, b = b, a
 			}
 			return table.Compare(kind, a[i], b[i])
@@ -163,8 +163,8 @@
 func group(q *query.Query, t *table.Table, aggregates ...aggregate) (*table.Table, error) {
 	out := &table.Table{Notes: t.Notes}
 	by := -1
-	if q.By.Name != "" {
-		i, err := find(q, t, q.By)
+	if q.GroupBy.Name != "" {
+		i, err := find(q, t, q.GroupBy)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/query/eval/tables.go
+++ b/internal/query/eval/tables.go
@@ -32,7 +32,7 @@
 // table reads all rows of the query's noun.
 func (e *Evaluator) table(ctx context.Context, q *query.Query) (*table.Table, error) {
 	cfg := e.src.Configs.Current()
-	switch q.Noun {
+	switch q.Table {
 	case "tiers":
 		return tiers(cfg), nil
 	case "teams":
@@ -56,7 +56,7 @@
 	case "changes":
 		return e.changes(ctx)
 	default:
-		return nil, errors.Newf("the list %q is not known", q.Noun)
+		return nil, errors.Newf("the list %q is not known", q.Table)
 	}
 }
 
--- a/internal/query/eval/top.go
+++ b/internal/query/eval/top.go
@@ -12,7 +12,7 @@
 const recent = 10 * time.Second
 
 // top fills the living view: tiers, pools, targets and daemons.
-func (e *Evaluator) top(a *Answer) {
+func (e *Evaluator) top(a *Result) {
 	cfg := e.src.Configs.Current()
 	a.Lines = []string{"daemon " + e.src.Name + ", generation " + table.Num(cfg.Generation).String(table.Number)}
 	a.Sections = []Section{
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -15,8 +15,8 @@
 	KindList Kind = iota
 	// KindCount counts rows by a column.
 	KindCount
-	// KindMeasure gives a percentile by a column.
-	KindMeasure
+	// KindPercentile gives a percentile by a column.
+	KindPercentile
 	// KindWhy explains one request.
 	KindWhy
 	// KindSettle tells the fate of a command.
@@ -28,20 +28,20 @@
 // Query is a parsed query. Fields not named by the kind's use are zero.
 type Query struct {
 	Kind Kind
-	// Noun is the list asked for.
-	Noun string
+	// Table is the list asked for.
+	Table string
 	// ID is the request or command, for KindWhy and KindSettle.
 	ID string
 	// Where is a disjunction of conjunctions; empty means all rows.
 	Where [][]Condition
-	// By is the column to group by, empty for one group.
-	By Column
-	// Of is the column measured, and Percentile between 0 and 100.
-	Of         string
+	// GroupBy is the column to group by, empty for one group.
+	GroupBy Column
+	// Measured is the column measured, and Percentile between 0 and 100.
+	Measured   string
 	Percentile int
-	// Order is the column to sort by, empty for the list's own order.
-	Order Column
-	Down  bool
+	// OrderBy is the column to sort by, empty for the list's own order.
+	OrderBy    Column
+	Descending bool
 	// Limit bounds the rows; 0 means no bound.
 	Limit int
 	text  string
@@ -76,7 +76,7 @@
 	case g.Top:
 		q.Kind = KindTop
 	case g.Count != nil:
-		q.Kind, q.Noun, q.By = KindCount, g.Count.Noun, column(g.Count.By)
+		q.Kind, q.Table, q.GroupBy = KindCount, g.Count.Noun, column(g.Count.By)
 		q.Where = where(g.Count.Where)
 	case g.Measure != nil:
 		q.measure(g.Measure)
@@ -95,43 +95,43 @@
 }
 
 func (q *Query) measure(m *measure) {
-	q.Kind, q.Noun, q.By = KindMeasure, "requests", column(m.By)
+	q.Kind, q.Table, q.GroupBy = KindPercentile, "requests", column(m.By)
 	q.Where = where(m.Where)
-	q.Of = m.Of
-	if q.Of == "" {
-		q.Of = "total"
+	q.Measured = m.Of
+	if q.Measured == "" {
+		q.Measured = "total"
 	}
 	// The grammar takes p and two digits only.
 	q.Percentile, _ = strconv.Atoi(m.Percentile[1:])
 }
 
 func (q *Query) list(l *list) error {
-	q.Kind, q.Noun = KindList, l.Noun
+	q.Kind, q.Table = KindList, l.Noun
 	q.Where = where(l.Where)
 	if l.Order != nil {
-		q.Order, q.Down = column(&l.Order.Column), l.Order.Down
+		q.OrderBy, q.Descending = column(&l.Order.Column), l.Order.Down
 	}
 	if l.Limit == nil {
 		return nil
 	}
 	n, err := strconv.Atoi(l.Limit.Text)
 	if err != nil || n <= 0 {
-		return syntax.At(q.text, l.Limit.Pos, "expected a whole number above 0")
+		return syntax.NewError(q.text, l.Limit.Pos, "expected a whole number above 0")
 	}
 	q.Limit = n
 	return nil
 }
 
-// Unknown is the error for a column that the list does not have.
-func (q *Query) Unknown(c Column, have []string) error {
-	e := syntax.At(q.text, c.word.Pos, "")
+// UnknownColumn is the error for a column that the list does not have.
+func (q *Query) UnknownColumn(c Column, have []string) error {
+	e := syntax.NewError(q.text, c.word.Pos, "")
 	e.Found, e.Expected = c.Name, have
 	return e
 }
 
-// Mismatch is the error for a value that the column cannot be compared with.
-func (q *Query) Mismatch(c Condition, want string) error {
-	return syntax.At(q.text, c.word.Pos, "expected "+want)
+// TypeMismatch is the error for a value that the column cannot be compared with.
+func (q *Query) TypeMismatch(c Condition, want string) error {
+	return syntax.NewError(q.text, c.word.Pos, "expected "+want)
 }
 
 func column(w *syntax.Word) Column {
--- a/internal/query/table/filter.go
+++ b/internal/query/table/filter.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// None is the value that stands for a missing one.
-const None = "-"
+// EmptyText is the value that stands for a missing one.
+const EmptyText = "-"
 
-// Literal reads a value as a column's kind; now is for times given as "5m",
+// ParseLiteral reads a value as a column's kind; now is for times given as "5m",
 // which means five minutes ago. It reports false if the text is no such value.
-func Literal(k Kind, text string, now time.Time) (Cell, bool) {
-	if text == None {
+func ParseLiteral(k Kind, text string, now time.Time) (Cell, bool) {
+	if text == EmptyText {
 		return Cell{Empty: true}, true
 	}
 	switch k {
@@ -41,8 +41,8 @@
 	return Cell{Time: at}, err == nil
 }
 
-// Example says what Literal takes for a kind.
-func Example(k Kind) string {
+// LiteralExample says what Literal takes for a kind.
+func LiteralExample(k Kind) string {
 	switch k {
 	case Number:
 		return "a number"
@@ -57,9 +57,9 @@
 	}
 }
 
-// Match compares a cell with a literal by the operators = != < <= > >= ~.
+// Matches compares a cell with a literal by the operators = != < <= > >= ~.
 // A list is equal to each of its names; ~ finds a part of the text.
-func Match(k Kind, c Cell, op string, literal Cell) bool {
+func Matches(k Kind, c Cell, op string, literal Cell) bool {
 	switch op {
 	case "=":
 		return equal(k, c, literal)
--- a/internal/query/why/why.go
+++ b/internal/query/why/why.go
@@ -12,17 +12,17 @@
 
 const stamp = "2006-01-02T15:04:05.000Z"
 
-// Story is what happened to a request.
-type Story struct {
+// Explanation is what happened to a request.
+type Explanation struct {
 	// Lines are sentences in the order of events.
 	Lines []string
 	// Considered is the weighing of targets, nil if there was none.
 	Considered *table.Table
 }
 
-// New tells the record.
-func New(r *fireflypath.Record) *Story {
-	s := &Story{}
+// Explain tells the record.
+func Explain(r *fireflypath.Record) *Explanation {
+	s := &Explanation{}
 	s.arrival(r)
 	s.waiting(r)
 	s.placement(r)
@@ -31,11 +31,11 @@
 	return s
 }
 
-func (s *Story) add(format string, args ...any) {
+func (s *Explanation) add(format string, args ...any) {
 	s.Lines = append(s.Lines, fmt.Sprintf(format, args...))
 }
 
-func (s *Story) arrival(r *fireflypath.Record) {
+func (s *Explanation) arrival(r *fireflypath.Record) {
 	s.add("request %s of team %s, tier %s, pool %s", r.ID, or(r.Team), or(r.Tier), or(r.Pool))
 	s.add("came %s, deadline %s later", r.Arrived.UTC().Format(stamp), span(r.Arrived, r.Deadline))
 	s.add("estimated at %d prompt and at most %d output tokens", r.Cost.Prompt, r.Cost.MaxOutput)
@@ -49,7 +49,7 @@
 	return ", by rule " + r.Rule
 }
 
-func (s *Story) waiting(r *fireflypath.Record) {
+func (s *Explanation) waiting(r *fireflypath.Record) {
 	switch {
 	case r.Ahead > 0 && r.Target == "" && !r.Ended.IsZero():
 		s.add("%d requests waited in its pool when it came", r.Ahead)
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *Story) placement(r *fireflypath.Record) {
+func (s *Explanation) placement(r *fireflypath.Record) {
 	if r.Target == "" && r.Ended.IsZero() {
 		return
 	}
@@ -96,7 +96,7 @@
 	return fmt.Sprintf(": the lowest score of %d usable targets, %d could not be used", usable, skipped)
 }
 
-func (s *Story) end(r *fireflypath.Record) {
+func (s *Explanation) end(r *fireflypath.Record) {
 	if !r.Ended.IsZero() {
 		s.add("ended as %s %s after it came, %d output tokens", r.State, span(r.Arrived, r.Ended), r.Tokens)
 	}
--- a/internal/syntax/error.go
+++ b/internal/syntax/error.go
@@ -22,8 +22,8 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// At makes an error with a sentence at a place of the text.
-func At(text string, pos lexer.Position, detail string) *Error {
+// NewError makes an error with a sentence at a place of the text.
+func NewError(text string, pos lexer.Position, detail string) *Error {
 	e := &Error{Line: max(pos.Line, 1), Column: max(pos.Column, 1), Detail: detail}
 	lines := strings.Split(text, "\n")
 	if e.Line <= len(lines) {
--- a/internal/syntax/language.go
+++ b/internal/syntax/language.go
@@ -12,10 +12,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxText bounds a command or query in bytes: the audit trail keeps the words
+// MaxTextBytes bounds a command or query in bytes: the audit trail keeps the words
 // as given and takes no longer line. About a hundred teams with their keys fit;
 // more are split into several changes.
-const MaxText = 16 << 10
+const MaxTextBytes = 16 << 10
 
 // maxProbe bounds the text that is parsed again for each keyword to explain an
 // error. Without it, 16 KiB of semicolons and one wrong word took 3 s of a core.
@@ -78,7 +78,7 @@
 
 // Parse reads the whole text, or returns an *Error.
 func (l *Language[G]) Parse(text string) (*G, error) {
-	if len(text) > MaxText {
+	if len(text) > MaxTextBytes {
 		return nil, &Error{Line: 1, Column: 1, Detail: tooLong(len(text))}
 	}
 	g, err := l.parser.ParseString("", text)
@@ -94,7 +94,7 @@
 		return &Error{Line: 1, Column: 1, Detail: err.Error()}
 	}
 	pos := perr.Position()
-	e := At(text, pos, "")
+	e := NewError(text, pos, "")
 	var unexpected *participle.UnexpectedTokenError
 	if !errors.As(err, &unexpected) {
 		e.Found = firstRune(text[min(pos.Offset, len(text)):])
@@ -153,8 +153,8 @@
 	return "a name"
 }
 
-// Literals are the grammar's keywords, for completion.
-func (l *Language[G]) Literals() []string {
+// Keywords are the grammar's keywords, for completion.
+func (l *Language[G]) Keywords() []string {
 	return l.literals
 }
 
@@ -170,7 +170,7 @@
 }
 
 func tooLong(n int) string {
-	return fmt.Sprintf("the text is %d bytes, above the limit of %d: split it into several", n, MaxText)
+	return fmt.Sprintf("the text is %d bytes, above the limit of %d: split it into several", n, MaxTextBytes)
 }
 
 func firstRune(s string) string {
