--- a/internal/query/eval/eval.go
+++ b/internal/query/eval/eval.go
@@ -1,4 +1,4 @@
-// Package eval answers queries from what one daemon knows.
+// Package eval evaluates queries with the state of one daemon.
 package eval
 
 import (
@@ -14,109 +14,109 @@
 	"github.com/fireflypath/fireflypath/internal/query/why"
 )
 
-// Errors of an Evaluator, apart from *syntax.Error.
+// Errors of an Evaluator besides *syntax.Error and *WrongDaemonError.
 var (
-	// ErrNoRecord means that no record of the request is held here.
+	// ErrNoRecord means that this daemon has no record of the request.
 	ErrNoRecord = errors.New("no record of the request is kept")
-	// ErrAuditTrail means that the audit trail could not be read.
+	// ErrAuditTrail means that the audit trail cannot be read.
 	ErrAuditTrail = errors.New("the audit trail cannot be read now")
 )
 
-// WrongDaemonError is the error for a request that another daemon took.
+// WrongDaemonError is the error for a request that another daemon received.
 type WrongDaemonError struct {
-	// Daemon is the name at the beginning of the request's id.
+	// Daemon is the daemon's name, the prefix of the request's id.
 	Daemon string
 }
 
-// Error names the daemon.
+// Error implements error.
 func (e *WrongDaemonError) Error() string {
 	return "the request was taken by daemon " + e.Daemon
 }
 
-// Sources are what an Evaluator reads; all are safe for concurrent use.
+// Sources are the sources that an Evaluator reads. All are safe for concurrent use.
 type Sources struct {
-	// Name is this daemon's.
+	// Name is this daemon's name.
 	Name      string
 	Configs   fireflypath.Configs
 	Members   fireflypath.Members
 	Recorder  fireflypath.Recorder
 	Committer fireflypath.Committer
-	// Views and Demands read all pools of this daemon.
+	// Views and Demands return the state of all pools of this daemon.
 	Views   func() []fireflypath.TargetView
 	Demands func() []fireflypath.Demand
-	// OpenRequests reads the requests that wait or run now and that match; nil has none.
+	// OpenRequests returns the matching requests that are waiting or running. It may be nil.
 	OpenRequests func(match func(*fireflypath.Work) bool) []fireflypath.Record
 	Clock        clockwork.Clock
 }
 
-// Section is a table with its title, empty if it stands alone.
+// Section is a table with a title, which is empty for a single table.
 type Section struct {
 	Title string       `json:"title,omitempty"`
 	Table *table.Table `json:"table"`
 }
 
-// Result is what a query gives.
+// Result is the result of a query.
 type Result struct {
-	// Lines are sentences, before the tables.
+	// Lines are sentences to show before the tables.
 	Lines    []string  `json:"lines,omitempty"`
 	Sections []Section `json:"sections,omitempty"`
-	// Record is set for "why".
+	// Record is only set for query.KindWhy.
 	Record *fireflypath.Record `json:"record,omitempty"`
-	// Commit is set for "settle".
+	// Commit is only set for query.KindSettle.
 	Commit *fireflypath.Commit `json:"commit,omitempty"`
-	// Daemon is whose knowledge this is.
+	// Daemon is the name of the daemon that evaluated the query.
 	Daemon string `json:"daemon"`
 }
 
-// Evaluator answers queries.
+// Evaluator evaluates queries.
 type Evaluator struct {
 	src Sources
 }
 
-// New returns the evaluator of the sources.
+// New returns an Evaluator that reads the sources.
 func New(src Sources) *Evaluator {
 	return &Evaluator{src: src}
 }
 
-// Evaluate answers a query. Its errors are *syntax.Error, *Elsewhere, ErrNoRecord,
-// ErrAuditTrail and those of Committer.Settle.
+// Evaluate evaluates a query. Its errors are *syntax.Error, *WrongDaemonError, ErrNoRecord and
+// ErrAuditTrail.
 func (e *Evaluator) Evaluate(ctx context.Context, q *query.Query) (*Result, error) {
-	a := &Result{Daemon: e.src.Name}
+	res := &Result{Daemon: e.src.Name}
 	switch q.Kind {
 	case query.KindWhy:
-		return a, e.why(q.ID, a)
+		return res, e.why(q.ID, res)
 	case query.KindSettle:
-		return a, e.settle(ctx, q.ID, a)
+		return res, e.settle(ctx, q.ID, res)
 	case query.KindTop:
-		e.top(a)
-		return a, nil
+		e.top(res)
+		return res, nil
 	}
-	t, err := e.table(ctx, q)
+	t, err := e.readTable(ctx, q)
 	if err != nil {
 		return nil, err
 	}
 	if err := e.filter(q, t); err != nil {
 		return nil, err
 	}
-	if t, err = e.shape(q, t); err != nil {
+	if t, err = e.transform(q, t); err != nil {
 		return nil, err
 	}
-	a.Sections = []Section{{Table: t}}
-	return a, nil
+	res.Sections = []Section{{Table: t}}
+	return res, nil
 }
 
-func explain(rec *fireflypath.Record, a *Result) {
-	s := why.Explain(rec)
-	a.Record, a.Lines = rec, s.Lines
-	if s.Considered != nil {
-		a.Sections = []Section{{Title: "targets, as known at that moment", Table: s.Considered}}
+func setExplanation(rec *fireflypath.Record, res *Result) {
+	explanation := why.Explain(rec)
+	res.Record, res.Lines = rec, explanation.Lines
+	if explanation.Considered != nil {
+		res.Sections = []Section{{Title: "targets, as known at that moment", Table: explanation.Considered}}
 	}
 }
 
-// open finds a request that has not ended, or returns nil. What stands before a
-// waiting one is counted by tier and arrival; among the teams of its tier the
-// fair order may differ.
-func (e *Evaluator) open(id string) *fireflypath.Record {
+// findOpen returns the record of a request that has not ended, or nil. The number of requests ahead
+// of a waiting one is counted by tier rank and arrival. It is approximate, because fair queueing
+// may reorder the teams of a tier.
+func (e *Evaluator) findOpen(id string) *fireflypath.Record {
 	if e.src.OpenRequests == nil {
 		return nil
 	}
@@ -128,15 +128,15 @@
 	if rec.State != fireflypath.StateWaiting.String() {
 		return rec
 	}
-	rank := e.rank(rec.Tier)
+	rank := e.tierRank(rec.Tier)
 	rec.Ahead = len(e.src.OpenRequests(func(w *fireflypath.Work) bool {
-		before := w.Rank < rank || w.Rank == rank && w.Arrived.Before(rec.Arrived)
-		return w.Pool == rec.Pool && before && w.Lifecycle.State() == fireflypath.StateWaiting
+		ahead := w.Rank < rank || w.Rank == rank && w.Arrived.Before(rec.Arrived)
+		return w.Pool == rec.Pool && ahead && w.Lifecycle.State() == fireflypath.StateWaiting
 	}))
 	return rec
 }
 
-func (e *Evaluator) rank(tier string) int {
+func (e *Evaluator) tierRank(tier string) int {
 	for _, t := range e.src.Configs.Current().Tiers {
 		if t.Name == tier {
 			return t.Rank
@@ -145,14 +145,15 @@
 	return 0
 }
 
-func (e *Evaluator) why(id string, a *Result) error {
-	// Open ones first: a request that ends between the two looks is then found.
-	rec := e.open(id)
+func (e *Evaluator) why(id string, res *Result) error {
+	// Open requests are searched first, so that a request that ends between the two searches is
+	// found.
+	rec := e.findOpen(id)
 	if rec == nil {
 		rec = e.src.Recorder.Find(id)
 	}
 	if rec != nil {
-		explain(rec, a)
+		setExplanation(rec, res)
 		return nil
 	}
 	daemon, _, ok := strings.Cut(id, ".")
--- a/internal/query/eval/eval_test.go
+++ b/internal/query/eval/eval_test.go
@@ -24,9 +24,9 @@
 
 var start = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-type members []fireflypath.Member
+type staticMembers []fireflypath.Member
 
-func (m members) Live() []fireflypath.Member { return m }
+func (m staticMembers) Live() []fireflypath.Member { return m }
 
 func newEvaluator() (*eval.Evaluator, *testkit.Ledger) {
 	clock := clockwork.NewFakeClockAt(start)
@@ -43,13 +43,13 @@
 	}, clock.Now)
 	ring := record.New(0)
 	for i, state := range []fireflypath.State{fireflypath.StateAnswered, fireflypath.StateAnswered, fireflypath.StateShed, fireflypath.StateFailed} {
-		keep(ring, i, state)
+		addRecord(ring, i, state)
 	}
 	return eval.New(eval.Sources{
 		Name: "d1", Configs: ledger, Committer: ledger, Recorder: ring, Clock: clock,
-		Members: members{{Name: "d1", Domain: "a", Generation: 1}, {Name: "d2", Domain: "b", Generation: 3}},
+		Members: staticMembers{{Name: "d1", Domain: "a", Generation: 1}, {Name: "d2", Domain: "b", Generation: 3}},
 		OpenRequests: func(match func(*fireflypath.Work) bool) []fireflypath.Record {
-			return open(clock.Now(), match)
+			return openRequests(clock.Now(), match)
 		},
 		Views: func() []fireflypath.TargetView {
 			return []fireflypath.TargetView{{Target: "e1", Pool: "chat", State: "slow", Window: 4096, Share: 0.5}}
@@ -60,8 +60,8 @@
 	}), ledger
 }
 
-// open is a queue of two tiers: G came after W and stands before it.
-func open(now time.Time, match func(*fireflypath.Work) bool) []fireflypath.Record {
+// openRequests returns a queue of two tiers: G arrived after W and is queued before it.
+func openRequests(now time.Time, match func(*fireflypath.Work) bool) []fireflypath.Record {
 	var out []fireflypath.Record
 	for _, r := range []fireflypath.Record{
 		{ID: "d1.W", Tier: "bronze", Pool: "chat", Arrived: now.Add(-3 * time.Second), State: "waiting"},
@@ -78,7 +78,7 @@
 	return out
 }
 
-func keep(ring *record.Ring, i int, state fireflypath.State) {
+func addRecord(ring *record.Ring, i int, state fireflypath.State) {
 	r := &fireflypath.Record{
 		ID: "d1." + string(rune('A'+i)), Team: "traders", Tier: "gold", Pool: "chat",
 		Arrived: start.Add(-5 * time.Second), Deadline: start.Add(-3500 * time.Millisecond), State: state.String(),
@@ -95,7 +95,7 @@
 	ring.Keep(r)
 }
 
-// show prints an answer as the client does, blanks collapsed.
+// show formats a query's result as the client does, with runs of blanks collapsed.
 func show(t *testing.T, e *eval.Evaluator, text string) string {
 	t.Helper()
 	q, err := query.Parse(text)
@@ -125,7 +125,7 @@
 	return strings.Join(lines, "\n")
 }
 
-func TestAsk(t *testing.T) {
+func TestEvaluate(t *testing.T) {
 	e, _ := newEvaluator()
 	for text, want := range map[string]string{
 		"teams where tier = gold order by weight desc limit 1":    "NAME TIER POOL WEIGHT KEYS\nbakers gold chat 7 0\n# 1 of 2 rows",
@@ -167,18 +167,18 @@
 		"relief round among the daemons: 2 peers hold no lower work", "sent to no target",
 		"refused as full: pool chat holds 40 of 40 tokens", "it did not run and will not", "come back after 2s",
 	} {
-		is.True(strings.Contains(shed, want)) // the sentence is there
+		is.True(strings.Contains(shed, want)) // contains the sentence
 	}
 	answered := show(t, e, "why d1.A")
 	for _, want := range []string{
 		"sent to e1 after waiting 100ms: the lowest score of 1 usable targets, 1 could not be used",
 		"ended as answered 1s after it came", "e2 false 0 - - 0 0 0s drained",
 	} {
-		is.True(strings.Contains(answered, want)) // the sentence is there
+		is.True(strings.Contains(answered, want)) // contains the sentence
 	}
 }
 
-func TestWhyOfAnOpenRequest(t *testing.T) {
+func TestWhyOfOpenRequest(t *testing.T) {
 	is := is.New(t)
 	e, _ := newEvaluator()
 	bronze := show(t, e, "why d1.W")
@@ -194,9 +194,9 @@
 	is.True(strings.Contains(show(t, e, "top"), "gold 0 10 5 2 1 1 1 2s\nbronze 2 30 0 0 0 0 0 -"))
 }
 
-// The platform's service is down. Lists come from what the daemon holds; the
-// trail, of which it holds nothing, is said to be out of reach.
-func TestAskWithoutService(t *testing.T) {
+// While the platform's service is down, tables that the daemon keeps in memory are still served.
+// The audit trail is not among them, so that reading it must fail with ErrAuditTrail.
+func TestEvaluateWithoutService(t *testing.T) {
 	is := is.New(t)
 	e, ledger := newEvaluator()
 	ledger.Down(fireflypath.ErrUnavailable, 0)
@@ -207,7 +207,7 @@
 	is.True(errors.Is(err, eval.ErrAuditTrail))
 }
 
-func TestTableOverTheWire(t *testing.T) {
+func TestTableJSONRoundTrip(t *testing.T) {
 	is := is.New(t)
 	e, _ := newEvaluator()
 	q, err := query.Parse("requests")
@@ -216,11 +216,11 @@
 	is.NoErr(err)
 	data, err := json.Marshal(a.Sections[0].Table)
 	is.NoErr(err)
-	var back table.Table
-	is.NoErr(json.Unmarshal(data, &back))
+	var decoded table.Table
+	is.NoErr(json.Unmarshal(data, &decoded))
 	var want, got strings.Builder
 	is.NoErr(a.Sections[0].Table.Write(&want))
-	is.NoErr(back.Write(&got))
+	is.NoErr(decoded.Write(&got))
 	is.Equal(got.String(), want.String())
 }
 
@@ -238,15 +238,14 @@
 			return
 		}
 		if a, err := e.Evaluate(context.Background(), q); err == nil && a.Daemon != "d1" {
-			t.Fatal("an answer of nobody")
+			t.Fatalf("result names daemon %q, want d1", a.Daemon)
 		}
 	})
 }
 
-// An operator comes back to a lost answer after days. By then the trail that is
-// looked through is all of later changes; that the command is not in it does
-// not mean that it was not done.
-func TestSettleOfAnOldCommandIsUnknown(t *testing.T) {
+// An operator may ask for the outcome of a command days later. All lines searched are then newer
+// than the command, so that its absence does not mean that it was not done.
+func TestSettleOfOldCommandIsUnknown(t *testing.T) {
 	is := is.New(t)
 	e, ledger := newEvaluator()
 	at := func(d time.Duration) string {
--- a/internal/query/eval/live.go
+++ b/internal/query/eval/live.go
@@ -13,7 +13,7 @@
 )
 
 func (e *Evaluator) daemons() *table.Table {
-	t := columns(text("name"), text("domain"), text("caller"), text("operator"), number("generation"), flag("leaving"))
+	t := newTable(textColumn("name"), textColumn("domain"), textColumn("caller"), textColumn("operator"), numberColumn("generation"), boolColumn("leaving"))
 	for _, m := range e.src.Members.Live() {
 		generation := m.Generation
 		if m.Name == e.src.Name {
@@ -27,17 +27,17 @@
 	return t
 }
 
-// requestColumns are those of ended and of open requests.
-func requestColumns() *table.Table {
-	return columns(text("id"), text("team"), text("tier"), text("pool"), text("state"), text("reason"),
-		text("target"), moment("arrived"), duration("wait"), duration("first"), duration("total"),
-		number("prompt"), number("output"), number("tokens"), number("ahead"), number("resumes"),
-		text("rule"), number("generation"))
+// newRequestTable returns an empty table with the columns of ended and open requests.
+func newRequestTable() *table.Table {
+	return newTable(textColumn("id"), textColumn("team"), textColumn("tier"), textColumn("pool"), textColumn("state"), textColumn("reason"),
+		textColumn("target"), timeColumn("arrived"), durationColumn("wait"), durationColumn("first"), durationColumn("total"),
+		numberColumn("prompt"), numberColumn("output"), numberColumn("tokens"), numberColumn("ahead"), numberColumn("resumes"),
+		textColumn("rule"), numberColumn("generation"))
 }
 
-// openNow lists the requests that wait or run, oldest first; their times go on.
-func (e *Evaluator) openNow() *table.Table {
-	t := requestColumns()
+// openRequests lists the waiting and running requests, oldest first, with their times up to now.
+func (e *Evaluator) openRequests() *table.Table {
+	t := newRequestTable()
 	var open []fireflypath.Record
 	if e.src.OpenRequests != nil {
 		open = e.src.OpenRequests(func(*fireflypath.Work) bool { return true })
@@ -46,16 +46,16 @@
 	now := e.src.Clock.Now()
 	for i := range open {
 		open[i].Ended = now
-		t.Rows = append(t.Rows, request(&open[i]))
+		t.Rows = append(t.Rows, requestRow(&open[i]))
 	}
 	t.Notes = []string{"waiting or running now at daemon " + e.src.Name}
 	return t
 }
 
 func (e *Evaluator) requests(q *query.Query) (*table.Table, error) {
-	t := requestColumns()
-	// Rows are filtered as they are read: all of them at once would be several
-	// times the memory of the records themselves.
+	t := newRequestTable()
+	// Rows are filtered as they are read: all rows would take several times the memory of the
+	// encoded records.
 	match, err := e.matcher(q, t)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	kept := 0
 	e.src.Recorder.Each(func(r *fireflypath.Record) bool {
 		kept++
-		if row := request(r); match(row) {
+		if row := requestRow(r); match(row) {
 			t.Rows = append(t.Rows, row)
 		}
 		return true
@@ -72,7 +72,7 @@
 	return t, nil
 }
 
-func request(r *fireflypath.Record) table.Row {
+func requestRow(r *fireflypath.Record) table.Row {
 	reason := ""
 	if r.Refusal != nil {
 		reason = string(r.Refusal.Code)
@@ -91,19 +91,19 @@
 }
 
 func (e *Evaluator) changes(ctx context.Context) (*table.Table, error) {
-	lines, err := e.src.Committer.Trail(ctx, trailLines)
+	lines, err := e.src.Committer.Trail(ctx, maxTrailLines)
 	if err != nil && len(lines) == 0 {
 		return nil, errors.Wrapf(ErrAuditTrail, "%v", err)
 	}
-	t := columns(text("id"), moment("at"), text("who"), number("from"), number("to"), text("result"), text("words"))
+	t := newTable(textColumn("id"), timeColumn("at"), textColumn("who"), numberColumn("from"), numberColumn("to"), textColumn("result"), textColumn("words"))
 	for _, l := range lines {
 		t.Rows = append(t.Rows, table.Row{
 			table.Str(l.ID), table.At(l.At), table.Str(l.Operator), table.Num(l.From), table.Num(l.To),
 			table.Str(l.Result), table.Str(l.Command),
 		})
 	}
-	if len(lines) == trailLines {
-		t.Notes = append(t.Notes, fmt.Sprintf("only the newest %d lines were read", trailLines))
+	if len(lines) == maxTrailLines {
+		t.Notes = append(t.Notes, fmt.Sprintf("only the newest %d lines were read", maxTrailLines))
 	}
 	if err != nil {
 		t.Notes = append(t.Notes, "the platform's service cannot be read now, later changes may be missing: "+err.Error())
--- a/internal/query/eval/settle.go
+++ b/internal/query/eval/settle.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// SettleSearchLines is how far back a command is looked for: two hours at the
-	// letter's 4,200 changes a day, and no further than a Committer looks.
+	// SettleSearchLines is the number of trail lines that are searched for a command: two hours
+	// at the required 4,200 changes per day, and no more than a Committer searches.
 	SettleSearchLines = 384
-	// settleSkew is how much the clock of the client that made an id may be off.
-	settleSkew = 5 * time.Minute
+	// maxClockSkew is the assumed maximum clock error of the client that generated an id.
+	maxClockSkew = 5 * time.Minute
 )
 
-// ResultOrdered is the result in an order's first line, written before it is sent.
+// ResultOrdered is the result in the first trail line of an order, written before the order is sent.
 const ResultOrdered = "ordered"
 
-// RefusalLineID is the id of a refused command's line in the trail. It is not the
-// command's own: a commit that finds its id in the trail takes it for done.
+// RefusalLineID returns the id of the trail line of a refused command. It differs from the
+// command's id: a commit that finds its own id in the trail assumes that it was done.
 func RefusalLineID(id string) string {
 	return id + "/refused"
 }
 
-// ResultLineID is the id of the line with an order's result.
+// ResultLineID returns the id of the trail line with an order's result.
 func ResultLineID(id string) string {
 	return id + "/result"
 }
 
-// settle tells the fate of a command from the trail.
-func (e *Evaluator) settle(ctx context.Context, id string, a *Result) error {
+// settle determines the outcome of a command from the audit trail.
+func (e *Evaluator) settle(ctx context.Context, id string, res *Result) error {
 	c, err := e.src.Committer.FindCommit(ctx, id)
 	missing := errors.Is(err, fireflypath.ErrNotFound)
 	if err != nil && !missing {
@@ -46,36 +46,36 @@
 		return errors.Wrapf(ErrAuditTrail, "command %s: %v", id, terr)
 	}
 	if missing {
-		a.Lines = []string{undone(lines, id)}
+		res.Lines = []string{describeNotDone(lines, id)}
 		return nil
 	}
-	if result(lines, id, "") == ResultOrdered {
-		a.Lines = []string{"ordered: " + result(lines, ResultLineID(id), "the trail holds no result, the target may or may not have taken it")}
+	if lineResult(lines, id, "") == ResultOrdered {
+		res.Lines = []string{"ordered: " + lineResult(lines, ResultLineID(id), "the trail holds no result, the target may or may not have taken it")}
 		return nil
 	}
-	a.Commit = &c
-	a.Lines = []string{fmt.Sprintf("done: in force from generation %d", c.Generation)}
+	res.Commit = &c
+	res.Lines = []string{fmt.Sprintf("done: in force from generation %d", c.Generation)}
 	return nil
 }
 
-// undone tells of a command that was not found. One made before the oldest line
-// that was looked at may have been done: saying that it was not would be untrue.
-func undone(lines []fireflypath.AuditLine, id string) string {
-	if why := result(lines, RefusalLineID(id), ""); why != "" {
-		return "not done: " + why
+// describeNotDone describes the outcome of a command that was not found. A command that is older
+// than the oldest line read may have been done, so that its outcome is reported as unknown.
+func describeNotDone(lines []fireflypath.AuditLine, id string) string {
+	if refusal := lineResult(lines, RefusalLineID(id), ""); refusal != "" {
+		return "not done: " + refusal
 	}
 	made, err := ulid.ParseStrict(id)
 	if err != nil {
 		return "not done: the trail holds no command " + id
 	}
-	if n := len(lines); n == SettleSearchLines && ulid.Time(made.Time()).Before(lines[n-1].At.Add(settleSkew)) {
+	if n := len(lines); n == SettleSearchLines && ulid.Time(made.Time()).Before(lines[n-1].At.Add(maxClockSkew)) {
 		return fmt.Sprintf("unknown: command %s is older than the %d newest lines of the trail", id, n)
 	}
 	return "not done: the trail holds no command " + id
 }
 
-// result is the result in the line with an id, or the words for none.
-func result(lines []fireflypath.AuditLine, id, none string) string {
+// lineResult returns the result in the line with the id, or none if there is no such line.
+func lineResult(lines []fireflypath.AuditLine, id, none string) string {
 	i := slices.IndexFunc(lines, func(l fireflypath.AuditLine) bool { return l.ID == id })
 	if i < 0 {
 		return none
--- a/internal/query/eval/tables.go
+++ b/internal/query/eval/tables.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// trailLines bounds what a query on changes reads: two days at the letter's
-	// 4,200 changes a day, some 3 MB.
-	trailLines = 10_000
-	// hashShown is as much of a key's hash as "revoke key" needs.
-	hashShown = 12
+	// maxTrailLines is the number of trail lines that a query on changes reads: two days at the
+	// required 4,200 changes per day, about 3 MB.
+	maxTrailLines = 10_000
+	// hashPrefixLength is how much of a key's hash is shown, which is enough for "revoke key".
+	hashPrefixLength = 12
 )
 
-func columns(spec ...table.Column) *table.Table {
+func newTable(spec ...table.Column) *table.Table {
 	return &table.Table{Columns: spec}
 }
 
-func text(name string) table.Column     { return table.Column{Name: name, Kind: table.Text} }
-func names(name string) table.Column    { return table.Column{Name: name, Kind: table.List} }
-func number(name string) table.Column   { return table.Column{Name: name, Kind: table.Number} }
-func duration(name string) table.Column { return table.Column{Name: name, Kind: table.Duration} }
-func moment(name string) table.Column   { return table.Column{Name: name, Kind: table.Time} }
-func flag(name string) table.Column     { return table.Column{Name: name, Kind: table.Bool} }
+func textColumn(name string) table.Column   { return table.Column{Name: name, Kind: table.Text} }
+func listColumn(name string) table.Column   { return table.Column{Name: name, Kind: table.List} }
+func numberColumn(name string) table.Column { return table.Column{Name: name, Kind: table.Number} }
 
-// table reads all rows of the query's noun.
-func (e *Evaluator) table(ctx context.Context, q *query.Query) (*table.Table, error) {
+func durationColumn(name string) table.Column { return table.Column{Name: name, Kind: table.Duration} }
+func timeColumn(name string) table.Column     { return table.Column{Name: name, Kind: table.Time} }
+func boolColumn(name string) table.Column     { return table.Column{Name: name, Kind: table.Bool} }
+
+// readTable reads all rows of the query's table.
+func (e *Evaluator) readTable(ctx context.Context, q *query.Query) (*table.Table, error) {
 	cfg := e.src.Configs.Current()
 	switch q.Table {
 	case "tiers":
@@ -52,7 +53,7 @@
 	case "requests":
 		return e.requests(q)
 	case "open":
-		return e.openNow(), nil
+		return e.openRequests(), nil
 	case "changes":
 		return e.changes(ctx)
 	default:
@@ -61,7 +62,7 @@
 }
 
 func tiers(cfg *fireflypath.Config) *table.Table {
-	t := columns(text("name"), number("rank"), duration("deadline"))
+	t := newTable(textColumn("name"), numberColumn("rank"), durationColumn("deadline"))
 	for _, v := range cfg.Tiers {
 		t.Rows = append(t.Rows, table.Row{table.Str(v.Name), table.Num(v.Rank), table.Dur(v.Deadline.Std())})
 	}
@@ -69,7 +70,7 @@
 }
 
 func teams(cfg *fireflypath.Config) *table.Table {
-	t := columns(text("name"), names("tier"), names("pool"), number("weight"), number("keys"))
+	t := newTable(textColumn("name"), listColumn("tier"), listColumn("pool"), numberColumn("weight"), numberColumn("keys"))
 	for _, v := range cfg.Teams {
 		t.Rows = append(t.Rows, table.Row{
 			table.Str(v.Name), table.Names(v.Tiers), table.Names(v.Pools),
@@ -80,12 +81,12 @@
 }
 
 func (e *Evaluator) pools(cfg *fireflypath.Config) *table.Table {
-	t := columns(text("name"), text("kind"), names("model"), number("targets"), number("drained"),
-		number("waiting"), number("running"), number("queued"))
-	demand := e.demand()
+	t := newTable(textColumn("name"), textColumn("kind"), listColumn("model"), numberColumn("targets"), numberColumn("drained"),
+		numberColumn("waiting"), numberColumn("running"), numberColumn("queued"))
+	demand := e.demandByPool()
 	for _, p := range cfg.Pools {
 		d := demand[p.Name]
-		targets, drained := poolTargets(cfg, p.Name)
+		targets, drained := countTargets(cfg, p.Name)
 		t.Rows = append(t.Rows, table.Row{
 			table.Str(p.Name), table.Str(string(p.Kind)), table.Names(p.Models),
 			table.Num(targets), table.Num(drained),
@@ -96,7 +97,7 @@
 	return t
 }
 
-func poolTargets(cfg *fireflypath.Config, pool string) (n, drained int) {
+func countTargets(cfg *fireflypath.Config, pool string) (n, drained int) {
 	for _, t := range cfg.Targets {
 		if t.Pool != pool {
 			continue
@@ -109,7 +110,7 @@
 	return n, drained
 }
 
-func (e *Evaluator) demand() map[string]fireflypath.Demand {
+func (e *Evaluator) demandByPool() map[string]fireflypath.Demand {
 	out := make(map[string]fireflypath.Demand)
 	for _, d := range e.src.Demands() {
 		out[d.Pool] = d
@@ -126,9 +127,9 @@
 }
 
 func (e *Evaluator) targets(cfg *fireflypath.Config) *table.Table {
-	t := columns(text("name"), text("pool"), text("addr"), text("domain"), flag("drained"), text("state"),
-		number("window"), number("part"), number("held"), number("requests"),
-		number("prefill"), number("decode"), duration("age"))
+	t := newTable(textColumn("name"), textColumn("pool"), textColumn("addr"), textColumn("domain"), boolColumn("drained"), textColumn("state"),
+		numberColumn("window"), numberColumn("part"), numberColumn("held"), numberColumn("requests"),
+		numberColumn("prefill"), numberColumn("decode"), durationColumn("age"))
 	views := make(map[string]fireflypath.TargetView)
 	for _, v := range e.src.Views() {
 		views[v.Target] = v
@@ -138,14 +139,15 @@
 			table.Str(v.Name), table.Str(v.Pool), table.Str(v.Addr), table.Str(v.Domain), table.Flag(v.Drained),
 		}
 		view, known := views[v.Name]
-		t.Rows = append(t.Rows, append(row, viewed(view, known)...))
+		t.Rows = append(t.Rows, append(row, viewCells(view, known)...))
 	}
 	t.Notes = []string{"state, window and rates as learned by daemon " + e.src.Name}
 	return t
 }
 
-// viewed is empty for a target outside this daemon's subset.
-func viewed(v fireflypath.TargetView, known bool) table.Row {
+// viewCells returns the cells of a target's view, empty ones for a target outside of this daemon's
+// subset.
+func viewCells(v fireflypath.TargetView, known bool) table.Row {
 	if !known {
 		none := table.Cell{Empty: true}
 		return table.Row{none, none, none, none, none, none, none, none}
@@ -158,7 +160,7 @@
 }
 
 func rules(cfg *fireflypath.Config) *table.Table {
-	t := columns(text("name"), text("act"), text("team"), text("tier"), text("pool"), number("above"), number("limit"))
+	t := newTable(textColumn("name"), textColumn("act"), textColumn("team"), textColumn("tier"), textColumn("pool"), numberColumn("above"), numberColumn("limit"))
 	for _, v := range cfg.Rules {
 		t.Rows = append(t.Rows, table.Row{
 			table.Str(v.Name), table.Str(string(v.Act)), table.Str(v.Team), table.Str(v.Tier),
@@ -169,7 +171,7 @@
 }
 
 func operators(cfg *fireflypath.Config) *table.Table {
-	t := columns(text("name"), text("role"), number("keys"))
+	t := newTable(textColumn("name"), textColumn("role"), numberColumn("keys"))
 	for _, v := range cfg.Operators {
 		t.Rows = append(t.Rows, table.Row{table.Str(v.Name), table.Str(string(v.Role)), table.Num(len(v.Keys))})
 	}
@@ -177,10 +179,10 @@
 }
 
 func keys(cfg *fireflypath.Config) *table.Table {
-	t := columns(text("hash"), text("kind"), text("owner"), moment("until"))
+	t := newTable(textColumn("hash"), textColumn("kind"), textColumn("owner"), timeColumn("until"))
 	add := func(kind, owner string, list []fireflypath.Key) {
 		for _, k := range list {
-			hash := k.Hash[:min(hashShown, len(k.Hash))]
+			hash := k.Hash[:min(hashPrefixLength, len(k.Hash))]
 			t.Rows = append(t.Rows, table.Row{table.Str(hash), table.Str(kind), table.Str(owner), table.At(k.Until)})
 		}
 	}
--- a/internal/query/eval/top.go
+++ b/internal/query/eval/top.go
@@ -7,82 +7,82 @@
 	"github.com/fireflypath/fireflypath/internal/query/table"
 )
 
-// recent is the span of ended requests that the living view sums up: long
-// enough for a rate at a few requests a second, short enough to follow a burst.
-const recent = 10 * time.Second
+// topWindow is the period of ended requests that the overview summarizes: long enough for a rate
+// at a few requests per second, short enough to follow a burst.
+const topWindow = 10 * time.Second
 
-// top fills the living view: tiers, pools, targets and daemons.
-func (e *Evaluator) top(a *Result) {
+// top fills in the overview of tiers, pools, targets and daemons.
+func (e *Evaluator) top(res *Result) {
 	cfg := e.src.Configs.Current()
-	a.Lines = []string{"daemon " + e.src.Name + ", generation " + table.Num(cfg.Generation).String(table.Number)}
-	a.Sections = []Section{
-		{Title: "tiers, ended in the last " + recent.String(), Table: e.tiersNow(cfg)},
+	res.Lines = []string{"daemon " + e.src.Name + ", generation " + table.Num(cfg.Generation).String(table.Number)}
+	res.Sections = []Section{
+		{Title: "tiers, ended in the last " + topWindow.String(), Table: e.tierActivity(cfg)},
 		{Title: "pools", Table: e.pools(cfg)},
 		{Title: "targets", Table: e.targets(cfg)},
 		{Title: "daemons", Table: e.daemons()},
 	}
 }
 
-// tally sums up the ended requests of a tier.
-type tally struct {
+// outcomes counts the ended requests of a tier by outcome.
+type outcomes struct {
 	answered, late, refused, failed int
-	totals                          []table.Row
+	totalTimes                      []table.Row
 }
 
-func (e *Evaluator) tiersNow(cfg *fireflypath.Config) *table.Table {
-	t := columns(text("name"), number("rank"), number("waiting"), number("running"),
-		number("answered"), number("late"), number("refused"), number("failed"), duration("p99"))
-	ended := e.ended()
+func (e *Evaluator) tierActivity(cfg *fireflypath.Config) *table.Table {
+	t := newTable(textColumn("name"), numberColumn("rank"), numberColumn("waiting"), numberColumn("running"),
+		numberColumn("answered"), numberColumn("late"), numberColumn("refused"), numberColumn("failed"), durationColumn("p99"))
+	ended := e.recentOutcomes()
 	demands := e.src.Demands()
 	for _, tier := range cfg.Tiers {
 		var waiting, running int
 		for _, d := range demands {
-			waiting += at(d.Waiting, tier.Rank)
-			running += at(d.Running, tier.Rank)
+			waiting += valueAtRank(d.Waiting, tier.Rank)
+			running += valueAtRank(d.Running, tier.Rank)
 		}
-		y := ended[tier.Name]
+		counts := ended[tier.Name]
 		t.Rows = append(t.Rows, table.Row{
 			table.Str(tier.Name), table.Num(tier.Rank), table.Num(waiting), table.Num(running),
-			table.Num(y.answered), table.Num(y.late), table.Num(y.refused), table.Num(y.failed),
-			percentile(y.totals, 0, 99),
+			table.Num(counts.answered), table.Num(counts.late), table.Num(counts.refused), table.Num(counts.failed),
+			percentile(counts.totalTimes, 0, 99),
 		})
 	}
 	return t
 }
 
-func at(ranks []int, rank int) int {
+func valueAtRank(ranks []int, rank int) int {
 	if rank < len(ranks) {
 		return ranks[rank]
 	}
 	return 0
 }
 
-func (e *Evaluator) ended() map[string]tally {
-	out := make(map[string]tally)
-	since := e.src.Clock.Now().Add(-recent)
+func (e *Evaluator) recentOutcomes() map[string]outcomes {
+	out := make(map[string]outcomes)
+	since := e.src.Clock.Now().Add(-topWindow)
 	e.src.Recorder.Each(func(r *fireflypath.Record) bool {
 		if r.Ended.Before(since) {
 			return false
 		}
-		y := out[r.Tier]
-		y.add(r)
-		out[r.Tier] = y
+		counts := out[r.Tier]
+		counts.add(r)
+		out[r.Tier] = counts
 		return true
 	})
 	return out
 }
 
-func (y *tally) add(r *fireflypath.Record) {
+func (o *outcomes) add(r *fireflypath.Record) {
 	switch r.State {
 	case fireflypath.StateAnswered.String():
-		y.answered++
+		o.answered++
 		if r.Ended.After(r.Deadline) {
-			y.late++
+			o.late++
 		}
-		y.totals = append(y.totals, table.Row{table.Between(r.Arrived, r.Ended)})
+		o.totalTimes = append(o.totalTimes, table.Row{table.Between(r.Arrived, r.Ended)})
 	case fireflypath.StateFailed.String():
-		y.failed++
+		o.failed++
 	default:
-		y.refused++
+		o.refused++
 	}
 }
--- a/internal/query/eval/shape.go
+++ b/internal/query/eval/transform.go
@@ -9,9 +9,9 @@
 	"github.com/fireflypath/fireflypath/internal/query/table"
 )
 
-// defaultLimit bounds a list without a limit: more rows are not read by people,
-// and a list of 29,000 teams is some megabytes.
-const defaultLimit = 1000
+// defaultRowLimit is the limit of lists that give none: people do not read more rows, and a list of
+// 29,000 teams is several megabytes.
+const defaultRowLimit = 1000
 
 func (e *Evaluator) filter(q *query.Query, t *table.Table) error {
 	match, err := e.matcher(q, t)
@@ -22,30 +22,30 @@
 	return nil
 }
 
-// matcher turns the query's conditions into a test of the table's rows.
+// matcher compiles the query's conditions to a predicate on the table's rows.
 func (e *Evaluator) matcher(q *query.Query, t *table.Table) (func(table.Row) bool, error) {
-	var or []conjunction
+	var alternatives []conjunction
 	for _, conditions := range q.Where {
-		all, err := e.compile(q, t, conditions)
+		all, err := e.compileConjunction(q, t, conditions)
 		if err != nil {
 			return nil, err
 		}
-		or = append(or, all)
+		alternatives = append(alternatives, all)
 	}
 	return func(r table.Row) bool {
-		return len(or) == 0 || slices.ContainsFunc(or, func(all conjunction) bool { return all.match(r) })
+		return len(alternatives) == 0 || slices.ContainsFunc(alternatives, func(all conjunction) bool { return all.match(r) })
 	}, nil
 }
 
-// test is a condition bound to a column of a table.
-type test struct {
+// predicate is a condition on a column, resolved to the column's index and kind.
+type predicate struct {
 	column  int
 	kind    table.Kind
 	op      string
 	literal table.Cell
 }
 
-type conjunction []test
+type conjunction []predicate
 
 func (c conjunction) match(r table.Row) bool {
 	for _, t := range c {
@@ -56,10 +56,10 @@
 	return true
 }
 
-func (e *Evaluator) compile(q *query.Query, t *table.Table, conditions []query.Condition) (conjunction, error) {
+func (e *Evaluator) compileConjunction(q *query.Query, t *table.Table, conditions []query.Condition) (conjunction, error) {
 	var out conjunction
 	for _, c := range conditions {
-		i, err := find(q, t, c.Column)
+		i, err := columnIndex(q, t, c.Column)
 		if err != nil {
 			return nil, err
 		}
@@ -68,58 +68,58 @@
 		if !ok {
 			return nil, q.TypeMismatch(c, table.LiteralExample(kind))
 		}
-		out = append(out, test{column: i, kind: kind, op: c.Op, literal: literal})
+		out = append(out, predicate{column: i, kind: kind, op: c.Op, literal: literal})
 	}
 	return out, nil
 }
 
-func find(q *query.Query, t *table.Table, c query.Column) (int, error) {
+func columnIndex(q *query.Query, t *table.Table, c query.Column) (int, error) {
 	if i := t.Index(c.Name); i >= 0 {
 		return i, nil
 	}
-	var have []string
+	var available []string
 	for _, column := range t.Columns {
-		have = append(have, column.Name)
+		available = append(available, column.Name)
 	}
-	return 0, q.UnknownColumn(c, have)
+	return 0, q.UnknownColumn(c, available)
 }
 
-// shape orders, limits, counts or measures the rows left.
-func (e *Evaluator) shape(q *query.Query, t *table.Table) (*table.Table, error) {
+// transform sorts and limits the filtered rows, or aggregates them.
+func (e *Evaluator) transform(q *query.Query, t *table.Table) (*table.Table, error) {
 	switch q.Kind {
 	case query.KindCount:
-		return group(q, t, counted)
+		return groupBy(q, t, rowCount)
 	case query.KindPercentile:
-		return group(q, t, counted, measured(q, t))
+		return groupBy(q, t, rowCount, percentileOf(q, t))
 	default:
-		return t, list(q, t)
+		return t, sortAndLimit(q, t)
 	}
 }
 
-// aggregate is a column made of a group of rows.
+// aggregate is a column whose cells are computed from groups of rows.
 type aggregate struct {
-	column table.Column
-	of     func([]table.Row) table.Cell
+	column  table.Column
+	compute func([]table.Row) table.Cell
 }
 
-// counted is the number of rows.
-var counted = aggregate{
-	column: number("count"),
-	of:     func(rows []table.Row) table.Cell { return table.Num(len(rows)) },
+// rowCount counts the rows.
+var rowCount = aggregate{
+	column:  numberColumn("count"),
+	compute: func(rows []table.Row) table.Cell { return table.Num(len(rows)) },
 }
 
-// measured is the query's percentile of the column that it names.
-func measured(q *query.Query, t *table.Table) aggregate {
+// percentileOf computes the query's percentile of its measured column.
+func percentileOf(q *query.Query, t *table.Table) aggregate {
 	i := t.Index(q.Measured)
 	return aggregate{
-		column: table.Column{Name: fmt.Sprintf("p%d", q.Percentile), Kind: t.Columns[i].Kind},
-		of:     func(rows []table.Row) table.Cell { return percentile(rows, i, q.Percentile) },
+		column:  table.Column{Name: fmt.Sprintf("p%d", q.Percentile), Kind: t.Columns[i].Kind},
+		compute: func(rows []table.Row) table.Cell { return percentile(rows, i, q.Percentile) },
 	}
 }
 
-func list(q *query.Query, t *table.Table) error {
+func sortAndLimit(q *query.Query, t *table.Table) error {
 	if q.OrderBy.Name != "" {
-		i, err := find(q, t, q.OrderBy)
+		i, err := columnIndex(q, t, q.OrderBy)
 		if err != nil {
 			return err
 		}
@@ -133,7 +133,7 @@
 	}
 	limit := q.Limit
 	if limit == 0 {
-		limit = defaultLimit
+		limit = defaultRowLimit
 	}
 	if len(t.Rows) > limit {
 		t.Notes = append(t.Notes, fmt.Sprintf("%d of %d rows", limit, len(t.Rows)))
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// percentile is the nearest-rank percentile of the rows that have a value.
+// percentile computes the nearest-rank percentile of the non-empty cells.
 func percentile(rows []table.Row, column, p int) table.Cell {
 	var values []float64
 	for _, r := range rows {
@@ -158,13 +158,13 @@
 	return table.Num(values[max(rank, 1)-1])
 }
 
-// group gives one row for each value of the query's column, or one for all rows
-// if it names none.
-func group(q *query.Query, t *table.Table, aggregates ...aggregate) (*table.Table, error) {
+// groupBy returns one row per value of the query's GroupBy column, or one row in total if there is
+// no such column.
+func groupBy(q *query.Query, t *table.Table, aggregates ...aggregate) (*table.Table, error) {
 	out := &table.Table{Notes: t.Notes}
 	by := -1
 	if q.GroupBy.Name != "" {
-		i, err := find(q, t, q.GroupBy)
+		i, err := columnIndex(q, t, q.GroupBy)
 		if err != nil {
 			return nil, err
 		}
@@ -174,22 +174,22 @@
 	for _, a := range aggregates {
 		out.Columns = append(out.Columns, a.column)
 	}
-	for _, rows := range split(t, by) {
+	for _, rows := range groupRows(t, by) {
 		var row table.Row
 		if by >= 0 {
 			row = append(row, rows[0][by])
 		}
 		for _, a := range aggregates {
-			row = append(row, a.of(rows))
+			row = append(row, a.compute(rows))
 		}
 		out.Rows = append(out.Rows, row)
 	}
 	return out, nil
 }
 
-// split sorts the rows by a column and cuts them where its value changes. A
-// negative column gives all rows as one group, also if there are none.
-func split(t *table.Table, by int) [][]table.Row {
+// groupRows sorts the rows by a column and splits them where its value changes. If the column is
+// negative, all rows form one group, even if there are none.
+func groupRows(t *table.Table, by int) [][]table.Row {
 	if by < 0 {
 		return [][]table.Row{t.Rows}
 	}
--- a/internal/query/grammar.go
+++ b/internal/query/grammar.go
@@ -1,35 +1,35 @@
-// Package query is the language in which operators ask.
+// Package query parses the operators' query language.
 package query
 
 import "github.com/fireflypath/fireflypath/internal/syntax"
 
-// Grammar. Every query is one of these; commands have a grammar of their own.
+// The grammar of queries. Commands have a separate grammar.
 type (
 	query struct {
-		Why     *syntax.Word `parser:"  'why' @@"`
-		Settle  *syntax.Word `parser:"| 'settle' @@"`
-		Top     bool         `parser:"| @'top'"`
-		Count   *count       `parser:"| 'count' @@"`
-		Measure *measure     `parser:"| @@"`
-		List    *list        `parser:"| @@"`
+		Why        *syntax.Word     `parser:"  'why' @@"`
+		Settle     *syntax.Word     `parser:"| 'settle' @@"`
+		Top        bool             `parser:"| @'top'"`
+		Count      *countQuery      `parser:"| 'count' @@"`
+		Percentile *percentileQuery `parser:"| @@"`
+		List       *listQuery       `parser:"| @@"`
 	}
 
-	list struct {
-		Noun  string       `parser:"@( 'tiers' | 'teams' | 'pools' | 'targets' | 'rules' | 'operators' | 'keys' | 'daemons' | 'requests' | 'open' | 'changes' )"`
+	listQuery struct {
+		Table string       `parser:"@( 'tiers' | 'teams' | 'pools' | 'targets' | 'rules' | 'operators' | 'keys' | 'daemons' | 'requests' | 'open' | 'changes' )"`
 		Where *disjunction `parser:"( 'where' @@ )?"`
-		Order *order       `parser:"( 'order' 'by' @@ )?"`
+		Order *ordering    `parser:"( 'order' 'by' @@ )?"`
 		Limit *syntax.Word `parser:"( 'limit' @@ )?"`
 	}
 
-	count struct {
-		Noun  string       `parser:"@( 'tiers' | 'teams' | 'pools' | 'targets' | 'rules' | 'operators' | 'keys' | 'daemons' | 'requests' | 'open' | 'changes' )"`
+	countQuery struct {
+		Table string       `parser:"@( 'tiers' | 'teams' | 'pools' | 'targets' | 'rules' | 'operators' | 'keys' | 'daemons' | 'requests' | 'open' | 'changes' )"`
 		Where *disjunction `parser:"( 'where' @@ )?"`
 		By    *syntax.Word `parser:"( 'by' @@ )?"`
 	}
 
-	measure struct {
+	percentileQuery struct {
 		Percentile string       `parser:"@( 'p50' | 'p90' | 'p95' | 'p99' )"`
-		Of         string       `parser:"'requests' ( 'of' @( 'total' | 'wait' | 'first' | 'tokens' | 'prompt' ) )?"`
+		Column     string       `parser:"'requests' ( 'of' @( 'total' | 'wait' | 'first' | 'tokens' | 'prompt' ) )?"`
 		Where      *disjunction `parser:"( 'where' @@ )?"`
 		By         *syntax.Word `parser:"( 'by' @@ )?"`
 	}
@@ -48,9 +48,9 @@
 		Value  syntax.Word `parser:"@@"`
 	}
 
-	order struct {
-		Column syntax.Word `parser:"@@"`
-		Down   bool        `parser:"( 'asc' | @'desc' )?"`
+	ordering struct {
+		Column     syntax.Word `parser:"@@"`
+		Descending bool        `parser:"( 'asc' | @'desc' )?"`
 	}
 )
 
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -6,48 +6,48 @@
 	"github.com/fireflypath/fireflypath/internal/syntax"
 )
 
-// Kind is what a query asks for.
+// Kind is the kind of a query.
 type Kind int
 
 // The kinds of queries.
 const (
-	// KindList lists rows.
+	// KindList lists the rows of a table.
 	KindList Kind = iota
-	// KindCount counts rows by a column.
+	// KindCount counts rows, optionally grouped by a column.
 	KindCount
-	// KindPercentile gives a percentile by a column.
+	// KindPercentile computes a percentile, optionally grouped by a column.
 	KindPercentile
-	// KindWhy explains one request.
+	// KindWhy explains how one request was handled.
 	KindWhy
-	// KindSettle tells the fate of a command.
+	// KindSettle reports the outcome of a command.
 	KindSettle
-	// KindTop is the living view.
+	// KindTop gives an overview of the current state.
 	KindTop
 )
 
-// Query is a parsed query. Fields not named by the kind's use are zero.
+// Query is a parsed query. Fields that its kind does not use are zero.
 type Query struct {
 	Kind Kind
-	// Table is the list asked for.
+	// Table is the name of the table that is read.
 	Table string
-	// ID is the request or command, for KindWhy and KindSettle.
+	// ID is the id of the request for KindWhy, or of the command for KindSettle.
 	ID string
 	// Where is a disjunction of conjunctions; empty means all rows.
 	Where [][]Condition
-	// GroupBy is the column to group by, empty for one group.
+	// GroupBy is the column to group by. If it is empty, all rows are one group.
 	GroupBy Column
-	// Measured is the column measured, and Percentile between 0 and 100.
+	// Measured is the column whose percentile is computed, Percentile is between 0 and 100.
 	Measured   string
 	Percentile int
-	// OrderBy is the column to sort by, empty for the list's own order.
+	// OrderBy is the column to sort by. If it is empty, the table's own order is kept.
 	OrderBy    Column
 	Descending bool
-	// Limit bounds the rows; 0 means no bound.
+	// Limit is the maximum number of rows; 0 means that the query gives none.
 	Limit int
 	text  string
 }
 
-// Column is a column's name with its place, for errors.
+// Column is a column's name with its position, for errors.
 type Column struct {
 	Name string
 	word syntax.Word
@@ -61,7 +61,7 @@
 	word   syntax.Word
 }
 
-// Parse reads a query. Its error is a *syntax.Error.
+// Parse parses a query. Its error is a *syntax.Error.
 func Parse(text string) (*Query, error) {
 	g, err := language.Parse(text)
 	if err != nil {
@@ -76,12 +76,12 @@
 	case g.Top:
 		q.Kind = KindTop
 	case g.Count != nil:
-		q.Kind, q.Table, q.GroupBy = KindCount, g.Count.Noun, column(g.Count.By)
-		q.Where = where(g.Count.Where)
-	case g.Measure != nil:
-		q.measure(g.Measure)
+		q.Kind, q.Table, q.GroupBy = KindCount, g.Count.Table, newColumn(g.Count.By)
+		q.Where = conditions(g.Count.Where)
+	case g.Percentile != nil:
+		q.setPercentile(g.Percentile)
 	default:
-		err = q.list(g.List)
+		err = q.setList(g.List)
 	}
 	if err != nil {
 		return nil, err
@@ -89,27 +89,27 @@
 	return q, nil
 }
 
-// Complete lists the keywords that may follow an unfinished text.
+// Complete returns the keywords that may follow an incomplete query.
 func Complete(text string) []string {
 	return language.Complete(text)
 }
 
-func (q *Query) measure(m *measure) {
-	q.Kind, q.Table, q.GroupBy = KindPercentile, "requests", column(m.By)
-	q.Where = where(m.Where)
-	q.Measured = m.Of
+func (q *Query) setPercentile(m *percentileQuery) {
+	q.Kind, q.Table, q.GroupBy = KindPercentile, "requests", newColumn(m.By)
+	q.Where = conditions(m.Where)
+	q.Measured = m.Column
 	if q.Measured == "" {
 		q.Measured = "total"
 	}
-	// The grammar takes p and two digits only.
+	// The grammar only accepts p and two digits.
 	q.Percentile, _ = strconv.Atoi(m.Percentile[1:])
 }
 
-func (q *Query) list(l *list) error {
-	q.Kind, q.Table = KindList, l.Noun
-	q.Where = where(l.Where)
+func (q *Query) setList(l *listQuery) error {
+	q.Kind, q.Table = KindList, l.Table
+	q.Where = conditions(l.Where)
 	if l.Order != nil {
-		q.OrderBy, q.Descending = column(&l.Order.Column), l.Order.Down
+		q.OrderBy, q.Descending = newColumn(&l.Order.Column), l.Order.Descending
 	}
 	if l.Limit == nil {
 		return nil
@@ -122,36 +122,36 @@
 	return nil
 }
 
-// UnknownColumn is the error for a column that the list does not have.
-func (q *Query) UnknownColumn(c Column, have []string) error {
+// UnknownColumn returns the error for a column that the table does not have.
+func (q *Query) UnknownColumn(c Column, available []string) error {
 	e := syntax.NewError(q.text, c.word.Pos, "")
-	e.Found, e.Expected = c.Name, have
+	e.Found, e.Expected = c.Name, available
 	return e
 }
 
-// TypeMismatch is the error for a value that the column cannot be compared with.
-func (q *Query) TypeMismatch(c Condition, want string) error {
-	return syntax.NewError(q.text, c.word.Pos, "expected "+want)
+// TypeMismatch returns the error for a value that the column cannot be compared with.
+func (q *Query) TypeMismatch(c Condition, expected string) error {
+	return syntax.NewError(q.text, c.word.Pos, "expected "+expected)
 }
 
-func column(w *syntax.Word) Column {
+func newColumn(w *syntax.Word) Column {
 	if w == nil {
 		return Column{}
 	}
 	return Column{Name: w.Text, word: *w}
 }
 
-func where(d *disjunction) [][]Condition {
+func conditions(d *disjunction) [][]Condition {
 	if d == nil {
 		return nil
 	}
 	var out [][]Condition
-	for _, and := range d.Or {
-		var conditions []Condition
-		for _, c := range and.And {
-			conditions = append(conditions, Condition{Column: column(&c.Column), Op: c.Op, Value: c.Value.Text, word: c.Value})
+	for _, group := range d.Or {
+		var all []Condition
+		for _, c := range group.And {
+			all = append(all, Condition{Column: newColumn(&c.Column), Op: c.Op, Value: c.Value.Text, word: c.Value})
 		}
-		out = append(out, conditions)
+		out = append(out, all)
 	}
 	return out
 }
--- a/internal/query/table/filter.go
+++ b/internal/query/table/filter.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// EmptyText is the value that stands for a missing one.
+// EmptyText is the literal that stands for an empty cell.
 const EmptyText = "-"
 
-// ParseLiteral reads a value as a column's kind; now is for times given as "5m",
-// which means five minutes ago. It reports false if the text is no such value.
+// ParseLiteral parses a value of the column's kind. A time may be given relative to now: "5m" means
+// five minutes ago. It returns false if the text is not a valid value.
 func ParseLiteral(k Kind, text string, now time.Time) (Cell, bool) {
 	if text == EmptyText {
 		return Cell{Empty: true}, true
@@ -25,7 +25,7 @@
 		d, err := time.ParseDuration(text)
 		return Dur(d), err == nil
 	case Time:
-		return moment(text, now)
+		return parseTime(text, now)
 	case Bool:
 		return Flag(text == "yes" || text == "true"), slices.Contains([]string{"yes", "no", "true", "false"}, text)
 	default:
@@ -33,7 +33,7 @@
 	}
 }
 
-func moment(text string, now time.Time) (Cell, bool) {
+func parseTime(text string, now time.Time) (Cell, bool) {
 	if d, err := time.ParseDuration(text); err == nil {
 		return Cell{Time: now.Add(-d)}, true
 	}
@@ -41,7 +41,7 @@
 	return Cell{Time: at}, err == nil
 }
 
-// LiteralExample says what Literal takes for a kind.
+// LiteralExample describes the values that ParseLiteral accepts for a kind.
 func LiteralExample(k Kind) string {
 	switch k {
 	case Number:
@@ -57,8 +57,8 @@
 	}
 }
 
-// Matches compares a cell with a literal by the operators = != < <= > >= ~.
-// A list is equal to each of its names; ~ finds a part of the text.
+// Matches compares a cell with a literal by one of the operators = != < <= > >= ~. A list equals
+// each of its elements. ~ matches if the cell's text contains the literal.
 func Matches(k Kind, c Cell, op string, literal Cell) bool {
 	switch op {
 	case "=":
@@ -94,7 +94,7 @@
 	return Compare(k, c, literal) == 0
 }
 
-// Compare orders two cells of one kind; empty ones come first.
+// Compare compares two cells of the same kind. Empty cells come first.
 func Compare(k Kind, a, b Cell) int {
 	switch {
 	case a.Empty && b.Empty:
--- a/internal/query/table/table.go
+++ b/internal/query/table/table.go
@@ -1,4 +1,4 @@
-// Package table holds the rows that answer a query.
+// Package table implements the tables that queries return.
 package table
 
 import (
@@ -25,63 +25,63 @@
 	Bool     Kind = "bool"
 )
 
-// Column is a named column.
+// Column is the name and the kind of a column.
 type Column struct {
 	Name string `json:"name"`
 	Kind Kind   `json:"kind"`
 }
 
-// Cell is a value; which field counts follows from the column's kind.
+// Cell is a value. The column's kind determines which field contains it.
 type Cell struct {
-	// Text is for text, and for lists with commas between.
+	// Text contains a text, or the elements of a list, separated by commas.
 	Text string
-	// Number is for numbers, durations in seconds, and bools (0 or 1).
+	// Number contains a number, a duration in seconds, or a bool as 0 or 1.
 	Number float64
-	// Time is for times.
+	// Time contains a time.
 	Time time.Time
-	// Empty is true if there is no value; it is below every value and equal to none.
+	// Empty is true if there is no value. An empty cell sorts before all values and equals none.
 	Empty bool
 }
 
-// Row holds a cell for each column.
+// Row contains one cell per column.
 type Row []Cell
 
-// Table is an answer.
+// Table is the result of a query.
 type Table struct {
 	Columns []Column
 	Rows    []Row
-	// Notes tell what the rows do not hold.
+	// Notes are remarks on the rows, for example that there are more.
 	Notes []string
 }
 
-// Str makes a text, empty if s is.
+// Str returns a text cell, which is empty if s is.
 func Str(s string) Cell {
 	return Cell{Text: s, Empty: s == ""}
 }
 
-// Num makes a number.
+// Num returns a number cell.
 func Num[N int | int64 | uint64 | float64](n N) Cell {
 	return Cell{Number: float64(n)}
 }
 
-// Dur makes a duration.
+// Dur returns a duration cell.
 func Dur(d time.Duration) Cell {
 	return Cell{Number: d.Seconds()}
 }
 
-// never is above the age of any report: a daemon that has none measures its age
-// from the zero time.
-const never = 365 * 24 * time.Hour
+// maxAge is larger than the age of any report. For a target that never reported, the age is
+// measured from the zero time.
+const maxAge = 365 * 24 * time.Hour
 
-// Age makes the age of a report, empty if none ever came.
+// Age returns the age of a report as a duration cell, which is empty if there never was a report.
 func Age(d time.Duration) Cell {
-	if d < 0 || d > never {
+	if d < 0 || d > maxAge {
 		return Cell{Empty: true}
 	}
 	return Dur(d)
 }
 
-// Between makes the duration between two times, empty if one is missing.
+// Between returns a duration cell for the time between two times, empty if one of them is zero.
 func Between(from, to time.Time) Cell {
 	if from.IsZero() || to.IsZero() {
 		return Cell{Empty: true}
@@ -89,12 +89,12 @@
 	return Dur(to.Sub(from))
 }
 
-// At makes a time, empty if t is zero.
+// At returns a time cell, which is empty if t is zero.
 func At(t time.Time) Cell {
 	return Cell{Time: t, Empty: t.IsZero()}
 }
 
-// Flag makes a bool.
+// Flag returns a bool cell.
 func Flag(b bool) Cell {
 	if b {
 		return Cell{Number: 1}
@@ -102,12 +102,12 @@
 	return Cell{}
 }
 
-// Names makes a list.
+// Names returns a list cell.
 func Names(names []string) Cell {
 	return Str(strings.Join(names, ","))
 }
 
-// Index finds a column by name, or -1.
+// Index returns the index of the column with the name, or -1.
 func (t *Table) Index(name string) int {
 	for i, c := range t.Columns {
 		if c.Name == name {
@@ -117,16 +117,16 @@
 	return -1
 }
 
-// String prints a cell as people read it.
+// String formats a cell of the kind for display.
 func (c Cell) String(k Kind) string {
 	if c.Empty {
 		return "-"
 	}
 	switch k {
 	case Number:
-		return number(c.Number)
+		return formatNumber(c.Number)
 	case Duration:
-		return seconds(c.Number).String()
+		return roundedDuration(c.Number).String()
 	case Time:
 		return c.Time.UTC().Format("2006-01-02T15:04:05.000Z")
 	case Bool:
@@ -136,16 +136,16 @@
 	}
 }
 
-// number prints whole numbers whole, and others with two decimals.
-func number(n float64) string {
+// formatNumber formats whole numbers without decimals and other numbers with two.
+func formatNumber(n float64) string {
 	if n == math.Trunc(n) {
 		return strconv.FormatFloat(n, 'f', 0, 64)
 	}
 	return strconv.FormatFloat(n, 'f', 2, 64)
 }
 
-// seconds rounds to what people read: three digits or so.
-func seconds(s float64) time.Duration {
+// roundedDuration rounds to about three significant digits, for readability.
+func roundedDuration(s float64) time.Duration {
 	d := time.Duration(s * float64(time.Second))
 	switch {
 	case d >= time.Minute:
@@ -159,12 +159,12 @@
 	}
 }
 
-// Write prints the table with aligned columns and the notes below it.
+// Write writes the table with aligned columns, followed by the notes.
 func (t *Table) Write(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	lines := []string{t.head()}
+	lines := []string{t.header()}
 	for _, row := range t.Rows {
-		lines = append(lines, t.line(row))
+		lines = append(lines, t.formatRow(row))
 	}
 	if _, err := io.WriteString(tw, strings.Join(lines, "")); err != nil {
 		return err
@@ -180,7 +180,7 @@
 	return nil
 }
 
-func (t *Table) head() string {
+func (t *Table) header() string {
 	var names []string
 	for _, c := range t.Columns {
 		names = append(names, strings.ToUpper(c.Name))
@@ -188,7 +188,7 @@
 	return strings.Join(names, "\t") + "\n"
 }
 
-func (t *Table) line(row Row) string {
+func (t *Table) formatRow(row Row) string {
 	var cells []string
 	for i, c := range row {
 		cells = append(cells, c.String(t.Columns[i].Kind))
@@ -196,26 +196,25 @@
 	return strings.Join(cells, "\t") + "\n"
 }
 
-// wire is the form of a table between daemon and client.
-type wire struct {
+// jsonTable is the JSON encoding of a table between daemon and client.
+type jsonTable struct {
 	Columns []Column `json:"columns"`
 	Rows    [][]any  `json:"rows"`
 	Notes   []string `json:"notes,omitempty"`
 }
 
-// MarshalJSON writes numbers as numbers, durations in seconds, times as RFC
-// 3339 and missing values as null.
+// MarshalJSON encodes durations as seconds, times as RFC 3339 and empty cells as null.
 func (t *Table) MarshalJSON() ([]byte, error) {
-	out := wire{Columns: t.Columns, Rows: make([][]any, len(t.Rows)), Notes: t.Notes}
+	out := jsonTable{Columns: t.Columns, Rows: make([][]any, len(t.Rows)), Notes: t.Notes}
 	for i, row := range t.Rows {
 		for j, c := range row {
-			out.Rows[i] = append(out.Rows[i], c.value(t.Columns[j].Kind))
+			out.Rows[i] = append(out.Rows[i], c.jsonValue(t.Columns[j].Kind))
 		}
 	}
 	return json.Marshal(out)
 }
 
-func (c Cell) value(k Kind) any {
+func (c Cell) jsonValue(k Kind) any {
 	if c.Empty {
 		return nil
 	}
@@ -231,9 +230,9 @@
 	}
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the encoding of MarshalJSON.
 func (t *Table) UnmarshalJSON(data []byte) error {
-	var in wire
+	var in jsonTable
 	if err := json.Unmarshal(data, &in); err != nil {
 		return err
 	}
@@ -245,14 +244,14 @@
 		}
 		row := make(Row, len(values))
 		for j, v := range values {
-			row[j] = cell(v, in.Columns[j].Kind)
+			row[j] = cellFromJSON(v, in.Columns[j].Kind)
 		}
 		t.Rows = append(t.Rows, row)
 	}
 	return nil
 }
 
-func cell(v any, k Kind) Cell {
+func cellFromJSON(v any, k Kind) Cell {
 	switch x := v.(type) {
 	case float64:
 		return Cell{Number: x}
--- a/internal/query/why/why.go
+++ b/internal/query/why/why.go
@@ -1,4 +1,4 @@
-// Package why tells a request's record in sentences.
+// Package why explains in sentences how a request was handled, from its record.
 package why
 
 import (
@@ -10,78 +10,78 @@
 	"github.com/fireflypath/fireflypath/internal/query/table"
 )
 
-const stamp = "2006-01-02T15:04:05.000Z"
+const timeLayout = "2006-01-02T15:04:05.000Z"
 
-// Explanation is what happened to a request.
+// Explanation describes how a request was handled.
 type Explanation struct {
-	// Lines are sentences in the order of events.
+	// Lines are sentences in chronological order.
 	Lines []string
-	// Considered is the weighing of targets, nil if there was none.
+	// Considered lists the considered targets. It is nil if there were none.
 	Considered *table.Table
 }
 
-// Explain tells the record.
+// Explain explains the record.
 func Explain(r *fireflypath.Record) *Explanation {
-	s := &Explanation{}
-	s.arrival(r)
-	s.waiting(r)
-	s.placement(r)
-	s.end(r)
-	s.Considered = considered(r)
-	return s
+	e := &Explanation{}
+	e.addArrival(r)
+	e.addWaiting(r)
+	e.addPlacement(r)
+	e.addEnd(r)
+	e.Considered = candidateTable(r)
+	return e
 }
 
-func (s *Explanation) add(format string, args ...any) {
-	s.Lines = append(s.Lines, fmt.Sprintf(format, args...))
+func (e *Explanation) add(format string, args ...any) {
+	e.Lines = append(e.Lines, fmt.Sprintf(format, args...))
 }
 
-func (s *Explanation) arrival(r *fireflypath.Record) {
-	s.add("request %s of team %s, tier %s, pool %s", r.ID, or(r.Team), or(r.Tier), or(r.Pool))
-	s.add("came %s, deadline %s later", r.Arrived.UTC().Format(stamp), span(r.Arrived, r.Deadline))
-	s.add("estimated at %d prompt and at most %d output tokens", r.Cost.Prompt, r.Cost.MaxOutput)
-	s.add("decided under configuration generation %d%s", r.Generation, ruled(r))
+func (e *Explanation) addArrival(r *fireflypath.Record) {
+	e.add("request %s of team %s, tier %s, pool %s", r.ID, orUnknown(r.Team), orUnknown(r.Tier), orUnknown(r.Pool))
+	e.add("came %s, deadline %s later", r.Arrived.UTC().Format(timeLayout), elapsed(r.Arrived, r.Deadline))
+	e.add("estimated at %d prompt and at most %d output tokens", r.Cost.Prompt, r.Cost.MaxOutput)
+	e.add("decided under configuration generation %d%s", r.Generation, rulePhrase(r))
 }
 
-func ruled(r *fireflypath.Record) string {
+func rulePhrase(r *fireflypath.Record) string {
 	if r.Rule == "" {
 		return ", no rule matched"
 	}
 	return ", by rule " + r.Rule
 }
 
-func (s *Explanation) waiting(r *fireflypath.Record) {
+func (e *Explanation) addWaiting(r *fireflypath.Record) {
 	switch {
 	case r.Ahead > 0 && r.Target == "" && !r.Ended.IsZero():
-		s.add("%d requests waited in its pool when it came", r.Ahead)
+		e.add("%d requests waited in its pool when it came", r.Ahead)
 	case r.Ahead > 0:
-		s.add("%d requests stood before it in the queue", r.Ahead)
+		e.add("%d requests stood before it in the queue", r.Ahead)
 	}
 	if len(r.Unsent) > 0 {
-		s.add("attempts of which no byte was sent, so that it waited again: %s", strings.Join(r.Unsent, ", "))
+		e.add("attempts of which no byte was sent, so that it waited again: %s", strings.Join(r.Unsent, ", "))
 	}
 	if r.Relief != "" {
-		s.add("relief round among the daemons: %s", r.Relief)
+		e.add("relief round among the daemons: %s", r.Relief)
 	}
 }
 
-func (s *Explanation) placement(r *fireflypath.Record) {
+func (e *Explanation) addPlacement(r *fireflypath.Record) {
 	if r.Target == "" && r.Ended.IsZero() {
 		return
 	}
 	if r.Target == "" {
-		s.add("sent to no target")
+		e.add("sent to no target")
 		return
 	}
-	s.add("sent to %s after waiting %s%s", r.Target, span(r.Arrived, r.Dispatched), choice(r))
+	e.add("sent to %s after waiting %s%s", r.Target, elapsed(r.Arrived, r.Dispatched), choicePhrase(r))
 	if !r.FirstOutput.IsZero() {
-		s.add("first output %s after it was sent", span(r.Dispatched, r.FirstOutput))
+		e.add("first output %s after it was sent", elapsed(r.Dispatched, r.FirstOutput))
 	}
 	if r.Resumes > 0 {
-		s.add("its answer was resumed on %d new connections; it was not sent again", r.Resumes)
+		e.add("its answer was resumed on %d new connections; it was not sent again", r.Resumes)
 	}
 }
 
-func choice(r *fireflypath.Record) string {
+func choicePhrase(r *fireflypath.Record) string {
 	usable, skipped := 0, 0
 	for _, c := range r.Considered {
 		if c.SkipReason == "" {
@@ -96,31 +96,31 @@
 	return fmt.Sprintf(": the lowest score of %d usable targets, %d could not be used", usable, skipped)
 }
 
-func (s *Explanation) end(r *fireflypath.Record) {
+func (e *Explanation) addEnd(r *fireflypath.Record) {
 	if !r.Ended.IsZero() {
-		s.add("ended as %s %s after it came, %d output tokens", r.State, span(r.Arrived, r.Ended), r.Tokens)
+		e.add("ended as %s %s after it came, %d output tokens", r.State, elapsed(r.Arrived, r.Ended), r.Tokens)
 	}
 	if r.Ended.IsZero() {
-		s.add("it has not ended: %s", r.State)
+		e.add("it has not ended: %s", r.State)
 	}
-	ref := r.Refusal
-	if ref == nil {
+	refusal := r.Refusal
+	if refusal == nil {
 		return
 	}
-	s.add("refused as %s: %s", ref.Code, ref.Detail)
-	switch ref.Run {
+	e.add("refused as %s: %s", refusal.Code, refusal.Detail)
+	switch refusal.Run {
 	case fireflypath.RunNo:
-		s.add("it did not run and will not")
+		e.add("it did not run and will not")
 	default:
-		s.add("it was sent to a target, so it may have run")
+		e.add("it was sent to a target, so it may have run")
 	}
-	if ref.RetryAfter > 0 {
-		s.add("the caller was told to come back after %s", table.Dur(ref.RetryAfter).String(table.Duration))
+	if refusal.RetryAfter > 0 {
+		e.add("the caller was told to come back after %s", table.Dur(refusal.RetryAfter).String(table.Duration))
 	}
 }
 
-// considered lists the candidates with their figures at the decision.
-func considered(r *fireflypath.Record) *table.Table {
+// candidateTable lists the candidates as they were when the decision was made.
+func candidateTable(r *fireflypath.Record) *table.Table {
 	if len(r.Considered) == 0 {
 		return nil
 	}
@@ -136,14 +136,14 @@
 		{Name: "skip", Kind: table.Text},
 	}}
 	for i := range r.Considered {
-		t.Rows = append(t.Rows, row(r, &r.Considered[i]))
+		t.Rows = append(t.Rows, candidateRow(r, &r.Considered[i]))
 	}
 	return t
 }
 
-// row shows a candidate. A request that was given up was not weighed: it has no
-// hit and no score. A target that has not reported has no load.
-func row(r *fireflypath.Record, c *fireflypath.Candidate) table.Row {
+// candidateRow returns the row of a candidate. For a refused request, targets were not scored, so
+// there is no cache hit and no score. A target that never reported has no reported load.
+func candidateRow(r *fireflypath.Record, c *fireflypath.Candidate) table.Row {
 	none := table.Cell{Empty: true}
 	reported, hit, score := table.Num(c.Reported), table.Num(c.CachedPrompt), table.Num(c.Score)
 	if r.Target == "" {
@@ -158,13 +158,13 @@
 	}
 }
 
-func or(name string) string {
+func orUnknown(name string) string {
 	if name == "" {
 		return "(unknown)"
 	}
 	return name
 }
 
-func span(from, to time.Time) string {
+func elapsed(from, to time.Time) string {
 	return table.Between(from, to).String(table.Duration)
 }
