--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -1,4 +1,4 @@
-// Package logs writes log lines without ever making their writers wait.
+// Package logs writes log lines in the background, so that logging never blocks.
 package logs
 
 import (
@@ -12,24 +12,26 @@
 )
 
 const (
-	// buffer bounds the lines that wait to be written: about two seconds of a
-	// daemon at 57 requests a second, three lines each, at 500 bytes.
-	buffer = 256 << 10
-	// flushEvery is how long a line waits at most while nothing else is written.
-	// Lines written together cost one call of the kernel.
-	flushEvery = 200 * time.Millisecond
+	// maxBufferedBytes limits the lines that are not written yet. It is enough for
+	// about three seconds of a daemon that serves 57 requests a second and logs three
+	// lines of 500 bytes for each.
+	maxBufferedBytes = 256 << 10
+	// flushInterval is the time between two writes, and thus the longest that a line
+	// waits unless the output blocks. Lines that are logged in between are written
+	// together with one system call.
+	flushInterval = 200 * time.Millisecond
 )
 
-// Writer collects lines and writes them in the background. When the reader of
-// the log is slower than its writers, lines are dropped and counted: a daemon
-// that waited for its log would hold up all requests.
+// Writer buffers lines and writes them in the background. If the output is slower than
+// the writers, lines are dropped and counted, because a daemon that waited for its log
+// would delay all requests.
 type Writer struct {
 	out io.Writer
 
-	mu   sync.Mutex
-	buf  []byte
-	back []byte
-	wake chan struct{}
+	mu    sync.Mutex
+	buf   []byte
+	spare []byte
+	wake  chan struct{}
 
 	dropped atomic.Int64
 	stop    chan struct{}
@@ -37,17 +39,17 @@
 	once    sync.Once
 }
 
-// NewWriter starts a writer to out.
+// NewWriter returns a Writer that writes to out. It must be closed.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a line, or drops it if too many wait.
+// Write buffers a line, or drops it if the buffer is full.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	if len(w.buf)+len(line) > buffer {
+	if len(w.buf)+len(line) > maxBufferedBytes {
 		w.mu.Unlock()
 		w.dropped.Add(1)
 		return len(line), nil
@@ -61,18 +63,18 @@
 	return len(line), nil
 }
 
-// Sync writes what waits.
+// Sync writes the buffered lines.
 func (w *Writer) Sync() error {
 	w.flush()
 	return nil
 }
 
-// Dropped is the number of lines dropped since the start.
+// Dropped returns the number of lines dropped so far.
 func (w *Writer) Dropped() int64 {
 	return w.dropped.Load()
 }
 
-// Close writes what waits and ends the writer.
+// Close writes the buffered lines and stops the writer.
 func (w *Writer) Close() error {
 	w.once.Do(func() { close(w.stop) })
 	<-w.done
@@ -91,27 +93,27 @@
 		w.flush()
 		select {
 		case <-w.stop:
-		case <-time.After(flushEvery):
+		case <-time.After(flushInterval):
 		}
 	}
 }
 
 func (w *Writer) flush() {
 	w.mu.Lock()
-	out := w.buf
-	w.buf = w.back[:0]
-	w.back = nil
+	lines := w.buf
+	w.buf = w.spare[:0]
+	w.spare = nil
 	w.mu.Unlock()
-	if len(out) > 0 {
-		// The log's own failure has nowhere to be told.
-		_, _ = w.out.Write(out)
+	if len(lines) > 0 {
+		// An error of the log's own output cannot be reported anywhere.
+		_, _ = w.out.Write(lines)
 	}
 	w.mu.Lock()
-	w.back = out[:0]
+	w.spare = lines[:0]
 	w.mu.Unlock()
 }
 
-// New makes a logger of JSON lines to w.
+// New returns a logger that writes JSON lines to w.
 func New(w *Writer, level zapcore.Level) *zap.Logger {
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.RFC3339NanoTimeEncoder
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -12,25 +12,25 @@
 	"github.com/fireflypath/fireflypath/internal/logs"
 )
 
-// stuck takes nothing until it is let go.
-type stuck struct {
-	gate chan struct{}
-	mu   sync.Mutex
-	buf  bytes.Buffer
+// blockedWriter blocks each write until unblocked is closed.
+type blockedWriter struct {
+	unblocked chan struct{}
+	mu        sync.Mutex
+	buf       bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.gate
+func (s *blockedWriter) Write(b []byte) (int, error) {
+	<-s.unblocked
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(b)
 }
 
-// Whoever reads the log stands still. Lines are dropped and counted; if their
-// writers waited, all requests would stand still too.
-func TestStuckReaderHoldsNobodyUp(t *testing.T) {
+// The reader of the log stops reading. Lines must be dropped and counted: if writers
+// waited for the output, all requests would be blocked.
+func TestBlockedOutputDoesNotBlockWriters(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedWriter{unblocked: make(chan struct{})}
 	w := logs.NewWriter(out)
 	line := []byte(strings.Repeat("x", 999) + "\n")
 	for range 2000 {
@@ -38,16 +38,16 @@
 		is.NoErr(err)
 	}
 	is.True(w.Dropped() > 0)
-	close(out.gate)
+	close(out.unblocked)
 	is.NoErr(w.Close())
-	kept := strings.Count(out.buf.String(), "\n")
-	is.Equal(int64(kept)+w.Dropped(), int64(2000))
+	written := strings.Count(out.buf.String(), "\n")
+	is.Equal(int64(written)+w.Dropped(), int64(2000))
 }
 
 func TestLinesAreWritten(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{gate: make(chan struct{})}
-	close(out.gate)
+	out := &blockedWriter{unblocked: make(chan struct{})}
+	close(out.unblocked)
 	w := logs.NewWriter(out)
 	logs.New(w, zap.InfoLevel).Info("hello", zap.Int("n", 3))
 	is.NoErr(w.Close())
