--- a/internal/caller/bodies/bodies.go
+++ b/internal/caller/bodies/bodies.go
@@ -1,13 +1,13 @@
-// Package bodies bounds the memory of requests whose bodies are still being read.
+// Package bodies bounds the memory for request bodies that are being read.
 package bodies
 
 import "sync"
 
-// Budget counts the bytes held for bodies over all connections.
+// Budget bounds the bytes reserved for bodies over all connections.
 //
-// Without it the bound is connections times the largest body, 32 GiB by
-// default: callers that send slowly, or a burst of large packets, would end a
-// small host for want of memory and with it all requests held there.
+// Without it the bound would be the number of connections times the largest body, 32 GiB by
+// default. Slow callers or a burst of large bodies could then exhaust the memory of a small
+// host and end the daemon with all its requests.
 type Budget struct {
 	limit int
 
@@ -16,23 +16,25 @@
 	reservations map[*Reservation]struct{}
 }
 
-// New returns an empty count with a bound in bytes.
+// New returns an unused budget with a limit in bytes.
 func New(limit int) *Budget {
 	return &Budget{limit: limit, reservations: map[*Reservation]struct{}{}}
 }
 
-// Reservation is one request's part. It is used by one goroutine.
+// Reservation is the part of the budget that one body uses. It must be used by one goroutine
+// only.
 type Reservation struct {
 	budget  *Budget
 	rank    int
 	onEvict func()
-	// held is 0 after the body gave way; both are under of.mu.
+	// held is the number of bytes reserved, 0 after an eviction. budget.mu guards both
+	// fields.
 	held    int
 	evicted bool
 }
 
-// Reserve begins a body of a tier's rank. cut is called if the body must give way
-// to one of a higher tier; it must not block.
+// Reserve returns an empty reservation for a body of a tier's rank. onEvict is called if the
+// reservation is evicted in favor of a higher tier; it must not block.
 func (b *Budget) Reserve(rank int, onEvict func()) *Reservation {
 	r := &Reservation{budget: b, rank: rank, onEvict: onEvict}
 	b.mu.Lock()
@@ -41,15 +43,16 @@
 	return r
 }
 
-// Used is the number of bytes held.
+// Used returns the number of bytes reserved.
 func (b *Budget) Used() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used
 }
 
-// Grow reports whether n more bytes may be held. Bodies of lower tiers give
-// way, the lowest first: a higher tier is not refused while they hold memory.
+// Grow reserves n more bytes and reports whether that was possible. If the budget is used up,
+// reservations of lower tiers are evicted, the lowest tier first, so that a higher tier is
+// not refused while they hold memory.
 func (r *Reservation) Grow(n int) bool {
 	b := r.budget
 	b.mu.Lock()
@@ -62,7 +65,8 @@
 	return true
 }
 
-// makeRoom makes room for n bytes of the rank. The caller holds mu.
+// makeRoom evicts lower tiers until n more bytes fit, and reports whether they do. It evicts
+// nothing if that would not be enough. The caller holds mu.
 func (b *Budget) makeRoom(n, rank int) bool {
 	if b.used+n <= b.limit {
 		return true
@@ -82,7 +86,8 @@
 	return true
 }
 
-// evictionCandidate is a body of the lowest tier that holds bytes. The caller holds mu.
+// evictionCandidate returns a reservation of the lowest tier that holds bytes. The caller
+// holds mu.
 func (b *Budget) evictionCandidate() *Reservation {
 	var candidate *Reservation
 	for o := range b.reservations {
@@ -99,14 +104,14 @@
 	r.onEvict()
 }
 
-// Evicted reports whether the body had to give way.
+// Evicted reports whether the reservation was evicted.
 func (r *Reservation) Evicted() bool {
 	r.budget.mu.Lock()
 	defer r.budget.mu.Unlock()
 	return r.evicted
 }
 
-// Close ends the body: it was read or refused.
+// Close releases the reserved bytes once the body was read or refused.
 func (r *Reservation) Close() {
 	b := r.budget
 	b.mu.Lock()
--- a/internal/caller/body.go
+++ b/internal/caller/body.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// defaultBodyMemory is half of what may wait by default: a body is read in
-	// milliseconds and waits for seconds.
+	// defaultBodyMemory bounds the memory in bytes for bodies that are being read. It is
+	// half of the default limit for waiting requests, because a body is read in
+	// milliseconds and a request waits for seconds.
 	defaultBodyMemory = 64 << 20
-	// initialBodyBuffer is the memory for a body before any of it came. It holds most
-	// requests whole; a larger one doubles it as bytes come, so that a length
-	// that is only declared holds nothing.
+	// initialBodyBuffer is the memory in bytes for a body of which nothing has arrived. It
+	// is enough for most bodies. For larger ones the buffer is doubled as bytes arrive, so
+	// that a declared length alone reserves no more memory.
 	initialBodyBuffer = 32 << 10
-	// prefetchedBody is what the library reads before it calls the handler, in bytes:
-	// next to nothing, so that nobody without a key has a body read. It cannot
-	// be 0: a caller that sends a length and no byte has its answer at the read
-	// timeout.
+	// prefetchedBody is how many bytes of a body the library reads before it calls the
+	// handler. It is as small as possible, so that no body is read for a caller without a
+	// key. It cannot be 0, so a caller that declares a length and sends no byte gets its
+	// response only at the read timeout.
 	prefetchedBody = 1
-	// bodyRetryAfter is when memory for a body is likely free: bodies are read at once
-	// by most callers.
+	// bodyRetryAfter is the time after which memory for a body is likely available, because
+	// most callers send their body at once.
 	bodyRetryAfter = time.Second
 )
 
-// lingerConn is a connection that reads what still comes before it closes.
+// lingerConn is a connection that can read the remaining input before it closes.
 type lingerConn interface{ Linger() }
 
-// readBody reads a request's body, or says why not.
+// readBody reads the body of a request, or returns the reason why it is refused.
 func (s *Server) readBody(ctx *fasthttp.RequestCtx, rank int) ([]byte, *fireflypath.Refusal) {
 	stream := ctx.Request.BodyStream()
 	if stream == nil {
@@ -51,11 +52,12 @@
 	return body, refusal
 }
 
-// readInto reads n bytes, or to the end if n is below 0.
+// readInto reads length bytes, or up to the end of the stream if length is negative. It
+// reserves memory as the buffer grows.
 func (s *Server) readInto(stream io.Reader, length int, reservation *bodies.Reservation) ([]byte, *fireflypath.Refusal) {
 	maxLen := length
 	if length < 0 {
-		maxLen = s.maxBody + 1 // one more shows that it is too large
+		maxLen = s.maxBody + 1 // one more byte shows that the body is too large
 	}
 	var buf []byte
 	for {
@@ -89,9 +91,9 @@
 	return ref
 }
 
-// closeUnread ends the connection of a request whose body may not have been read.
-// The answer goes out first. A plain close would reset the connection while the
-// caller still sends, and it would lose the answer that says "not run".
+// closeUnread closes the connection of a request whose body may not have been read, after the
+// response was sent. An immediate close would reset the connection while the caller is still
+// sending, and the caller would lose the response that says "not run".
 func closeUnread(c *fasthttp.RequestCtx) {
 	if c.Request.BodyStream() == nil {
 		return
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -22,7 +22,7 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// stubRoute is a route that answers with the length of the body.
+// stubRoute is a route that responds with the length of the body.
 type stubRoute struct{}
 
 func (stubRoute) NewID() string { return "id" }
@@ -41,7 +41,7 @@
 	r.Reply = request.Reply{Status: http.StatusOK, Body: []byte(fmt.Sprint(len(r.Inbound.Body), " bytes"))}
 }
 
-// testServer is a server on loopback.
+// testServer is a server on a loopback address.
 type testServer struct {
 	t *testing.T
 	*Server
@@ -60,37 +60,37 @@
 	return &testServer{t, s, ln.Addr().String()}
 }
 
-// send begins a request; the header ends with the given lines.
-func (f *testServer) send(lines, body string) net.Conn {
-	f.t.Helper()
-	c, err := net.Dial("tcp", f.addr)
+// send opens a connection and writes a request whose header ends with the given lines.
+func (s *testServer) send(lines, body string) net.Conn {
+	s.t.Helper()
+	c, err := net.Dial("tcp", s.addr)
 	if err != nil {
-		f.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { _ = c.Close() })
+	s.t.Cleanup(func() { _ = c.Close() })
 	_, err = io.WriteString(c, "POST /v1/completions HTTP/1.1\r\nHost: x\r\n"+lines+"\r\n"+body)
 	if err != nil {
-		f.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	return c
 }
 
-func (f *testServer) expect(c net.Conn, status int, text string) {
-	f.t.Helper()
+func (s *testServer) expectResponse(c net.Conn, status int, want string) {
+	s.t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		f.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	if err != nil || resp.StatusCode != status || !strings.Contains(string(b), text) {
-		f.t.Fatal(resp.StatusCode, string(b), err)
+	if err != nil || resp.StatusCode != status || !strings.Contains(string(b), want) {
+		s.t.Fatal(resp.StatusCode, string(b), err)
 	}
 }
 
-// waitHeld waits until the bodies being read hold so many bytes.
-func (f *testServer) waitHeld(n int) {
-	for f.bodies.Used() != n {
+// waitHeld waits until n bytes are reserved for bodies.
+func (s *testServer) waitHeld(n int) {
+	for s.bodies.Used() != n {
 		runtime.Gosched()
 	}
 }
@@ -100,42 +100,42 @@
 	bronzeTier = key + "Fireflypath-Tier: bronze\r\n"
 )
 
-// A caller without a key announces a large body. It costs no memory and is
-// refused by its header; when it sends the body all the same, as most clients
-// do, it still reads the refusal and not a connection that was reset.
+// A caller without a key declares a large body. The request must be refused because of its
+// header, without memory for the body. If the caller sends the body anyway, as most clients
+// do, it must receive the refusal and not a connection reset.
 func TestBodyOfUnauthorizedRequestIsNotRead(t *testing.T) {
-	f := startServer(t, settings.Limits{})
-	f.expect(f.send("Content-Length: 3000000\r\n", "x"), 401, `"run":"no"`)
-	f.expect(f.send("Content-Length: 3000000\r\n", strings.Repeat("x", 3000000)), 401, `"run":"no"`)
-	f.expect(f.send("Transfer-Encoding: chunked\r\n", ""), 401, `"run":"no"`)
-	is.New(t).Equal(f.bodies.Used(), 0)
+	s := startServer(t, settings.Limits{})
+	s.expectResponse(s.send("Content-Length: 3000000\r\n", "x"), 401, `"run":"no"`)
+	s.expectResponse(s.send("Content-Length: 3000000\r\n", strings.Repeat("x", 3000000)), 401, `"run":"no"`)
+	s.expectResponse(s.send("Transfer-Encoding: chunked\r\n", ""), 401, `"run":"no"`)
+	is.New(t).Equal(s.bodies.Used(), 0)
 }
 
-// Many callers send large bodies at once and would exhaust a small host. What
-// does not fit is refused at once as not run. A caller of a higher tier is not
-// refused while bodies of a lower tier hold the memory: one of those gives way.
+// Many callers send large bodies at once, which would exhaust the memory of a small host.
+// Bodies that do not fit must be refused at once as not run. A body of a higher tier must not
+// be refused while bodies of a lower tier hold the memory: one of those is evicted.
 func TestMemoryForBodiesIsBounded(t *testing.T) {
 	is := is.New(t)
-	f := startServer(t, settings.Limits{Body: 100_000, PendingBodies: 150_000})
-	low := f.send(bronzeTier+"Content-Length: 100000\r\n", strings.Repeat("x", 70_000))
-	f.waitHeld(100_000)
-	f.expect(f.send(bronzeTier+"Content-Length: 100000\r\n", strings.Repeat("x", 100_000)), 503, `"run":"no"`)
-	f.expect(f.send(bronzeTier+"Transfer-Encoding: chunked\r\n", "11170\r\n"+strings.Repeat("x", 70_000)), 503, `"code":"full"`)
-	f.expect(f.send(bronzeTier+"Content-Length: 20000\r\n", strings.Repeat("x", 20_000)), 200, "20000 bytes")
-	f.waitHeld(100_000)
-	f.expect(f.send(key+"Content-Length: 100000\r\n", strings.Repeat("x", 100_000)), 200, "100000 bytes")
-	f.expect(low, 503, `"run":"no"`)
-	f.waitHeld(0)
-	is.True(f.bodies.Used() == 0)
+	s := startServer(t, settings.Limits{Body: 100_000, PendingBodies: 150_000})
+	lowTier := s.send(bronzeTier+"Content-Length: 100000\r\n", strings.Repeat("x", 70_000))
+	s.waitHeld(100_000)
+	s.expectResponse(s.send(bronzeTier+"Content-Length: 100000\r\n", strings.Repeat("x", 100_000)), 503, `"run":"no"`)
+	s.expectResponse(s.send(bronzeTier+"Transfer-Encoding: chunked\r\n", "11170\r\n"+strings.Repeat("x", 70_000)), 503, `"code":"full"`)
+	s.expectResponse(s.send(bronzeTier+"Content-Length: 20000\r\n", strings.Repeat("x", 20_000)), 200, "20000 bytes")
+	s.waitHeld(100_000)
+	s.expectResponse(s.send(key+"Content-Length: 100000\r\n", strings.Repeat("x", 100_000)), 200, "100000 bytes")
+	s.expectResponse(lowTier, 503, `"run":"no"`)
+	s.waitHeld(0)
+	is.True(s.bodies.Used() == 0)
 }
 
-// A length that is only declared must hold next to nothing: a few callers that
-// announce much and send nothing would keep all others out.
+// A declared length alone must reserve little memory. Otherwise a few callers that declare
+// large bodies and send nothing would block all others.
 func TestDeclaredLengthReservesLittle(t *testing.T) {
-	f := startServer(t, settings.Limits{})
+	s := startServer(t, settings.Limits{})
 	for range 16 {
-		f.send(bronzeTier+"Content-Length: 4000000\r\n", "x")
+		s.send(bronzeTier+"Content-Length: 4000000\r\n", "x")
 	}
-	f.waitHeld(16 * initialBodyBuffer)
-	f.expect(f.send(bronzeTier+"Content-Length: 4000000\r\n", strings.Repeat("x", 4_000_000)), 200, "4000000 bytes")
+	s.waitHeld(16 * initialBodyBuffer)
+	s.expectResponse(s.send(bronzeTier+"Content-Length: 4000000\r\n", strings.Repeat("x", 4_000_000)), 200, "4000000 bytes")
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,4 +1,4 @@
-// Package caller serves requests over HTTP.
+// Package caller is the HTTP server for callers.
 package caller
 
 import (
@@ -28,37 +28,37 @@
 )
 
 const (
-	// defaultMaxBody holds a prompt of a million tokens at 4 bytes each.
+	// defaultMaxBody is enough for a prompt of a million tokens of 4 bytes.
 	defaultMaxBody = 4 << 20
-	// defaultMaxHeader is the bound that most servers have.
+	// defaultMaxHeader is the limit of most servers.
 	defaultMaxHeader = 16 << 10
-	// readTimeout ends a request that trickles in: one held open for each
-	// connection would keep others out.
+	// readTimeout bounds the time to read a request. Requests that are sent slowly could
+	// otherwise occupy all connections.
 	readTimeout = 30 * time.Second
-	// idleTimeout is above the keep-alive time of common balancers (60 s), so
-	// that the balancer closes first and never sends into a closed connection.
+	// idleTimeout is above the keep-alive time of common load balancers (60 s), so that the
+	// balancer closes a connection first and never sends on a closed one.
 	idleTimeout = 75 * time.Second
 )
 
 // Route runs a request and sets its reply.
 type Route interface {
 	Serve(ctx context.Context, r *request.Request)
-	// NewID makes the id of a refusal that never becomes a request.
+	// NewID returns an id for a refusal that no request belongs to.
 	NewID() string
-	// Rank is the rank of the request's tier, by its header. It reports false
-	// if the header alone refuses the request; the reply is set then.
+	// Rank returns the rank of the request's tier, which its header names. It returns
+	// false and sets the reply if the request is refused because of its header.
 	Rank(r *request.Request) (int, bool)
-	// Refuse sets the reply to a refusal before the body was read.
+	// Refuse sets the reply to a refusal of a request whose body was not read.
 	Refuse(r *request.Request, ref *fireflypath.Refusal)
 }
 
-// Server is the callers' front door.
+// Server accepts the requests of callers and hands them to a Route.
 type Server struct {
 	route       Route
 	disconnects *disconnect.Watcher
 	server      *fasthttp.Server
 	bodies      *bodies.Budget
-	// maxBody bounds one body.
+	// maxBody bounds the body of a request in bytes.
 	maxBody int
 }
 
@@ -106,7 +106,7 @@
 	return s.server.Serve(ln)
 }
 
-// Shutdown takes no more requests and waits for those held.
+// Shutdown stops accepting requests and waits for those in progress.
 func (s *Server) Shutdown(ctx context.Context) error {
 	return s.server.ShutdownWithContext(ctx)
 }
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// newRequest copies what a request needs longer than its connection's buffers.
+// newRequest copies the header fields that are needed after the buffers of the connection are
+// reused.
 func newRequest(c *fasthttp.RequestCtx) *request.Request {
 	h := &c.Request.Header
 	r := &request.Request{}
@@ -167,8 +168,8 @@
 	return t
 }
 
-// droppedHeaders lists the headers that end here: they belong to this connection or are
-// meant for this daemon.
+// droppedHeaders lists the headers that are not forwarded to targets: those that apply to
+// one connection only and those that are addressed to the daemon.
 var droppedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
@@ -186,8 +187,8 @@
 	return out
 }
 
-// admit reads the body of a request that has a team's key. It reports false if
-// the reply is set already.
+// admit reads the body of a request whose header is accepted. It returns false if the
+// request was refused and the reply is written.
 func (s *Server) admit(c *fasthttp.RequestCtx, r *request.Request) bool {
 	rank, known := s.route.Rank(r)
 	if known {
@@ -199,7 +200,7 @@
 		s.route.Refuse(r, ref)
 	}
 	if n := c.Request.Header.ContentLength(); known || n < 0 || n > initialBodyBuffer {
-		closeUnread(c) // the library skips a small body itself
+		closeUnread(c) // the library reads and discards a small body itself
 	}
 	c.Response.Header.Set(headerID, r.Work.ID)
 	writeReply(c, r.Reply)
@@ -239,7 +240,7 @@
 	c.SetBody(r.Body)
 }
 
-// handleParseError answers what the library could not parse.
+// handleParseError responds to a request that the library could not parse.
 func (s *Server) handleParseError(c *fasthttp.RequestCtx, err error) {
 	ref := &fireflypath.Refusal{Code: fireflypath.ReasonMalformed, Detail: "the request is not HTTP", Run: fireflypath.RunNo, ID: s.route.NewID()}
 	reply := refuse.Reply(ref)
@@ -255,13 +256,14 @@
 	c.SetConnectionClose()
 }
 
-// discardLogger keeps the library's lines out of the log: they are counters here.
+// discardLogger discards the log lines of the library: what they report is counted in
+// metrics instead.
 type discardLogger struct{}
 
 // Printf does nothing.
 func (discardLogger) Printf(string, ...any) {}
 
-// RefuseConnection answers a connection above the limit and closes it.
+// RefuseConnection sends a refusal on a connection above the limit and closes it.
 func RefuseConnection(c net.Conn) {
 	defer c.Close()
 	reply := refuse.Reply(&fireflypath.Refusal{
--- a/internal/caller/disconnect/disconnect.go
+++ b/internal/caller/disconnect/disconnect.go
@@ -1,4 +1,5 @@
-// Package departures notices callers that close their connection while their request is held.
+// Package disconnect detects callers that close their connection while their request is in
+// progress.
 package disconnect
 
 import (
@@ -12,39 +13,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// pollInterval is the time between two looks. Requests that end sooner cost none; a
-// caller's leaving frees its place at most this much later.
+// pollInterval is the time between two checks of all connections. Requests that end between
+// two checks cost none. A disconnect frees the request's place at most this much later.
 const pollInterval = 50 * time.Millisecond
 
-// Watcher looks at the sockets of held requests.
+// Watcher polls the sockets of requests that are in progress.
 //
-// The server library reads nothing while a request is held, so a caller that
-// left would be noticed only when its answer is written. Until then its work
-// would wait, be dispatched and run for nobody. The kernel knows: POLLRDHUP
-// tells that the other side has closed, and reads no byte of a next request.
+// The server library reads nothing while a request is in progress, so a disconnect would be
+// noticed only when the response is written. Until then the request would wait, be dispatched
+// and run for nobody. Polling for POLLRDHUP tells that the caller closed the connection, without
+// reading bytes of its next request.
 type Watcher struct {
 	clock   clockwork.Clock
 	mu      sync.Mutex
 	watches map[*Watch]struct{}
 }
 
-// Socket is a connection that knows the socket below it.
+// Socket is a connection that gives access to its socket.
 type Socket interface {
 	Raw() syscall.RawConn
 }
 
-// Watch is one request whose caller is watched.
+// Watch is one watched connection.
 type Watch struct {
 	raw          syscall.RawConn
 	onDisconnect func()
 }
 
-// New returns Departures that watch nobody.
+// New returns a Watcher without connections.
 func New(clock clockwork.Clock) *Watcher {
 	return &Watcher{clock: clock, watches: map[*Watch]struct{}{}}
 }
 
-// Add watches the connection, if it is a Socket, and calls left once if the caller closes it.
+// Add watches the connection, if it is a Socket, and calls onDisconnect once if the caller
+// closes it. It returns nil for other connections.
 func (w *Watcher) Add(c net.Conn, onDisconnect func()) *Watch {
 	s, ok := c.(Socket)
 	if !ok || s.Raw() == nil {
@@ -57,7 +59,7 @@
 	return watch
 }
 
-// Remove ends the watch; nil is allowed.
+// Remove ends a watch, which may be nil.
 func (w *Watcher) Remove(watch *Watch) {
 	if watch == nil {
 		return
@@ -67,7 +69,7 @@
 	w.mu.Unlock()
 }
 
-// Run looks until the context ends.
+// Run polls the connections until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	t := w.clock.NewTicker(pollInterval)
 	defer t.Stop()
@@ -83,30 +85,30 @@
 
 func (w *Watcher) poll() {
 	w.mu.Lock()
-	held := make([]*Watch, 0, len(w.watches))
-	for h := range w.watches {
-		held = append(held, h)
+	watches := make([]*Watch, 0, len(w.watches))
+	for watch := range w.watches {
+		watches = append(watches, watch)
 	}
 	w.mu.Unlock()
-	for _, h := range held {
-		if h.peerClosed() {
-			w.Remove(h)
-			h.onDisconnect()
+	for _, watch := range watches {
+		if watch.peerClosed() {
+			w.Remove(watch)
+			watch.onDisconnect()
 		}
 	}
 }
 
-// DisconnectAll treats all callers as gone.
+// DisconnectAll treats all callers as disconnected.
 func (w *Watcher) DisconnectAll() {
 	w.mu.Lock()
-	held := make([]*Watch, 0, len(w.watches))
-	for h := range w.watches {
-		held = append(held, h)
+	watches := make([]*Watch, 0, len(w.watches))
+	for watch := range w.watches {
+		watches = append(watches, watch)
 	}
 	clear(w.watches)
 	w.mu.Unlock()
-	for _, h := range held {
-		h.onDisconnect()
+	for _, watch := range watches {
+		watch.onDisconnect()
 	}
 }
 
--- a/internal/caller/listener/listener.go
+++ b/internal/caller/listener/listener.go
@@ -1,4 +1,4 @@
-// Package door is a listener that knows its connections.
+// Package listener wraps a net.Listener. It limits and tracks the open connections.
 package listener
 
 import (
@@ -11,19 +11,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// writeTimeout bounds a write that makes no progress: a caller that reads nothing for
-// so long is gone, and holds a target's answer open.
+// writeTimeout bounds a write that makes no progress. A caller that reads nothing for this
+// long is considered gone; until then it keeps a target's response open.
 const writeTimeout = 60 * time.Second
 
 const (
-	// lingerTimeout bounds reading what a refused caller still sends: a MiB takes
-	// a second at the 10 Mbit/s of a slow line.
+	// lingerTimeout bounds reading the remaining input of a refused caller. A MiB takes a
+	// second on a slow line of 10 Mbit/s.
 	lingerTimeout = 2 * time.Second
-	// lingerBuffer is the memory for it.
+	// lingerBuffer is the size of the buffer that this input is read into.
 	lingerBuffer = 4 << 10
 )
 
-// Listener accepts at most a number of connections at once.
+// Listener limits the number of connections that are open at the same time.
 type Listener struct {
 	net.Listener
 	limit  int
@@ -34,13 +34,13 @@
 	killed bool
 }
 
-// New wraps the listener. A connection above the limit is given to refuse,
-// which answers and closes it; a limit of 0 means none.
+// New wraps a listener. Connections above the limit are passed to reject, which responds and
+// closes them. A limit of 0 means that connections are not limited.
 func New(ln net.Listener, limit int, reject func(net.Conn)) *Listener {
 	return &Listener{Listener: ln, limit: limit, reject: reject, conns: map[*conn]struct{}{}}
 }
 
-// Accept waits for the next connection below the limit.
+// Accept waits for the next connection that is within the limit.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -69,8 +69,8 @@
 	return tracked, true
 }
 
-// rawConn finds the socket below TLS, or nil. Without it a caller's leaving is
-// noticed later, at a write.
+// rawConn returns the socket of a connection, also of one with TLS, or nil if there is none.
+// Without a socket, a disconnect is only noticed when a write fails.
 func rawConn(c net.Conn) syscall.RawConn {
 	s, ok := underlying(c).(syscall.Conn)
 	if !ok {
@@ -83,7 +83,7 @@
 	return raw
 }
 
-// underlying is the connection that TLS runs over, or the connection itself.
+// underlying returns the connection that TLS runs over, or the connection itself.
 func underlying(c net.Conn) net.Conn {
 	if l, ok := c.(interface{ NetConn() net.Conn }); ok {
 		return l.NetConn()
@@ -91,14 +91,14 @@
 	return c
 }
 
-// OpenConns is the number of open connections.
+// OpenConns returns the number of open connections.
 func (l *Listener) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// Kill closes the listener and all connections at once.
+// Kill closes the listener and all connections without waiting for requests in progress.
 func (l *Listener) Kill() error {
 	err := l.Close()
 	if errors.Is(err, net.ErrClosed) {
@@ -123,24 +123,25 @@
 	l.mu.Unlock()
 }
 
-// conn leaves the door's count when it closes.
+// conn is a connection that its listener tracks until it is closed.
 type conn struct {
 	net.Conn
-	listener    *Listener
-	once        sync.Once
-	raw         syscall.RawConn
+	listener *Listener
+	once     sync.Once
+	raw      syscall.RawConn
+	// deadlineSet is when the write deadline was last set.
 	deadlineSet time.Time
-	// linger is true if the other side may still send when this one closes.
+	// linger is true if Close must first read the remaining input.
 	linger atomic.Bool
 }
 
-// Raw is the socket.
+// Raw returns the socket, or nil if there is none.
 func (c *conn) Raw() syscall.RawConn {
 	return c.raw
 }
 
-// Write fails if the other side takes nothing for long. The deadline is moved
-// only now and then: setting it costs more than a small write.
+// Write fails if the caller accepts no bytes for about writeTimeout. The deadline is not
+// extended with each write, because setting it costs more than a small write.
 func (c *conn) Write(b []byte) (int, error) {
 	if now := time.Now(); now.Sub(c.deadlineSet) > writeTimeout/4 {
 		c.deadlineSet = now
@@ -151,14 +152,13 @@
 	return c.Conn.Write(b)
 }
 
-// Linger lets Close read what still comes first, for a bounded time. Closing
-// with bytes unread resets the connection, and the other side can lose the
-// answer that it was sent.
+// Linger makes Close read the remaining input first, for a bounded time. Closing a connection
+// with unread input resets it, and the caller can lose the response that was sent.
 func (c *conn) Linger() {
 	c.linger.Store(true)
 }
 
-// drain ends the sending side and reads until the other side does the same.
+// drain closes the sending side and reads until the caller closes its side.
 func (c *conn) drain() {
 	t, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || t.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Close leaves the count.
+// Close closes the connection and stops tracking it.
 func (c *conn) Close() error {
 	if c.linger.Swap(false) {
 		c.drain()
@@ -181,8 +181,8 @@
 	return c.Conn.Close()
 }
 
-// abort ends the connection without sending what is buffered, like a process
-// that died.
+// abort resets the connection and discards buffered output, to simulate the death of the
+// process.
 func (c *conn) abort() {
 	c.linger.Store(false)
 	if t, ok := underlying(c.Conn).(*net.TCPConn); ok {
--- a/internal/caller/watched.go
+++ b/internal/caller/stream.go
@@ -7,13 +7,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// watchedStream is a streamed answer whose caller is watched until its end.
+// watchedStream is a streamed response body. Until it is closed, the caller's connection is
+// watched for a disconnect.
 type watchedStream struct {
 	io.ReadCloser
 	stopWatch func()
 }
 
-// Close ends the watch.
+// Close closes the stream and stops watching the caller's connection.
 func (w *watchedStream) Close() error {
 	defer w.stopWatch()
 	return w.ReadCloser.Close()
