--- a/cmd/fireflypathd/reload.go
+++ b/cmd/fireflypathd/reload.go
@@ -24,7 +24,7 @@
 			}
 			next, err := settings.Load(path)
 			if err != nil {
-				log.Error("settings file is invalid, keeping the current settings", logs.Cause(err))
+				log.Error("settings file is invalid, keeping the current settings", logs.Err(err))
 				continue
 			}
 			log.Info("settings file is valid, changes take effect at the next start", zap.Bool("changed", !reflect.DeepEqual(next, cfg)))
--- a/cmd/fireflypathd/run.go
+++ b/cmd/fireflypathd/run.go
@@ -59,7 +59,7 @@
 	s := <-signals
 	log.Info("stopping", zap.Stringer("signal", s))
 	err = stopDaemon(ctx, d, cfg.Stop.DrainTimeout.Std(), signals)
-	log.Info("stopped", logs.Cause(err), zap.Int64("dropped", w.Dropped()))
+	log.Info("stopped", logs.Err(err), zap.Int64("dropped", w.Dropped()))
 	return err
 }
 
--- a/internal/daemon/gatelisteners.go
+++ b/internal/daemon/gatelisteners.go
@@ -52,7 +52,7 @@
 	d.gateAddr = ln.Addr().String()
 	d.background.Go(func() {
 		if err := d.gateServer.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			d.deps.Log.Error("caller listener failed", logs.Cause(err))
+			d.deps.Log.Error("caller listener failed", logs.Err(err))
 		}
 	})
 	return nil
@@ -74,7 +74,7 @@
 		d.pools.Stop(drainRefusal)
 	})
 	if err := d.gateServer.Shutdown(ctx); err != nil {
-		d.deps.Log.Info("planned stop timed out", logs.Cause(err))
+		d.deps.Log.Info("planned stop timed out", logs.Err(err))
 	}
 	return d.gateServer.Close()
 }
@@ -116,7 +116,7 @@
 	d.readyServer = srv
 	d.background.Go(func() {
 		if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			d.deps.Log.Error("readiness listener failed", logs.Cause(err))
+			d.deps.Log.Error("readiness listener failed", logs.Err(err))
 		}
 	})
 	return nil
--- a/internal/daemon/gatemembership.go
+++ b/internal/daemon/gatemembership.go
@@ -35,7 +35,7 @@
 	d.background.Go(func() { _ = d.members.Run(d.ctx) })
 	d.background.Go(func() {
 		if err := d.peers.Serve(d.peerListener); !errors.Is(err, peer.ErrClosed) {
-			log.Error("peer listener failed", logs.Cause(err))
+			log.Error("peer listener failed", logs.Err(err))
 		}
 	})
 	return nil
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -238,7 +238,7 @@
 	}
 	if !d.storeDown {
 		d.storeDown = true
-		d.log.Warn("store unreachable", logs.Cause(err), zap.Duration("age", d.Age()))
+		d.log.Warn("store unreachable", logs.Err(err), zap.Duration("age", d.Age()))
 	}
 	return err
 }
--- a/internal/directory/registrations.go
+++ b/internal/directory/registrations.go
@@ -62,7 +62,7 @@
 	}
 	d.rejected[name] = err.Error()
 	d.metrics.rejected.Inc(1)
-	d.log.Warn("registration is not used", zap.String("target", name), zap.Uint64("revision", e.Revision), logs.Cause(err))
+	d.log.Warn("registration is not used", zap.String("target", name), zap.Uint64("revision", e.Revision), logs.Err(err))
 }
 
 // recordIncarnation records the target's incarnation and drops those of long removed targets.
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -68,7 +68,7 @@
 	}
 	cfg, err := d.codec.Config(e.Value)
 	if err != nil {
-		d.log.Error("configuration refused, the last valid one stays in force", logs.Cause(err),
+		d.log.Error("configuration refused, the last valid one stays in force", logs.Err(err),
 			zap.Uint64("revision", e.Revision), zap.Uint64("version", d.config.Version))
 		return
 	}
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -153,7 +153,7 @@
 	if m.Name != c.d.self {
 		c.avoidUntil[m.Name] = c.d.clock.Now().Add(avoidPeriod)
 	}
-	c.d.log.Warn("dispatcher does not respond", zap.String("pool", c.name), zap.String("dispatcher", m.Name), logs.Cause(err))
+	c.d.log.Warn("dispatcher does not respond", zap.String("pool", c.name), zap.String("dispatcher", m.Name), logs.Err(err))
 }
 
 // scheduleLocally makes this daemon place its own work.
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -274,7 +274,7 @@
 	}
 	f.backoffs.Inc(1)
 	f.log.Info("watcher failed to deliver changes", zap.String("watcher", w.Name), zap.Uint64("after", after),
-		zap.Duration("took", took), logs.Cause(err))
+		zap.Duration("took", took), logs.Err(err))
 }
 
 // maxWatchersTried limits the watchers that one call considers. It calls the first of them
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -214,7 +214,7 @@
 			g.markFailed(c, att)
 			return outcomeUnknown, nil
 		}
-		g.deps.Log.Info("request not sent to target", zap.String("request", c.id), zap.String("target", att.target.Name), logs.Cause(err))
+		g.deps.Log.Info("request not sent to target", zap.String("request", c.id), zap.String("target", att.target.Name), logs.Err(err))
 		if ref := g.requeueUnsent(c, att, unsent); ref != nil {
 			return outcomeDone, g.finishFailed(c, ref)
 		}
--- a/internal/logs/error.go
+++ b/internal/logs/error.go
@@ -2,10 +2,10 @@
 
 import "go.uber.org/zap"
 
-// Cause returns a log field with the message of an error. zap.Error would also log the
+// Err returns a log field with the message of an error. zap.Error would also log the
 // stack trace of errors that have one, which adds kilobytes to each line, just when a
 // host is under the most load.
-func Cause(err error) zap.Field {
+func Err(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
 	}
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -43,7 +43,7 @@
 	}
 	var r storedEntry
 	if err := json.Unmarshal(e.Value, &r); err != nil {
-		q.deps.Log.Warn("ignored invalid quarantine entry in the store", zap.String("key", e.Key), logs.Cause(err))
+		q.deps.Log.Warn("ignored invalid quarantine entry in the store", zap.String("key", e.Key), logs.Err(err))
 		return
 	}
 	changed := q.mergeEntry(entry{version: r.Version, stored: true, Verdict: decide.Verdict{
@@ -112,7 +112,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.saveFailing {
-		q.deps.Log.Warn("saving quarantine entry to the store failed", zap.Stringer("digest", e.Digest), logs.Cause(err))
+		q.deps.Log.Warn("saving quarantine entry to the store failed", zap.Stringer("digest", e.Digest), logs.Err(err))
 	}
 	q.saveFailing = true
 }
