--- a/internal/query/eval/eval_test.go
+++ b/internal/query/eval/eval_test.go
@@ -238,7 +238,7 @@
 			return
 		}
 		if a, err := e.Evaluate(context.Background(), q); err == nil && a.Daemon != "d1" {
-			t.Fatalf("result names daemon %q, want d1", a.Daemon)
+			t.Fatal("result does not name daemon d1")
 		}
 	})
 }
