--- a/cmd/fireflypath/ask.go
+++ b/cmd/fireflypath/ask.go
@@ -17,25 +17,25 @@
 )
 
 const (
-	// refresh is the time between two pictures of the living view: as often as
-	// daemons exchange their summaries.
-	refresh = time.Second
-	// clear empties the terminal and goes to its first line.
-	clear = "\x1b[H\x1b[2J"
+	// refreshInterval is the time between two updates of the live view. Daemons exchange
+	// their summaries at the same interval.
+	refreshInterval = time.Second
+	// clearScreen moves the cursor to the top left and clears the terminal.
+	clearScreen = "\x1b[H\x1b[2J"
 )
 
-// askCommand answers questions.
-func askCommand() *cli.Command {
+// newAskCommand returns the command that runs queries.
+func newAskCommand() *cli.Command {
 	return &cli.Command{
-		Name: "ask", Usage: "ask what is configured, what happens, and why",
+		Name: "ask", Usage: "query the configuration, the current state and the reasons for decisions",
 		ArgsUsage: "'QUERY'",
 		Flags: operatorFlags(
 			fileFlag,
-			&cli.BoolFlag{Name: "each", Usage: "ask every live daemon; counts are added up"},
+			&cli.BoolFlag{Name: "each", Usage: "query every live daemon and add up the counts"},
 		),
 		OnUsageError: usageError,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			text, err := words(cmd)
+			text, err := inputText(cmd)
 			if err != nil {
 				return err
 			}
@@ -43,32 +43,32 @@
 			if err != nil {
 				return err
 			}
-			a := asker{client: c, json: cmd.String("output") == "json", each: cmd.Bool("each")}
-			if a.living(text) {
-				return a.watch(ctx, os.Stdout, text)
+			q := querier{client: c, json: cmd.String("output") == "json", allDaemons: cmd.Bool("each")}
+			if q.isLiveView(text) {
+				return q.watch(ctx, os.Stdout, text)
 			}
-			return a.run(cmd.Root().Writer, text)
+			return q.run(cmd.Root().Writer, text)
 		},
 	}
 }
 
-// asker sends queries and prints the answers.
-type asker struct {
-	client *client.Client
-	json   bool
-	each   bool
+// querier sends queries and prints the answers.
+type querier struct {
+	client     *client.Client
+	json       bool
+	allDaemons bool
 }
 
-func (a asker) run(w io.Writer, text string) error {
-	ask := a.client.Ask
-	if a.each {
-		ask = a.client.Each
+func (q querier) run(w io.Writer, text string) error {
+	ask := q.client.Ask
+	if q.allDaemons {
+		ask = q.client.Each
 	}
 	answer, err := ask(text)
 	if err != nil {
 		return inputError(err)
 	}
-	if a.json {
+	if q.json {
 		return printJSON(w, answer)
 	}
 	return printAnswer(w, answer)
@@ -91,24 +91,25 @@
 	return err
 }
 
-// living is true for "top" at a terminal; elsewhere it is printed once.
-func (a asker) living(text string) bool {
-	return !a.json && strings.TrimSpace(text) == "top" && term.IsTerminal(int(os.Stdout.Fd()))
+// isLiveView reports whether the answer is refreshed continuously: for "top" at a
+// terminal. Elsewhere "top" is printed once.
+func (q querier) isLiveView(text string) bool {
+	return !q.json && strings.TrimSpace(text) == "top" && term.IsTerminal(int(os.Stdout.Fd()))
 }
 
-// watch prints the answer again and again until it is interrupted. A daemon
-// that cannot be reached for a moment is shown as such and asked again.
-func (a asker) watch(ctx context.Context, w io.Writer, text string) error {
+// watch prints the answer repeatedly until it is interrupted. If no daemon can be reached,
+// it prints the error and tries again.
+func (q querier) watch(ctx context.Context, w io.Writer, text string) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt)
 	defer stop()
-	tick := time.NewTicker(refresh)
+	tick := time.NewTicker(refreshInterval)
 	defer tick.Stop()
 	for {
 		var b strings.Builder
-		if err := a.run(&b, text); err != nil {
+		if err := q.run(&b, text); err != nil {
 			fmt.Fprintln(&b, err)
 		}
-		if _, err := io.WriteString(w, clear+b.String()); err != nil {
+		if _, err := io.WriteString(w, clearScreen+b.String()); err != nil {
 			return err
 		}
 		select {
--- a/cmd/fireflypath/commands.go
+++ b/cmd/fireflypath/commands.go
@@ -5,14 +5,14 @@
 	"github.com/urfave/cli/v3"
 )
 
-// The exit codes that scripts can rely on.
+// Exit codes on which scripts can rely.
 const (
 	exitRefused = 1
 	exitInput   = 2
 	exitUnknown = 3
 )
 
-// commands lists the tools in the order that help prints them.
+// commands returns the subcommands in the order of the help text.
 func commands() []*cli.Command {
 	return []*cli.Command{
 		newDemoCommand(),
@@ -20,30 +20,30 @@
 		newLoadCommand(),
 		newTrialCommand(),
 		newSoakCommand(),
-		doCommand(),
-		askCommand(),
-		shellCommand(),
-		heldCommand(),
-		releaseCommand(),
+		newDoCommand(),
+		newAskCommand(),
+		newShellCommand(),
+		newHeldCommand(),
+		newReleaseCommand(),
 	}
 }
 
-// coded is an error that chooses the exit code.
-type coded struct {
+// exitError is an error with an exit code.
+type exitError struct {
 	error
 	code int
 }
 
-// Unwrap gives the cause.
-func (c coded) Unwrap() error {
-	return c.error
+// Unwrap returns the cause.
+func (e exitError) Unwrap() error {
+	return e.error
 }
 
-// exitCode is the code of a coded error, else exitRefused.
+// exitCode returns the code of an exitError, or else exitRefused.
 func exitCode(err error) int {
-	var c coded
-	if errors.As(err, &c) {
-		return c.code
+	var e exitError
+	if errors.As(err, &e) {
+		return e.code
 	}
 	return exitRefused
 }
--- a/cmd/fireflypath/demo.go
+++ b/cmd/fireflypath/demo.go
@@ -18,16 +18,16 @@
 func newDemoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run daemons, stand-ins and callers in one process, with faults on the way, and check the outcome",
+		Usage: "run daemons, stand-ins and callers in one process, inject faults and check the outcome",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "daemons", Value: 3, Usage: "daemons to start"},
-			&cli.IntFlag{Name: "kill", Value: -1, Usage: "daemons to kill on the way; by default one of four"},
+			&cli.IntFlag{Name: "daemons", Value: 3, Usage: "number of daemons"},
+			&cli.IntFlag{Name: "kill", Value: -1, Usage: "number of daemons to kill during the run (default: a quarter)"},
 			&cli.StringFlag{Name: "mix", Value: "pozo", Usage: "pozo or meelwerk"},
-			&cli.FloatFlag{Name: "rate", Value: 60, Usage: "requests a second before the burst"},
-			&cli.DurationFlag{Name: "for", Value: 12 * time.Second, Usage: "how long requests arrive"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "same seed, same arrivals"},
+			&cli.FloatFlag{Name: "rate", Value: 60, Usage: "requests per second before the burst"},
+			&cli.DurationFlag{Name: "for", Value: 12 * time.Second, Usage: "how long to send requests"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the arrivals"},
 			&cli.BoolFlag{Name: "quiet", Usage: "no faults and no burst"},
-			&cli.BoolFlag{Name: "keep", Usage: "leave everything up until a signal and print how to call it"},
+			&cli.BoolFlag{Name: "keep", Usage: "keep everything running until a signal and print example calls"},
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "table or json"},
 		},
 		Action: runDemo,
@@ -37,7 +37,7 @@
 func runDemo(ctx context.Context, c *cli.Command) error {
 	o, err := demoOptions(c)
 	if err != nil {
-		return coded{err, exitInput}
+		return exitError{err, exitInput}
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/fireflypath/do.go
+++ b/cmd/fireflypath/do.go
@@ -17,20 +17,21 @@
 	"github.com/fireflypath/fireflypath/internal/plan"
 )
 
-// doCommand changes the configuration or orders a target.
-func doCommand() *cli.Command {
+// newDoCommand returns the command that changes the configuration or sends an order to a
+// target.
+func newDoCommand() *cli.Command {
 	return &cli.Command{
-		Name: "do", Usage: "change the configuration, or order a target",
+		Name: "do", Usage: "change the configuration, or send an order to a target",
 		ArgsUsage: "'COMMAND; COMMAND'",
 		Flags: operatorFlags(
 			fileFlag,
-			&cli.BoolFlag{Name: "plan", Usage: "print what it would change and break, and do nothing"},
-			&cli.Uint64Flag{Name: "base", Usage: "refuse it unless generation `N` is in force"},
-			&cli.StringFlag{Name: "id", Usage: "repeat the command with this `ID`; a repetition does nothing twice"},
+			&cli.BoolFlag{Name: "plan", Usage: "print what the command would change and break, without executing it"},
+			&cli.Uint64Flag{Name: "base", Usage: "refuse the command unless generation `N` is in force"},
+			&cli.StringFlag{Name: "id", Usage: "repeat the command with this `ID`; it is executed at most once"},
 		),
 		OnUsageError: usageError,
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			text, err := words(cmd)
+			text, err := inputText(cmd)
 			if err != nil {
 				return err
 			}
@@ -41,60 +42,60 @@
 			if err != nil {
 				return err
 			}
-			d := doer{client: c, json: cmd.String("output") == "json"}
+			d := commander{client: c, json: cmd.String("output") == "json"}
 			return d.run(cmd.Root().Writer, wire.CommandRequest{ID: cmd.String("id"), Text: text, Base: cmd.Uint64("base")})
 		},
 	}
 }
 
-// doer sends commands and prints their outcomes.
-type doer struct {
+// commander sends commands and prints their outcomes.
+type commander struct {
 	client *client.Client
 	json   bool
 }
 
-// issued is a key made for an owner; it is shown once.
-type issued struct {
+// issuedKey is a key generated for an owner. It is printed only once.
+type issuedKey struct {
 	Owner string `json:"owner"`
 	Key   string `json:"key"`
 }
 
-// outcome is what -o json prints.
+// outcome is the output of -o json.
 type outcome struct {
 	wire.CommandResult
-	Keys []issued `json:"keys,omitempty"`
+	Keys []issuedKey `json:"keys,omitempty"`
 }
 
-func (d doer) run(w io.Writer, req wire.CommandRequest) error {
-	repeat := req.ID != ""
-	if !repeat {
+func (c commander) run(w io.Writer, req wire.CommandRequest) error {
+	repeated := req.ID != ""
+	if !repeated {
 		req.ID = ulid.Make().String()
 	}
-	var made []issued
+	var created []issuedKey
 	text, err := command.AddKeyHashes(req.Text, func(owner string) string {
 		key, hash := keys.Generate()
-		made = append([]issued{{owner, key}}, made...)
+		created = append([]issuedKey{{owner, key}}, created...)
 		return hash
 	})
 	if err != nil {
 		return inputError(err)
 	}
-	if repeat && len(made) > 0 {
-		return coded{errors.New("a repeated key command must name the hash: a new key would not be the one that the id created"), exitInput}
+	if repeated && len(created) > 0 {
+		return exitError{errors.New("a repeated key command must name the hash: a new key would not be the one that the id created"), exitInput}
 	}
 	req.Text = text
-	done := d.client.Do(req)
+	done := c.client.Do(req)
 	if done.Outcome != wire.OutcomeDone && done.Outcome != wire.OutcomeUnknown {
-		made = nil
+		created = nil
 	}
-	if err := d.print(w, outcome{done, made}); err != nil {
+	if err := c.print(w, outcome{done, created}); err != nil {
 		return err
 	}
-	return verdict(done)
+	return outcomeError(done)
 }
 
-func (d doer) print(w io.Writer, o outcome) error {
-	if d.json {
+func (c commander) print(w io.Writer, o outcome) error {
+	if c.json {
 		return printJSON(w, o)
 	}
 	var b strings.Builder
@@ -102,7 +103,7 @@
 		writePlan(&b, o.Plan)
 	}
 	if o.Outcome == wire.OutcomeDone {
-		fmt.Fprintln(&b, summary(o.CommandResult))
+		fmt.Fprintln(&b, doneSummary(o.CommandResult))
 	}
 	for _, k := range o.Keys {
 		fmt.Fprintf(&b, "key of %s, shown only now: %s\n", k.Owner, k.Key)
@@ -123,7 +124,7 @@
 	}
 }
 
-func summary(done wire.CommandResult) string {
+func doneSummary(done wire.CommandResult) string {
 	s := "done " + done.ID
 	if done.Generation > 0 {
 		s += fmt.Sprintf(", generation %d", done.Generation)
@@ -134,16 +135,16 @@
 	return s
 }
 
-// verdict turns an outcome into the exit code.
-func verdict(done wire.CommandResult) error {
+// outcomeError returns an error with the exit code for an outcome, or nil for success.
+func outcomeError(done wire.CommandResult) error {
 	switch done.Outcome {
 	case wire.OutcomeDone, wire.OutcomePlanned:
 		return nil
 	case wire.OutcomeInvalid:
-		return coded{errors.New(done.Detail), exitInput}
+		return exitError{errors.New(done.Detail), exitInput}
 	case wire.OutcomeUnknown:
-		return coded{errors.Newf("unknown: %s\nask 'settle %s' later, or repeat it with --id %s", done.Detail, done.ID, done.ID), exitUnknown}
+		return exitError{errors.Newf("unknown: %s\nask 'settle %s' later, or repeat it with --id %s", done.Detail, done.ID, done.ID), exitUnknown}
 	default:
-		return coded{errors.Newf("not done, %s: %s", done.Outcome, done.Detail), exitRefused}
+		return exitError{errors.Newf("not done, %s: %s", done.Outcome, done.Detail), exitRefused}
 	}
 }
--- a/cmd/fireflypath/held.go
+++ b/cmd/fireflypath/held.go
@@ -12,10 +12,10 @@
 	"github.com/urfave/cli/v3"
 )
 
-// heldCommand lists the requests that are held.
-func heldCommand() *cli.Command {
+// newHeldCommand returns the command that lists the requests held in quarantine.
+func newHeldCommand() *cli.Command {
 	return &cli.Command{
-		Name: "held", Usage: "list the requests that are held since they end targets",
+		Name: "held", Usage: "list the requests that are held because they crash targets",
 		Flags: operatorFlags(), OnUsageError: usageError,
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			c, err := newClient(cmd)
@@ -43,14 +43,14 @@
 	}
 }
 
-// releaseCommand lets a held request run again.
-func releaseCommand() *cli.Command {
+// newReleaseCommand returns the command that releases a held request.
+func newReleaseCommand() *cli.Command {
 	return &cli.Command{
-		Name: "release", Usage: "let a held request run again, at all daemons", ArgsUsage: "DIGEST",
+		Name: "release", Usage: "allow a held request to run again, on all daemons", ArgsUsage: "DIGEST",
 		Flags: operatorFlags(), OnUsageError: usageError,
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() != 1 {
-				return coded{errors.New("release needs one digest"), exitInput}
+				return exitError{errors.New("release needs one digest"), exitInput}
 			}
 			c, err := newClient(cmd)
 			if err != nil {
--- a/cmd/fireflypath/load.go
+++ b/cmd/fireflypath/load.go
@@ -18,15 +18,15 @@
 func newLoadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "send a user's mix of work at a rate and print what callers received",
+		Usage: "send requests of a mix at a given rate and print what callers received",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "url", Required: true, Usage: "a daemon's address for callers; several are taken by turns"},
 			&cli.StringFlag{Name: "mix", Value: "pozo", Usage: "pozo or meelwerk"},
-			&cli.FloatFlag{Name: "rate", Value: 10, Usage: "requests a second over all daemons"},
-			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "how long requests arrive"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "same seed, same arrivals"},
-			&cli.StringFlag{Name: "model", Value: mix.Model, Usage: "model named in requests"},
-			&cli.StringSliceFlag{Name: "key", Usage: "TEAM=TOKEN; without it a team's token is demo-TEAM"},
+			&cli.FloatFlag{Name: "rate", Value: 10, Usage: "requests per second, summed over all daemons"},
+			&cli.DurationFlag{Name: "for", Value: 10 * time.Second, Usage: "how long to send requests"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the arrivals"},
+			&cli.StringFlag{Name: "model", Value: mix.Model, Usage: "model to request"},
+			&cli.StringSliceFlag{Name: "key", Usage: "TEAM=TOKEN; the token of other teams is demo-TEAM"},
 			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: "table", Usage: "table or json"},
 		},
 		Action: runLoad,
@@ -36,16 +36,16 @@
 func runLoad(ctx context.Context, c *cli.Command) error {
 	m, ok := mix.Find(c.String("mix"))
 	if !ok {
-		return coded{errors.Newf("no mix is named %q", c.String("mix")), exitInput}
+		return exitError{errors.Newf("no mix is named %q", c.String("mix")), exitInput}
 	}
 	if c.Float("rate") <= 0 || c.Duration("for") <= 0 {
-		return coded{errors.New("rate and time must be above 0"), exitInput}
+		return exitError{errors.New("rate and time must be above 0"), exitInput}
 	}
 	f := load.Format{Run: ulid.Make().String(), Model: c.String("model"), Tokens: make(map[string]string)}
 	for _, k := range c.StringSlice("key") {
 		team, token, ok := strings.Cut(k, "=")
 		if !ok {
-			return coded{errors.Newf("key %q is not TEAM=TOKEN", k), exitInput}
+			return exitError{errors.Newf("key %q is not TEAM=TOKEN", k), exitInput}
 		}
 		f.Tokens[team] = token
 	}
--- a/cmd/fireflypath/main.go
+++ b/cmd/fireflypath/main.go
@@ -1,4 +1,4 @@
-// Command fireflypath is the operators' client and the project's tools.
+// Command fireflypath is the operators' client and a collection of test tools.
 package main
 
 import (
@@ -12,7 +12,7 @@
 func main() {
 	root := &cli.Command{
 		Name:     "fireflypath",
-		Usage:    "drive and try the fireflypath request scheduler",
+		Usage:    "operate and test the fireflypath request scheduler",
 		Commands: commands(),
 	}
 	if err := root.Run(context.Background(), os.Args); err != nil {
--- a/cmd/fireflypath/operate.go
+++ b/cmd/fireflypath/operate.go
@@ -15,22 +15,24 @@
 	"github.com/fireflypath/fireflypath/internal/syntax"
 )
 
-// defaultAt has the port of the operators' listener in settings/.
-const defaultAt = "127.0.0.1:9090"
+// defaultOperatorAddr uses the port of the operators' listener in the example files under
+// settings/.
+const defaultOperatorAddr = "127.0.0.1:9090"
 
-// operatorFlags are shared by do, ask and shell.
-func operatorFlags(more ...cli.Flag) []cli.Flag {
+// operatorFlags returns the flags of the commands that connect to a daemon, followed by
+// extra.
+func operatorFlags(extra ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringSliceFlag{
-			Name: "at", Usage: "operators' `ADDR` of a daemon; several are tried in turn; https:// for TLS",
-			Value: []string{defaultAt}, Sources: cli.EnvVars("FIREFLYPATH_AT"),
+			Name: "at", Usage: "operators' `ADDR` of a daemon, with https:// for TLS; several are tried in turn",
+			Value: []string{defaultOperatorAddr}, Sources: cli.EnvVars("FIREFLYPATH_AT"),
 		},
 		&cli.StringFlag{
-			Name: "key", Usage: "operator's `KEY`; better set in the environment, other users can read a command line",
+			Name: "key", Usage: "operator's `KEY`; prefer the environment variable, since other users can read the command line",
 			Sources: cli.EnvVars("FIREFLYPATH_KEY"),
 		},
 		&cli.StringFlag{
-			Name: "ca", Usage: "`FILE` with the certificates that sign the daemons'",
+			Name: "ca", Usage: "`FILE` with the CA certificates of the daemons",
 			Sources: cli.EnvVars("FIREFLYPATH_CA"),
 		},
 		&cli.StringFlag{
@@ -42,7 +44,7 @@
 				return nil
 			},
 		},
-	}, more...)
+	}, extra...)
 }
 
 func newClient(cmd *cli.Command) (*client.Client, error) {
@@ -50,28 +52,29 @@
 	if file := cmd.String("ca"); file != "" {
 		pem, err := os.ReadFile(file)
 		if err != nil {
-			return nil, coded{errors.Wrap(err, "read the certificates"), exitInput}
+			return nil, exitError{errors.Wrap(err, "read the certificates"), exitInput}
 		}
 		opts.Roots = x509.NewCertPool()
 		if !opts.Roots.AppendCertsFromPEM(pem) {
-			return nil, coded{errors.Newf("%s holds no certificate", file), exitInput}
+			return nil, exitError{errors.Newf("%s holds no certificate", file), exitInput}
 		}
 	}
 	return client.New(opts), nil
 }
 
-// words are the arguments, or a file's content; "-" is the standard input.
-func words(cmd *cli.Command) (string, error) {
+// inputText returns the arguments joined by spaces, or the content of the file given by
+// --file, where "-" is the standard input.
+func inputText(cmd *cli.Command) (string, error) {
 	file := cmd.String("file")
 	if file == "" && cmd.Args().Len() == 0 {
-		return "", coded{errors.Newf("%s needs words or --file", cmd.Name), exitInput}
+		return "", exitError{errors.Newf("%s needs words or --file", cmd.Name), exitInput}
 	}
 	if file == "" {
 		return strings.Join(cmd.Args().Slice(), " "), nil
 	}
 	text, err := readAll(cmd, file)
 	if err != nil {
-		return "", coded{errors.Wrap(err, "read the words"), exitInput}
+		return "", exitError{errors.Wrap(err, "read the words"), exitInput}
 	}
 	return string(text), nil
 }
@@ -85,16 +88,16 @@
 
 var fileFlag = &cli.StringFlag{Name: "file", Aliases: []string{"f"}, Usage: "read the words from `FILE`, - for the standard input"}
 
-// usageError gives wrong flags their exit code.
+// usageError assigns the exit code for invalid input to flag errors.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
-	return coded{err, exitInput}
+	return exitError{err, exitInput}
 }
 
-// inputError gives syntax errors their exit code.
+// inputError assigns the exit code for invalid input to syntax errors.
 func inputError(err error) error {
-	var at *syntax.Error
-	if errors.As(err, &at) {
-		return coded{at, exitInput}
+	var syntaxErr *syntax.Error
+	if errors.As(err, &syntaxErr) {
+		return exitError{syntaxErr, exitInput}
 	}
 	return err
 }
--- a/cmd/fireflypath/operate_test.go
+++ b/cmd/fireflypath/operate_test.go
@@ -16,8 +16,8 @@
 	"github.com/fireflypath/fireflypath/internal/client"
 )
 
-// call runs a command line in this process.
-func call(stdin string, args ...string) (string, error) {
+// runCLI runs a command line in this process.
+func runCLI(stdin string, args ...string) (string, error) {
 	var b bytes.Buffer
 	root := &cli.Command{
 		Name: "fireflypath", Commands: commands(), Writer: &b, ErrWriter: &b, Reader: strings.NewReader(stdin),
@@ -26,8 +26,8 @@
 	return b.String(), err
 }
 
-// nobody is an address where nothing listens.
-func nobody(t *testing.T) string {
+// unusedAddr returns an address on which nothing listens.
+func unusedAddr(t *testing.T) string {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -36,7 +36,7 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	at := "--at=" + nobody(t)
+	at := "--at=" + unusedAddr(t)
 	file := filepath.Join(t.TempDir(), "words")
 	if err := os.WriteFile(file, []byte("drain target"), 0o600); err != nil {
 		t.Fatal(err)
@@ -47,20 +47,20 @@
 		code  int
 		want  string
 	}{
-		"unknown flag":   {[]string{"do", "--nope", "x"}, "", exitInput, "nope"},
-		"wrong output":   {[]string{"ask", "-o", "xml", "teams"}, "", exitInput, "table or json"},
-		"no words":       {[]string{"ask", at}, "", exitInput, "needs words"},
-		"no file":        {[]string{"do", at, "-f", file + "x"}, "", exitInput, "read the words"},
-		"syntax":         {[]string{"do", at, "drain tarjet e1"}, "", exitInput, `found "tarjet", expected target`},
-		"syntax in file": {[]string{"do", at, "-f", file}, "", exitInput, "column 13: found end of the text, expected a name"},
-		"repeated key":   {[]string{"do", at, "--id", "01JE5V3W4X5Y6Z7A8B9C0DEFGH", "key team t"}, "", exitInput, "must name the hash"},
-		"wrong ca":       {[]string{"ask", at, "--ca", file, "teams"}, "", exitInput, "holds no certificate"},
-		"nobody to do":   {[]string{"do", at, "-f", "-"}, "drain target e1", exitRefused, "nothing was changed"},
-		"nobody to ask":  {[]string{"ask", at, "teams"}, "", exitRefused, "call http://"},
+		"unknown flag":       {[]string{"do", "--nope", "x"}, "", exitInput, "nope"},
+		"wrong output":       {[]string{"ask", "-o", "xml", "teams"}, "", exitInput, "table or json"},
+		"no words":           {[]string{"ask", at}, "", exitInput, "needs words"},
+		"no file":            {[]string{"do", at, "-f", file + "x"}, "", exitInput, "read the words"},
+		"syntax":             {[]string{"do", at, "drain tarjet e1"}, "", exitInput, `found "tarjet", expected target`},
+		"syntax in file":     {[]string{"do", at, "-f", file}, "", exitInput, "column 13: found end of the text, expected a name"},
+		"repeated key":       {[]string{"do", at, "--id", "01JE5V3W4X5Y6Z7A8B9C0DEFGH", "key team t"}, "", exitInput, "must name the hash"},
+		"wrong ca":           {[]string{"ask", at, "--ca", file, "teams"}, "", exitInput, "holds no certificate"},
+		"do without daemon":  {[]string{"do", at, "-f", "-"}, "drain target e1", exitRefused, "nothing was changed"},
+		"ask without daemon": {[]string{"ask", at, "teams"}, "", exitRefused, "call http://"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := call(tc.stdin, tc.args...)
+			_, err := runCLI(tc.stdin, tc.args...)
 			is.True(err != nil)
 			is.Equal(exitCode(err), tc.code)
 			if !strings.Contains(err.Error(), tc.want) {
@@ -70,11 +70,11 @@
 	}
 }
 
-// A script reads the outcome from JSON, also when nothing was reached. A key
-// that no daemon took is not shown: it would open nothing.
-func TestOutcomeAsJSON(t *testing.T) {
+// Scripts parse the outcome as JSON even if no daemon was reached. A key that no daemon
+// has accepted must not be printed, because it grants no access.
+func TestOutcomeJSON(t *testing.T) {
 	is := is.New(t)
-	out, err := call("", "do", "-o", "json", "--at", nobody(t), "key team traders")
+	out, err := runCLI("", "do", "-o", "json", "--at", unusedAddr(t), "key team traders")
 	is.Equal(exitCode(err), exitRefused)
 	var o outcome
 	is.NoErr(json.Unmarshal([]byte(out), &o))
@@ -100,11 +100,11 @@
 	}
 }
 
-// Operators type into the shell what they type on the command line.
-func TestShellTellsCommandsFromQueries(t *testing.T) {
+// The shell accepts the same commands and queries as the command line.
+func TestShellDistinguishesCommandsFromQueries(t *testing.T) {
 	var b bytes.Buffer
-	c := client.New(client.Options{Addrs: []string{nobody(t)}})
-	s := shell{ask: asker{client: c}, do: doer{client: c}, w: &b}
+	c := client.New(client.Options{Addrs: []string{unusedAddr(t)}})
+	s := shell{querier: querier{client: c}, commander: commander{client: c}, w: &b}
 	for line, want := range map[string]string{
 		"tiers":             "call http",
 		"ask tiers":         "call http",
@@ -114,13 +114,13 @@
 	} {
 		t.Run(line, func(t *testing.T) {
 			is := is.New(t)
-			err := s.line(line)
+			err := s.runLine(line)
 			is.True(err != nil)
 			if !strings.Contains(err.Error(), want) {
 				t.Fatalf("got %v, want %s", err, want)
 			}
 		})
 	}
-	is.New(t).NoErr(s.line("help"))
+	is.New(t).NoErr(s.runLine("help"))
 	is.New(t).True(strings.Contains(b.String(), "drain"))
 }
--- a/cmd/fireflypath/page_test.go
+++ b/cmd/fireflypath/operators_doc_test.go
@@ -25,75 +25,75 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-// page runs the examples of docs/OPERATORS.md.
-type page struct {
+// docRunner runs the examples in docs/OPERATORS.md.
+type docRunner struct {
 	t     *testing.T
 	store *testkit.MapStore
-	// vars are what earlier examples printed: $TEAM, $ID, …
+	// vars holds values printed by earlier examples: $TEAM, $ID, …
 	vars map[string]string
 	keys map[string]string
 }
 
-// fence matches an example, comment one of the test's own instructions.
+// examplePattern matches an example or a comment with an instruction for the test.
 var (
-	fence    = regexp.MustCompile("(?ms)^```console\n(.*?)^```|^<!-- (.*?) -->")
-	shown    = regexp.MustCompile(`key of (\w+) (\w+), shown only now: (fp_\S+)`)
-	finished = regexp.MustCompile(`^done (\w+)`)
-	quoted   = regexp.MustCompile(`'([^']*)'|(\S+)`)
+	examplePattern = regexp.MustCompile("(?ms)^```console\n(.*?)^```|^<!-- (.*?) -->")
+	keyPattern     = regexp.MustCompile(`key of (\w+) (\w+), shown only now: (fp_\S+)`)
+	donePattern    = regexp.MustCompile(`^done (\w+)`)
+	argPattern     = regexp.MustCompile(`'([^']*)'|(\S+)`)
 )
 
-func TestOperatorsPage(t *testing.T) {
+func TestOperatorsDocExamples(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("../../docs/OPERATORS.md")
 	is.NoErr(err)
-	p := newPage(t)
-	for _, m := range fence.FindAllStringSubmatch(string(text), -1) {
+	r := newDocRunner(t)
+	for _, m := range examplePattern.FindAllStringSubmatch(string(text), -1) {
 		if m[2] != "" {
-			p.instruct(m[2])
+			r.followInstruction(m[2])
 			continue
 		}
 		for _, example := range strings.Split("\n"+strings.TrimSpace(m[1]), "\n$ ")[1:] {
-			p.check(example)
+			r.checkExample(example)
 		}
 	}
 }
 
-func newPage(t *testing.T) *page {
+func newDocRunner(t *testing.T) *docRunner {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
-	p := &page{t: t, store: testkit.NewMapStore(clock), vars: map[string]string{}, keys: map[string]string{}}
+	r := &docRunner{t: t, store: testkit.NewMapStore(clock), vars: map[string]string{}, keys: map[string]string{}}
 	for _, name := range []string{"E1", "E2"} {
 		e, err := engine.New(engine.Config{}, clock)
 		is.NoErr(err)
 		t.Cleanup(func() { _ = e.Close() })
-		p.vars[name] = e.Addr()
+		r.vars[name] = e.Addr()
 	}
-	reg := configuration.New(p.store, nil, "d1", clock, tally.NoopScope, zap.NewNop())
-	is.NoErr(reg.Poll(t.Context()))
+	configs := configuration.New(r.store, nil, "d1", clock, tally.NoopScope, zap.NewNop())
+	is.NoErr(configs.Poll(t.Context()))
 	cfg := testkit.Settings(nil)
 	cfg.Name = "d1"
-	d, err := daemon.New(cfg, daemon.Deps{Store: p.store, Configs: reg, Committer: reg, Clock: clock})
+	d, err := daemon.New(cfg, daemon.Deps{Store: r.store, Configs: configs, Committer: configs, Clock: clock})
 	is.NoErr(err)
 	is.NoErr(d.Start(t.Context()))
 	t.Cleanup(d.Kill)
 	t.Setenv("FIREFLYPATH_AT", d.OperatorAddr())
 	t.Setenv("FIREFLYPATH_KEY", "")
-	p.vars["CALLERS"] = d.CallerAddr()
-	return p
+	r.vars["CALLERS"] = d.CallerAddr()
+	return r
 }
 
-// instruct follows a comment of the page.
-func (p *page) instruct(what string) {
-	switch what {
+// followInstruction executes an instruction in a comment of the document.
+func (r *docRunner) followInstruction(instruction string) {
+	switch instruction {
 	case "key ana":
-		p.t.Setenv("FIREFLYPATH_KEY", p.keys["ana"])
+		r.t.Setenv("FIREFLYPATH_KEY", r.keys["ana"])
 	case "service down":
-		p.store.SetFault(func(string, string) testkit.Fault { return testkit.Fault{Before: fireflypath.ErrUnavailable} })
+		r.store.SetFault(func(string, string) testkit.Fault { return testkit.Fault{Before: fireflypath.ErrUnavailable} })
 	case "service up":
-		p.store.SetFault(nil)
+		r.store.SetFault(nil)
 	case "service loses the next answer and goes down":
 		var lost atomic.Bool
-		p.store.SetFault(func(op, key string) testkit.Fault {
+		r.store.SetFault(func(op, key string) testkit.Fault {
 			if lost.Load() {
 				return testkit.Fault{Before: fireflypath.ErrUnavailable}
 			}
@@ -104,34 +104,34 @@
 			return testkit.Fault{}
 		})
 	default:
-		p.t.Fatalf("the page holds an unknown instruction %q", what)
+		r.t.Fatalf("unknown instruction %q in the document", instruction)
 	}
 }
 
-func (p *page) check(example string) {
+func (r *docRunner) checkExample(example string) {
 	line, want, _ := strings.Cut(example, "\n")
-	line = os.Expand(line, func(name string) string { return p.vars[name] })
+	line = os.Expand(line, func(name string) string { return r.vars[name] })
 	var args []string
-	for _, m := range quoted.FindAllStringSubmatch(line, -1) {
+	for _, m := range argPattern.FindAllStringSubmatch(line, -1) {
 		args = append(args, m[1]+m[2])
 	}
 	var got string
 	switch args[0] {
 	case "fireflypath":
-		got = p.client(args)
+		got = r.runClient(args)
 	case "curl":
-		got = p.curl(args[1:])
+		got = r.runCurl(args[1:])
 	default:
-		p.t.Fatalf("the page runs %q", args[0])
+		r.t.Fatalf("the document runs the unknown program %q", args[0])
 	}
-	p.learn(got)
+	r.recordVars(got)
 	if !matches(strings.TrimSpace(got), strings.TrimSpace(want)) {
-		p.t.Errorf("$ %s\ngot:\n%s\nwant:\n%s", line, got[:min(len(got), 2000)], want)
+		r.t.Errorf("$ %s\ngot:\n%s\nwant:\n%s", line, got[:min(len(got), 2000)], want)
 	}
 }
 
-// client runs a command line in this process.
-func (p *page) client(args []string) string {
+// runClient runs a command line of the client in this process.
+func (r *docRunner) runClient(args []string) string {
 	var b bytes.Buffer
 	root := &cli.Command{Name: "fireflypath", Commands: commands(), Writer: &b, ErrWriter: &b}
 	if err := root.Run(context.Background(), args); err != nil {
@@ -140,8 +140,8 @@
 	return b.String()
 }
 
-func (p *page) curl(args []string) string {
-	is := is.New(p.t)
+func (r *docRunner) runCurl(args []string) string {
+	is := is.New(r.t)
 	req, err := http.NewRequest(http.MethodPost, args[len(args)-1], nil)
 	is.NoErr(err)
 	for i := 0; i+1 < len(args); i += 2 {
@@ -158,31 +158,31 @@
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	is.NoErr(err)
-	p.vars["ID"] = res.Header.Get("Fireflypath-Request")
+	r.vars["ID"] = res.Header.Get("Fireflypath-Request")
 	return string(body)
 }
 
-// learn keeps the keys that are shown, the hash of the first one in a list, and
-// the id of the last command done.
-func (p *page) learn(got string) {
-	for _, m := range shown.FindAllStringSubmatch(got, -1) {
-		p.keys[m[2]] = m[3]
-		if m[1] == "team" && p.vars["TEAM"] == "" {
-			p.vars["TEAM"] = m[3]
+// recordVars records the printed keys, the first hash of a list and the id of the last
+// completed command.
+func (r *docRunner) recordVars(got string) {
+	for _, m := range keyPattern.FindAllStringSubmatch(got, -1) {
+		r.keys[m[2]] = m[3]
+		if m[1] == "team" && r.vars["TEAM"] == "" {
+			r.vars["TEAM"] = m[3]
 		}
 	}
-	if m := finished.FindStringSubmatch(got); m != nil {
-		p.vars["DONE"] = m[1]
+	if m := donePattern.FindStringSubmatch(got); m != nil {
+		r.vars["DONE"] = m[1]
 	}
 	if strings.HasPrefix(got, "HASH") {
-		p.vars["OLD"] = strings.Fields(strings.Split(got, "\n")[1])[0]
+		r.vars["OLD"] = strings.Fields(strings.Split(got, "\n")[1])[0]
 	}
 }
 
-// matches compares with runs of blanks as one; … matches any text, and a line
-// that begins and ends with it any number of lines.
+// matches compares two texts, ignoring the amount of whitespace. … matches any text,
+// including any number of lines.
 func matches(got, want string) bool {
-	got, want = blanks(got), blanks(want)
+	got, want = collapseSpaces(got), collapseSpaces(want)
 	parts := strings.Split(want, "…")
 	for i := range parts {
 		parts[i] = regexp.QuoteMeta(parts[i])
@@ -190,7 +190,7 @@
 	return regexp.MustCompile(`(?s)^` + strings.Join(parts, `.*?`) + `$`).MatchString(got)
 }
 
-func blanks(s string) string {
+func collapseSpaces(s string) string {
 	lines := strings.Split(s, "\n")
 	for i := range lines {
 		lines[i] = strings.Join(strings.Fields(lines[i]), " ")
--- a/cmd/fireflypath/simulate.go
+++ b/cmd/fireflypath/simulate.go
@@ -24,18 +24,18 @@
 	"github.com/fireflypath/fireflypath/internal/sim/load"
 )
 
-// The policies of a simulated fleet: the shipped one with a dispatcher, each daemon
-// alone, two plain gateways, and a clairvoyant bound.
+// Policies of a simulated fleet: the shipped scheduler with a dispatcher, the same without
+// one (each daemon alone), two plain gateways, and a clairvoyant upper bound.
 const (
-	policySlots = "slots"
-	policyAlone = "alone"
-	policyLeast = "least"
-	policyTurn  = "rr"
-	policyBound = "bound"
+	policySlots      = "slots"
+	policyAlone      = "alone"
+	policyLeast      = "least"
+	policyRoundRobin = "rr"
+	policyBound      = "bound"
 )
 
-// simulated is one run of a simulated fleet.
-type simulated struct {
+// simulation is one simulated run and its result.
+type simulation struct {
 	Policy string `json:"policy"`
 	Set    string `json:"set,omitempty"`
 	Load   string `json:"load"`
@@ -44,44 +44,45 @@
 	sim.Result
 }
 
-// simulates is true for the names of fleets.
-func simulates(mixes []string) bool {
+// containsFleet reports whether any of the mixes names a fleet.
+func containsFleet(mixes []string) bool {
 	return slices.ContainsFunc(mixes, func(m string) bool { return m == "drawn" || slices.Contains(fleet.Names(), m) })
 }
 
-// simulate plays fleets, loads and policies, or compares two settings.
-func simulate(w io.Writer, c *cli.Command) error {
+// runSimulations runs all combinations of fleets, loads and policies, or compares two
+// tuning variants.
+func runSimulations(w io.Writer, c *cli.Command) error {
 	variants := []string{strings.Join(c.StringSlice("set"), "+")}
 	if pair := c.StringSlice("compare"); len(pair) > 0 {
 		variants = pair
 	}
-	runs, err := simulations(c, variants)
+	runs, err := listSimulations(c, variants)
 	if err != nil {
-		return coded{error: err, code: exitInput}
+		return exitError{error: err, code: exitInput}
 	}
-	results, err := iter.MapErr(runs, func(r *simulated) (simulated, error) { return r.play() })
+	results, err := iter.MapErr(runs, func(r *simulation) (simulation, error) { return r.run() })
 	if err != nil {
-		return coded{error: err, code: exitInput}
+		return exitError{error: err, code: exitInput}
 	}
 	switch {
 	case c.String("o") == "json":
-		return printSimulatedJSON(w, results)
+		return printSimulationsJSON(w, results)
 	case len(variants) > 1:
-		return printCompared(w, results, variants)
+		return printComparison(w, results, variants)
 	default:
-		return printSimulated(w, results)
+		return printSimulations(w, results)
 	}
 }
 
-// simulations lists the runs in the order of the output.
-func simulations(c *cli.Command, variants []string) ([]simulated, error) {
-	var out []simulated
+// listSimulations returns the runs in the order of the output.
+func listSimulations(c *cli.Command, variants []string) ([]simulation, error) {
+	var out []simulation
 	for _, m := range c.StringSlice("mix") {
-		for _, l := range orAll(c.StringSlice("load"), loadNames()) {
-			for _, p := range orAll(c.StringSlice("policy"), []string{policySlots}) {
+		for _, l := range valuesOr(c.StringSlice("load"), loadNames()) {
+			for _, p := range valuesOr(c.StringSlice("policy"), []string{policySlots}) {
 				for _, set := range variants {
 					for i := range c.Int("seeds") {
-						out = append(out, simulated{Policy: p, Set: set, Load: l, Mix: m, Seed: c.Uint64("seed") + uint64(i)})
+						out = append(out, simulation{Policy: p, Set: set, Load: l, Mix: m, Seed: c.Uint64("seed") + uint64(i)})
 					}
 				}
 			}
@@ -101,8 +102,8 @@
 	return out
 }
 
-// play runs it.
-func (s *simulated) play() (simulated, error) {
+// run executes the simulation and returns it with its result.
+func (s *simulation) run() (simulation, error) {
 	out := *s
 	f, err := fleet.Find(s.Mix, s.Seed)
 	if err != nil {
@@ -117,15 +118,15 @@
 		out.Result = sim.Bound(o)
 		return out, nil
 	}
-	if err := s.equip(&o); err != nil {
+	if err := s.setSchedulers(&o); err != nil {
 		return out, err
 	}
 	out.Result = sim.Run(o)
 	return out, nil
 }
 
-// equip sets the schedulers of the policy.
-func (s *simulated) equip(o *sim.Options) error {
+// setSchedulers configures the schedulers for the policy.
+func (s *simulation) setSchedulers(o *sim.Options) error {
 	alone, shared := slots.StandaloneTuning(), slots.DispatcherTuning()
 	object, err := tuningObject(s.Set)
 	if err != nil {
@@ -142,7 +143,7 @@
 	case policySlots:
 		o.Dispatch = func(p fireflypath.Pool, seed uint64) dispatcher.Scheduler { return slots.New(p, seed, shared) }
 	case policyAlone:
-	case policyLeast, policyTurn:
+	case policyLeast, policyRoundRobin:
 		least := s.Policy == policyLeast
 		o.Make = func(_ fireflypath.Pool, seed uint64) fireflypath.Scheduler { return baseline.New(least, seed) }
 	default:
@@ -151,10 +152,10 @@
 	return nil
 }
 
-// shipped stands for no setting in a comparison.
+// shipped stands for the unchanged tuning in a comparison.
 const shipped = "shipped"
 
-// tuningObject turns NAME=VALUE+... into a JSON object.
+// tuningObject converts NAME=VALUE+... to a JSON object.
 func tuningObject(set string) ([]byte, error) {
 	object := map[string]any{}
 	for _, kv := range strings.Split(set, "+") {
@@ -178,7 +179,7 @@
 	return json.Marshal(object)
 }
 
-func printSimulatedJSON(w io.Writer, results []simulated) error {
+func printSimulationsJSON(w io.Writer, results []simulation) error {
 	enc := json.NewEncoder(w)
 	for _, r := range results {
 		if err := enc.Encode(r); err != nil {
@@ -188,73 +189,73 @@
 	return nil
 }
 
-// group is what runs that differ in the seed only have in common.
+// group identifies runs that differ only in their seed.
 type group struct{ mix, load, policy, set string }
 
-// grouped sums runs up by group, in their order.
-func grouped(results []simulated) (order []group, by map[group][]simulated) {
-	by = map[group][]simulated{}
+// groupSeeds groups runs that differ only in their seed, preserving the order.
+func groupSeeds(results []simulation) (order []group, bySeed map[group][]simulation) {
+	bySeed = map[group][]simulation{}
 	for _, r := range results {
 		g := group{r.Mix, r.Load, r.Policy, r.Set}
-		if by[g] == nil {
+		if bySeed[g] == nil {
 			order = append(order, g)
 		}
-		by[g] = append(by[g], r)
+		bySeed[g] = append(bySeed[g], r)
 	}
-	return order, by
+	return order, bySeed
 }
 
-func printSimulated(w io.Writer, results []simulated) error {
+func printSimulations(w io.Writer, results []simulation) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	if _, err := fmt.Fprintln(tw, "mix\tload\tpolicy\tworth\twhole\tworst 2 s\tworst class\tagain\tin time\tlate\trefused\tfailed\tleft\t"); err != nil {
 		return err
 	}
-	order, by := grouped(results)
+	order, bySeed := groupSeeds(results)
 	for _, g := range order {
-		figure := func(of func(*simulated) float64) float64 { return stat.Mean(figures(by[g], of), nil) }
-		kinds := func(of func(*sim.Kind) int) func(*simulated) float64 {
-			return func(r *simulated) float64 {
+		mean := func(metric func(*simulation) float64) float64 { return stat.Mean(values(bySeed[g], metric), nil) }
+		fraction := func(count func(*sim.Kind) int) func(*simulation) float64 {
+			return func(r *simulation) float64 {
 				n, sent := 0, 0
 				for i := range r.Kinds {
-					n += of(&r.Kinds[i])
+					n += count(&r.Kinds[i])
 					sent += r.Kinds[i].Sent
 				}
 				return float64(n) / float64(max(sent, 1))
 			}
 		}
 		if _, err := fmt.Fprintf(tw, "%s\t%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", g.mix, g.load, g.policy,
-			figure(func(r *simulated) float64 { return r.Worth }), figure(func(r *simulated) float64 { return r.Whole }),
-			figure(func(r *simulated) float64 { return r.Window }), figure(func(r *simulated) float64 { return r.Class }),
-			figure(func(r *simulated) float64 { return r.Again }),
-			figure(kinds(func(k *sim.Kind) int { return k.InTime })), figure(kinds(func(k *sim.Kind) int { return k.Late })),
-			figure(kinds(func(k *sim.Kind) int { return k.Refused })), figure(kinds(func(k *sim.Kind) int { return k.Failed })),
-			figure(kinds(func(k *sim.Kind) int { return k.Left }))); err != nil {
+			mean(func(r *simulation) float64 { return r.Worth }), mean(func(r *simulation) float64 { return r.Whole }),
+			mean(func(r *simulation) float64 { return r.Window }), mean(func(r *simulation) float64 { return r.Class }),
+			mean(func(r *simulation) float64 { return r.Again }),
+			mean(fraction(func(k *sim.Kind) int { return k.InTime })), mean(fraction(func(k *sim.Kind) int { return k.Late })),
+			mean(fraction(func(k *sim.Kind) int { return k.Refused })), mean(fraction(func(k *sim.Kind) int { return k.Failed })),
+			mean(fraction(func(k *sim.Kind) int { return k.Left }))); err != nil {
 			return err
 		}
 	}
 	return tw.Flush()
 }
 
-func figures(runs []simulated, of func(*simulated) float64) []float64 {
+func values(runs []simulation, metric func(*simulation) float64) []float64 {
 	out := make([]float64, 0, len(runs))
 	for i := range runs {
-		out = append(out, of(&runs[i]))
+		out = append(out, metric(&runs[i]))
 	}
 	return out
 }
 
-// confidence is the number of standard errors on each side of a mean that hold it
-// with 95 in 100.
-const confidence = 1.96
+// confidenceFactor is the half-width of a 95% confidence interval of a mean in standard
+// errors.
+const confidenceFactor = 1.96
 
-// printCompared prints the paired differences of the second setting to the first.
-func printCompared(w io.Writer, results []simulated, variants []string) error {
+// printComparison prints the paired differences between the second and the first variant.
+func printComparison(w io.Writer, results []simulation, variants []string) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	if _, err := fmt.Fprintf(tw, "mix\tload\tpolicy\t%s\t%s\tdifference\t95 in 100\t\n", variants[0], variants[1]); err != nil {
 		return err
 	}
-	worth := func(r *simulated) float64 { return r.Worth }
-	order, by := grouped(results)
+	worth := func(r *simulation) float64 { return r.Worth }
+	order, bySeed := groupSeeds(results)
 	var all []float64
 	for _, g := range order {
 		if g.set != variants[0] {
@@ -262,13 +263,13 @@
 		}
 		other := g
 		other.set = variants[1]
-		a, b := figures(by[g], worth), figures(by[other], worth)
-		d := make([]float64, len(a))
+		a, b := values(bySeed[g], worth), values(bySeed[other], worth)
+		differences := make([]float64, len(a))
 		for i := range a {
-			d[i] = b[i] - a[i]
+			differences[i] = b[i] - a[i]
 		}
-		all = append(all, d...)
-		if err := printDifference(tw, g, stat.Mean(a, nil), stat.Mean(b, nil), d); err != nil {
+		all = append(all, differences...)
+		if err := printDifference(tw, g, stat.Mean(a, nil), stat.Mean(b, nil), differences); err != nil {
 			return err
 		}
 	}
@@ -280,9 +281,9 @@
 	return tw.Flush()
 }
 
-func printDifference(w io.Writer, g group, a, b float64, d []float64) error {
-	mean, sd := stat.MeanStdDev(d, nil)
-	_, err := fmt.Fprintf(w, "%s\t%s\t%s\t%.4f\t%.4f\t%+.4f\t±%.4f\t\n", g.mix, g.load, g.policy, a, b, mean,
-		confidence*sd/math.Sqrt(float64(len(d))))
+func printDifference(w io.Writer, g group, meanA, meanB float64, differences []float64) error {
+	mean, sd := stat.MeanStdDev(differences, nil)
+	_, err := fmt.Fprintf(w, "%s\t%s\t%s\t%.4f\t%.4f\t%+.4f\t±%.4f\t\n", g.mix, g.load, g.policy, meanA, meanB, mean,
+		confidenceFactor*sd/math.Sqrt(float64(len(differences))))
 	return err
 }
--- a/cmd/fireflypath/soak.go
+++ b/cmd/fireflypath/soak.go
@@ -19,18 +19,18 @@
 func newSoakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run real daemons under random faults and check the promises",
+		Usage: "run daemon processes under random faults and check the guarantees",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "program", Usage: "the daemon's `FILE`", Value: "target/fireflypathd"},
+			&cli.StringFlag{Name: "program", Usage: "`FILE` of the daemon's executable", Value: "target/fireflypathd"},
 			&cli.IntFlag{Name: "seeds", Usage: "number of runs", Value: 1},
 			&cli.Uint64Flag{Name: "seed", Usage: "first seed", Value: 1},
-			&cli.DurationFlag{Name: "for", Usage: "how long faults strike in a run", Value: 15 * time.Second},
+			&cli.DurationFlag{Name: "for", Usage: "how long faults are injected in a run", Value: 15 * time.Second},
 			&cli.IntFlag{Name: "daemons", Value: 3},
 			&cli.IntFlag{Name: "targets", Value: 5},
 			&cli.IntFlag{Name: "callers", Value: 24},
-			&cli.StringFlag{Name: "dir", Usage: "`FOLDER` for settings and logs; those of broken runs stay", Value: "target/soak"},
+			&cli.StringFlag{Name: "dir", Usage: "`DIR` for settings and logs; those of failed runs are kept", Value: "target/soak"},
 			&cli.BoolFlag{Name: "mute", Usage: "no faults"},
-			&cli.BoolFlag{Name: "deadly", Usage: "one caller's request ends targets", Value: true},
+			&cli.BoolFlag{Name: "deadly", Usage: "include a request that crashes targets", Value: true},
 		},
 		Action: runSoak,
 	}
@@ -38,12 +38,12 @@
 
 func runSoak(ctx context.Context, c *cli.Command) error {
 	w := c.Root().Writer
-	faults, checked, requests, bad := map[string]int{}, map[string]int{}, 0, 0
+	faults, checked, requests, failedSeeds := map[string]int{}, map[string]int{}, 0, 0
 	for i := range c.Int("seeds") {
 		seed := c.Uint64("seed") + uint64(i)
 		dir := filepath.Join(c.String("dir"), strconv.FormatUint(seed, 10))
 		if err := os.MkdirAll(dir, 0o750); err != nil {
-			return errors.Wrap(err, "make the folder for logs")
+			return errors.Wrap(err, "create the directory for logs")
 		}
 		res, err := soak.Run(ctx, soak.Options{
 			Program: c.String("program"), Seed: seed, For: c.Duration("for"), Dir: dir, Mute: c.Bool("mute"), Deadly: c.Bool("deadly"),
@@ -53,45 +53,46 @@
 			return errors.Wrapf(err, "seed %d", seed)
 		}
 		requests += res.Requests
-		add(faults, res.Faults)
-		add(checked, res.Checked)
+		addCounts(faults, res.Faults)
+		addCounts(checked, res.Checked)
 		if len(res.Broken) == 0 {
 			if err := os.RemoveAll(dir); err != nil {
-				return errors.Wrap(err, "remove the logs of a good run")
+				return errors.Wrap(err, "remove the logs of a successful run")
 			}
 			continue
 		}
-		bad++
-		if err := printBroken(w, seed, dir, res.Broken); err != nil {
+		failedSeeds++
+		if err := printViolations(w, seed, dir, res.Broken); err != nil {
 			return err
 		}
 	}
 	if err := printSoak(w, faults, checked); err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(w, "soak: seeds=%d requests=%d broken=%d\n", c.Int("seeds"), requests, bad); err != nil {
+	if _, err := fmt.Fprintf(w, "soak: seeds=%d requests=%d broken=%d\n", c.Int("seeds"), requests, failedSeeds); err != nil {
 		return err
 	}
-	if bad > 0 {
-		return coded{error: errors.Newf("%d seeds broke a promise", bad), code: exitRefused}
+	if failedSeeds > 0 {
+		return exitError{error: errors.Newf("%d seeds violated a guarantee", failedSeeds), code: exitRefused}
 	}
 	return nil
 }
 
-func add(sum, more map[string]int) {
-	for k, n := range more {
+func addCounts(sum, counts map[string]int) {
+	for k, n := range counts {
 		sum[k] += n
 	}
 }
 
-// shownBroken bounds the lines of one seed: the first ones tell the cause.
-const shownBroken = 5
+// maxPrintedViolations limits the output per seed. The first violations indicate the
+// cause.
+const maxPrintedViolations = 5
 
-func printBroken(w io.Writer, seed uint64, dir string, broken []string) error {
-	if _, err := fmt.Fprintf(w, "seed %d broke %d checks, logs in %s\n", seed, len(broken), dir); err != nil {
+func printViolations(w io.Writer, seed uint64, dir string, violations []string) error {
+	if _, err := fmt.Fprintf(w, "seed %d violated %d checks, logs in %s\n", seed, len(violations), dir); err != nil {
 		return err
 	}
-	for _, b := range broken[:min(len(broken), shownBroken)] {
+	for _, b := range violations[:min(len(violations), maxPrintedViolations)] {
 		if _, err := fmt.Fprintf(w, "  %s\n", b); err != nil {
 			return err
 		}
--- a/cmd/fireflypath/stand.go
+++ b/cmd/fireflypath/stand.go
@@ -14,12 +14,12 @@
 	"github.com/fireflypath/fireflypath/internal/fake/service"
 )
 
-// Speeds of a stand-in engine that fit the lengths of the mixes: a usual prompt
-// of 1,600 tokens is read in 0.2 s and answered at 50 tokens a second.
+// Default speeds of the stand-in engine, which fit the lengths in the mixes: a typical
+// prompt of 1,600 tokens is processed in 0.2 s and answered at 50 tokens/s.
 const (
-	standPrefill = 8000
-	standDecode  = 50
-	standCache   = 64 * 1024
+	defaultPrefill = 8000
+	defaultDecode  = 50
+	defaultCache   = 64 * 1024
 )
 
 func newStandCommand() *cli.Command {
@@ -35,7 +35,7 @@
 }
 
 func listenFlag() cli.Flag {
-	return &cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "IP number and port; port 0 takes a free one"}
+	return &cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "IP address and port; port 0 selects a free port"}
 }
 
 func newStandEngineCommand() *cli.Command {
@@ -44,13 +44,13 @@
 		Usage: "a model engine with continuous batching",
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.IntFlag{Name: "batch", Value: 8, Usage: "requests that run at once"},
-			&cli.FloatFlag{Name: "prefill", Value: standPrefill, Usage: "prompt tokens a second; 0 takes no time"},
-			&cli.FloatFlag{Name: "decode", Value: standDecode, Usage: "tokens a second of each request; 0 takes no time"},
-			&cli.IntFlag{Name: "cache", Value: standCache, Usage: "tokens of prompt prefixes kept"},
-			&cli.DurationFlag{Name: "lag", Usage: "how late load reports and cache events are"},
-			&cli.IntFlag{Name: "gap", Usage: "lose each such cache event; 0 loses none"},
-			&cli.BoolFlag{Name: "unfenced", Usage: "ignore fencing numbers of orders"},
+			&cli.IntFlag{Name: "batch", Value: 8, Usage: "requests that run concurrently"},
+			&cli.FloatFlag{Name: "prefill", Value: defaultPrefill, Usage: "prompt tokens per second; 0 takes no time"},
+			&cli.FloatFlag{Name: "decode", Value: defaultDecode, Usage: "tokens per second of each request; 0 takes no time"},
+			&cli.IntFlag{Name: "cache", Value: defaultCache, Usage: "tokens of prompt prefixes in the cache"},
+			&cli.DurationFlag{Name: "lag", Usage: "delay of load reports and cache events"},
+			&cli.IntFlag{Name: "gap", Usage: "drop every n-th cache event; 0 drops none"},
+			&cli.BoolFlag{Name: "unfenced", Usage: "ignore the fencing tokens of orders"},
 			&cli.BoolFlag{Name: "uncounted", Usage: "keep no counts by request id, for long runs"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -68,7 +68,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(ctx, c, e)
+			return serveUntilSignal(ctx, c, e)
 		},
 	}
 }
@@ -79,7 +79,7 @@
 		Usage: "a plain service that counts what it ran",
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.DurationFlag{Name: "delay", Usage: "how long each call takes"},
+			&cli.DurationFlag{Name: "delay", Usage: "duration of each call"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			s, err := service.New(service.Config{
@@ -88,7 +88,7 @@
 			if err != nil {
 				return err
 			}
-			return serve(ctx, c, s)
+			return serveUntilSignal(ctx, c, s)
 		},
 	}
 }
@@ -99,27 +99,27 @@
 		Usage: "the platform's key-value service and host list",
 		Flags: []cli.Flag{
 			listenFlag(),
-			&cli.FloatFlag{Name: "rate", Usage: "calls a second that are answered; 0 is any number"},
-			&cli.DurationFlag{Name: "lag", Usage: "how old the list of hosts is"},
+			&cli.FloatFlag{Name: "rate", Usage: "maximum calls per second; 0 means unlimited"},
+			&cli.DurationFlag{Name: "lag", Usage: "age of the host list"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			p := platform.New(platform.Config{Rate: c.Float("rate"), Lag: c.Duration("lag")}, clockwork.NewRealClock())
 			if err := p.Listen(c.String("listen")); err != nil {
 				return err
 			}
-			return serve(ctx, c, p)
+			return serveUntilSignal(ctx, c, p)
 		},
 	}
 }
 
-// stand is a running stand-in.
-type stand interface {
+// standIn is a running stand-in.
+type standIn interface {
 	Addr() string
 	Close() error
 }
 
-// serve prints the address and waits for a signal.
-func serve(ctx context.Context, c *cli.Command, s stand) error {
+// serveUntilSignal prints the address and waits for a signal.
+func serveUntilSignal(ctx context.Context, c *cli.Command, s standIn) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	if _, err := fmt.Fprintf(c.Root().Writer, "%s listens on %s\n", c.Name, s.Addr()); err != nil {
--- a/cmd/fireflypath/trial.go
+++ b/cmd/fireflypath/trial.go
@@ -15,43 +15,42 @@
 	"github.com/fireflypath/fireflypath/internal/trial/chart"
 )
 
-// atOnce is how many runs go on together, so that a trial leaves the machine
-// usable.
-const atOnce = 4
+// maxConcurrentRuns is limited so that a trial leaves the machine usable.
+const maxConcurrentRuns = 4
 
-// compared are the policies tried when none is named.
-func compared() []string {
+// defaultPolicies returns the policies to try if none is given.
+func defaultPolicies() []string {
 	return []string{"shipped", "rr", "least", "bound"}
 }
 
 func newTrialCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "trial",
-		Usage: "measure the decisions under load in virtual time",
+		Usage: "measure scheduling decisions under load in virtual time",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "load", Usage: "loads to try (default: all)"},
 			&cli.StringSliceFlag{Name: "mix", Usage: "mixes (default: pozo, meelwerk), or fleets with a gate: norte, austral, gent, their -grown ones, drawn"},
 			&cli.StringSliceFlag{Name: "policy", Usage: "policies to try (default: shipped, rr, least, bound; of fleets: slots)"},
-			&cli.StringSliceFlag{Name: "set", Usage: "`NAME=VALUE` of the decisions, for fleets"},
-			&cli.StringSliceFlag{Name: "compare", Usage: "two settings `A,B`, each NAME=VALUE+... or shipped, to compare over the same seeds, for fleets"},
+			&cli.StringSliceFlag{Name: "set", Usage: "tuning `NAME=VALUE`, for fleets"},
+			&cli.StringSliceFlag{Name: "compare", Usage: "two variants `A,B`, each NAME=VALUE+... or shipped, to compare over the same seeds, for fleets"},
 			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of arrivals and decisions"},
-			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of seeds to try, from seed on"},
-			&cli.DurationFlag{Name: "span", Value: trial.Span, Usage: "how long requests arrive"},
+			&cli.IntFlag{Name: "seeds", Value: 1, Usage: "number of seeds to try, starting with seed"},
+			&cli.DurationFlag{Name: "span", Value: trial.Span, Usage: "how long requests are sent"},
 			&cli.StringFlag{Name: "plot", Usage: "directory to write PNG charts to"},
-			&cli.StringFlag{Name: "o", Usage: "json for one object a line"},
+			&cli.StringFlag{Name: "o", Usage: "json for one object per line"},
 		},
 		Action: runTrial,
 	}
 }
 
 func runTrial(_ context.Context, c *cli.Command) error {
-	if simulates(c.StringSlice("mix")) {
-		return simulate(c.Root().Writer, c)
+	if containsFleet(c.StringSlice("mix")) {
+		return runSimulations(c.Root().Writer, c)
 	}
-	results, err := iter.Mapper[trial.Options, []trial.Row]{MaxGoroutines: atOnce}.
+	results, err := iter.Mapper[trial.Options, []trial.Row]{MaxGoroutines: maxConcurrentRuns}.
 		MapErr(trialOptions(c), func(o *trial.Options) ([]trial.Row, error) { return trial.Run(*o) })
 	if err != nil {
-		return coded{error: err, code: exitInput}
+		return exitError{error: err, code: exitInput}
 	}
 	var rows []trial.Row
 	for _, r := range results {
@@ -68,12 +67,12 @@
 	return printTrials(c.Root().Writer, rows)
 }
 
-// trialOptions lists the runs in the order of the output.
+// trialOptions returns the runs in the order of the output.
 func trialOptions(c *cli.Command) []trial.Options {
 	var out []trial.Options
-	for _, l := range orAll(c.StringSlice("load"), trial.Loads()) {
-		for _, m := range orAll(c.StringSlice("mix"), trial.Mixes()) {
-			for _, p := range orAll(c.StringSlice("policy"), compared()) {
+	for _, l := range valuesOr(c.StringSlice("load"), trial.Loads()) {
+		for _, m := range valuesOr(c.StringSlice("mix"), trial.Mixes()) {
+			for _, p := range valuesOr(c.StringSlice("policy"), defaultPolicies()) {
 				for i := range c.Int("seeds") {
 					out = append(out, trial.Options{
 						Load: l, Mix: m, Policy: p, Seed: c.Uint64("seed") + uint64(i), Span: c.Duration("span"),
@@ -85,7 +84,7 @@
 	return out
 }
 
-func orAll(named, all []string) []string {
+func valuesOr(named, all []string) []string {
 	if len(named) > 0 {
 		return named
 	}
