--- a/cmd/fireflypath/ask.go
+++ b/cmd/fireflypath/ask.go
@@ -60,9 +60,9 @@
 }
 
 func (q querier) run(w io.Writer, text string) error {
-	ask := q.client.Ask
+	ask := q.client.Query
 	if q.allDaemons {
-		ask = q.client.Each
+		ask = q.client.QueryAll
 	}
 	answer, err := ask(text)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return printAnswer(w, answer)
 }
 
-func printAnswer(w io.Writer, answer *eval.Answer) error {
+func printAnswer(w io.Writer, answer *eval.Result) error {
 	var b strings.Builder
 	for _, l := range answer.Lines {
 		fmt.Fprintln(&b, l)
--- a/cmd/fireflypath/do.go
+++ b/cmd/fireflypath/do.go
@@ -84,7 +84,7 @@
 		return exitError{errors.New("a repeated key command must name the hash: a new key would not be the one that the id created"), exitInput}
 	}
 	req.Text = text
-	done := c.client.Do(req)
+	done := c.client.Execute(req)
 	if done.Outcome != wire.OutcomeDone && done.Outcome != wire.OutcomeUnknown {
 		created = nil
 	}
@@ -116,7 +116,7 @@
 	for _, l := range p.Lines {
 		fmt.Fprintln(b, l)
 	}
-	for _, l := range p.Breaks {
+	for _, l := range p.BreakingChanges {
 		fmt.Fprintln(b, "! "+l)
 	}
 	if len(p.Lines) == 0 {
--- a/cmd/fireflypath/held.go
+++ b/cmd/fireflypath/held.go
@@ -22,7 +22,7 @@
 			if err != nil {
 				return err
 			}
-			rows, err := c.Held()
+			rows, err := c.HeldRequests()
 			if err != nil {
 				return err
 			}
--- a/internal/command/script.go
+++ b/internal/command/script.go
@@ -61,7 +61,7 @@
 	}
 	next := e.config()
 	if err := check.Config(old, next); err != nil {
-		found, _ := check.From(err)
+		found, _ := check.AsProblems(err)
 		e.problems = append(e.problems, found...)
 	}
 	if err := e.problems.Err(); err != nil {
@@ -79,7 +79,7 @@
 
 func (c *compiler) fail(w syntax.Word, detail string) {
 	if c.err == nil {
-		c.err = syntax.At(c.text, w.Pos, detail)
+		c.err = syntax.NewError(c.text, w.Pos, detail)
 		c.err.Found = w.Text
 	}
 }
