--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback gives each process a loopback address of its own.
+// Package loopback provides a separate loopback address for each process.
 package loopback
 
 import (
@@ -6,18 +6,17 @@
 	"os"
 )
 
-// Addr is a loopback address, without a port, that only this process uses.
+// Addr returns a loopback address, without a port, that no other process uses.
 //
-// Demos, soaks and tests kill listeners whose port others still dial. On an
-// address that all processes share, the kernel soon gives that port to a
-// stand-in of another process: requests then reach a stranger, which answers
-// them and counts what its own callers never sent.
+// Demos, soak tests and tests close listeners whose port is still dialed. On an address that
+// all processes share, the kernel soon assigns such a port to a fake target of another process.
+// That target would then respond to requests that it should never receive, and count them.
 func Addr() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+(pid>>16)&0x7f, (pid>>8)&0xff, pid&0xff)
 }
 
-// ListenAddr is Addr with port 0, for a listener on a free port.
+// ListenAddr returns Addr with port 0, to listen on a free port.
 func ListenAddr() string {
 	return Addr() + ":0"
 }
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,4 +1,4 @@
-// Package socket asks the kernel about connections without reading from them.
+// Package socket queries the state of connections without reading from them.
 package socket
 
 import (
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Readable reports whether a read would not wait: there are bytes, or the other
-// side has closed.
+// Readable reports whether a read would return without waiting, because there are bytes to
+// read, the other side closed the connection or the socket has an error.
 func Readable(raw syscall.RawConn) bool {
 	ready := false
 	err := raw.Control(func(fd uintptr) {
