--- a/cmd/fireflypath/soak.go
+++ b/cmd/fireflypath/soak.go
@@ -46,7 +46,7 @@
 			return errors.Wrap(err, "create the directory for logs")
 		}
 		res, err := soak.Run(ctx, soak.Options{
-			Program: c.String("program"), Seed: seed, For: c.Duration("for"), Dir: dir, Mute: c.Bool("mute"), Deadly: c.Bool("deadly"),
+			Program: c.String("program"), Seed: seed, Duration: c.Duration("for"), Dir: dir, NoFaults: c.Bool("mute"), PoisonRequest: c.Bool("deadly"),
 			Daemons: c.Int("daemons"), Targets: c.Int("targets"), Callers: c.Int("callers"),
 		})
 		if err != nil {
@@ -55,14 +55,14 @@
 		requests += res.Requests
 		addCounts(faults, res.Faults)
 		addCounts(checked, res.Checked)
-		if len(res.Broken) == 0 {
+		if len(res.Violations) == 0 {
 			if err := os.RemoveAll(dir); err != nil {
 				return errors.Wrap(err, "remove the logs of a successful run")
 			}
 			continue
 		}
 		failedSeeds++
-		if err := printViolations(w, seed, dir, res.Broken); err != nil {
+		if err := printViolations(w, seed, dir, res.Violations); err != nil {
 			return err
 		}
 	}
@@ -107,7 +107,7 @@
 			return err
 		}
 	}
-	for _, p := range soak.Promises() {
+	for _, p := range soak.Invariants() {
 		if _, err := fmt.Fprintf(tw, "%s\t%d checks\n", p, checked[p]); err != nil {
 			return err
 		}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -142,7 +142,7 @@
 // strike lets faults begin one after the other, at random times; they overlap.
 func (r *run) strike(ctx context.Context) {
 	var wg conc.WaitGroup
-	end := time.Now().Add(r.o.For)
+	end := time.Now().Add(r.o.Duration)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		r.mu.Lock()
 		f := faults[r.rnd.IntN(len(faults))]
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -37,25 +37,25 @@
 	Program string
 	// Seed decides the faults and their times.
 	Seed uint64
-	// For is how long faults strike.
-	For time.Duration
+	// Duration is how long faults strike.
+	Duration time.Duration
 	// Daemons, Targets and Callers are numbers.
 	Daemons, Targets, Callers int
 	// Dir takes settings and logs; it is kept if a promise is broken.
 	Dir string
-	// Mute leaves the faults out, to see the load alone.
-	Mute bool
-	// Deadly has a caller send a request that ends targets, and others one and the same.
-	Deadly bool
+	// NoFaults leaves the faults out, to see the load alone.
+	NoFaults bool
+	// PoisonRequest has a caller send a request that ends targets, and others one and the same.
+	PoisonRequest bool
 }
 
 // Result is what a run came to.
 type Result struct {
-	Seed     uint64
-	Requests int
-	Faults   map[string]int
-	Checked  map[string]int
-	Broken   []string
+	Seed       uint64
+	Requests   int
+	Faults     map[string]int
+	Checked    map[string]int
+	Violations []string
 }
 
 // keyring holds the keys in use.
@@ -240,17 +240,17 @@
 		c := &caller{
 			n: i, names: platform.Codec{}.Headers(), ledger: r.ledger, daemons: r.daemons, keys: r.keys,
 			client: &http.Client{Transport: &http.Transport{}},
-			rnd:    rand.New(rand.NewPCG(r.o.Seed, uint64(100+i))), tried: &r.tried, whole: &r.whole, hot: r.o.Deadly,
+			rnd:    rand.New(rand.NewPCG(r.o.Seed, uint64(100+i))), tried: &r.tried, whole: &r.whole, hot: r.o.PoisonRequest,
 		}
 		wg.Go(func() { c.run(ctx) })
 	}
-	if r.o.Deadly {
+	if r.o.PoisonRequest {
 		wg.Go(func() { r.sendDeadly(ctx) })
 	}
 	for _, d := range r.daemons {
 		wg.Go(func() { r.prober.run(ctx, d, func() bool { return r.harms.Load() == 0 && d.calm() }) })
 	}
-	if !r.o.Mute {
+	if !r.o.NoFaults {
 		r.strike(ctx)
 	}
 	sleep(ctx, settleTime)
@@ -261,7 +261,7 @@
 		"%d of %d requests were whole after the faults", whole, tried)
 	cancel()
 	wg.Wait()
-	if r.o.Deadly {
+	if r.o.PoisonRequest {
 		r.judgeDeadly()
 	}
 }
@@ -282,7 +282,7 @@
 		out.Checked[string(p)] = l.checked[p]
 	}
 	for _, b := range l.broken {
-		out.Broken = append(out.Broken, string(b.promise)+": "+b.detail)
+		out.Violations = append(out.Violations, string(b.promise)+": "+b.detail)
 	}
 	return out
 }
@@ -299,8 +299,8 @@
 	}
 }
 
-// Promises lists what is checked, in the order of reports.
-func Promises() []string {
+// Invariants lists what is checked, in the order of reports.
+func Invariants() []string {
 	var out []string
 	for _, p := range promises {
 		out = append(out, string(p))
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,7 +19,7 @@
 
 // The same, while one caller's request ends each target that begins to run it.
 func TestShortSoakWithADeadlyRequest(t *testing.T) {
-	play(t, soak.Options{Seed: 12, Deadly: true})
+	play(t, soak.Options{Seed: 12, PoisonRequest: true})
 }
 
 func play(t *testing.T, o soak.Options) {
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	o.Dir = t.TempDir()
 	o.Program = filepath.Join(o.Dir, "fireflypathd")
-	o.For, o.Daemons, o.Targets, o.Callers = 4*time.Second, 3, 4, 8
+	o.Duration, o.Daemons, o.Targets, o.Callers = 4*time.Second, 3, 4, 8
 	out, err := exec.Command("go", "build", "-o", o.Program, "../../cmd/fireflypathd").CombinedOutput()
 	if err != nil {
 		t.Fatalf("build the daemon: %s", out)
@@ -35,7 +35,7 @@
 	res, err := soak.Run(t.Context(), o)
 	is.NoErr(err)
 	is.True(res.Requests > 0)
-	for _, b := range res.Broken {
+	for _, b := range res.Violations {
 		t.Error(b)
 	}
 }
