--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -15,30 +15,30 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// paths are the routes that callers use.
+// paths are the path prefixes of the routes that callers use.
 var paths = []string{"/once/", "/safe/", "/stream/", "/resume/"}
 
-// caller sends requests one after the other, on connections that it keeps until
-// they end.
+// caller sends requests sequentially over persistent connections.
 type caller struct {
-	n       int
-	names   fireflypath.Headers
-	ledger  *ledger
+	index   int
+	headers fireflypath.Headers
+	history *history
 	daemons []*process
 	keys    *keyring
 	client  *http.Client
 	rnd     *rand.Rand
-	// tried and whole count requests, of the last stretch only.
-	tried, whole *atomic.Int64
-	// hot has it ask for what the others ask for, now and then.
-	hot bool
-	// failed is the body of a request that was not answered, which is asked for again.
-	failed, failedPath string
+	// attempted counts all requests, succeeded those with a complete response. All
+	// callers share the counters.
+	attempted, succeeded *atomic.Int64
+	// sendsSharedBody makes some requests use sharedBody, and some repeat a failed one.
+	sendsSharedBody bool
+	// failedBody and failedPath are those of the last request if it failed.
+	failedBody, failedPath string
 }
 
 func (c *caller) run(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
-		id := fmt.Sprintf("c%d-%d", c.n, i)
+		id := fmt.Sprintf("c%d-%d", c.index, i)
 		c.send(ctx, id, paths[c.rnd.IntN(len(paths))])
 		select {
 		case <-ctx.Done():
@@ -50,19 +50,20 @@
 func (c *caller) send(ctx context.Context, id, path string) {
 	body := strings.Repeat(id+" ", 1+c.rnd.IntN(200))
 	switch {
-	case c.hot && c.failed != "" && c.rnd.IntN(2) == 0:
-		body, path = c.failed, c.failedPath
-	case c.hot && c.rnd.IntN(hotOf) == 0:
-		body = hotBody
+	case c.sendsSharedBody && c.failedBody != "" && c.rnd.IntN(2) == 0:
+		body, path = c.failedBody, c.failedPath
+	case c.sendsSharedBody && c.rnd.IntN(sharedBodyRatio) == 0:
+		body = sharedBody
 	}
 	if c.sendBody(ctx, id, path, body) {
-		c.failed = ""
+		c.failedBody = ""
 		return
 	}
-	c.failed, c.failedPath = body, path
+	c.failedBody, c.failedPath = body, path
 }
 
-// sendBody sends one request, and reports whether it was answered.
+// sendBody sends one request and reports whether it received a complete successful
+// response.
 func (c *caller) sendBody(ctx context.Context, id, path, body string) bool {
 	d := c.daemons[c.rnd.IntN(len(c.daemons))]
 	limit := 3 * time.Second
@@ -70,69 +71,71 @@
 	if path == "/stream/" || path == "/resume/" {
 		form = "?form=events"
 	}
-	// A few callers leave early.
+	// Some callers give up early.
 	if c.rnd.IntN(40) == 0 {
 		limit = time.Duration(1+c.rnd.IntN(100)) * time.Millisecond
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit+time.Second)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.callers+path+"x"+form, bytes.NewReader([]byte(body)))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+d.callerAddr+path+"x"+form, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return false
 	}
-	key := c.keys.pick(c.rnd)
-	// http.Transport sends a request again by itself if it has GetBody.
+	key := c.keys.random(c.rnd)
+	// Prevents http.Transport from resending the request on its own.
 	r.GetBody = nil
 	r.Host = host
-	r.Header.Set(c.names.ID, id)
-	r.Header.Set(c.names.Key, key)
-	r.Header.Set(c.names.Deadline, strconv.FormatInt(limit.Milliseconds(), 10))
-	c.ledger.send(id, &sent{once: path == "/once/" || path == "/stream/", body: body, at: time.Now(), key: key})
-	c.tried.Add(1)
+	r.Header.Set(c.headers.ID, id)
+	r.Header.Set(c.headers.Key, key)
+	r.Header.Set(c.headers.Deadline, strconv.FormatInt(limit.Milliseconds(), 10))
+	c.history.recordRequest(id, &request{atMostOnce: path == "/once/" || path == "/stream/", body: body, sentAt: time.Now(), key: key})
+	c.attempted.Add(1)
 	resp, err := c.client.Do(r)
 	if err != nil {
-		return false // nothing is promised of a connection that ends
+		return false // a closed connection says nothing about whether the request ran
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	c.judge(id, form != "", resp, string(text), err)
-	if body != deadlyBody {
-		c.ledger.check(promiseFree, !held(string(text)), "%s was answered %s", id, text)
+	c.checkResponse(id, form != "", resp, string(text), err)
+	if body != poisonBody {
+		c.history.check(invariantNotHeld, !isHeldRefusal(string(text)), "%s was answered %s", id, text)
 	}
 	return resp.StatusCode == http.StatusOK && err == nil
 }
 
-// judge checks an answer against what it promises.
-func (c *caller) judge(id string, events bool, resp *http.Response, text string, err error) {
+// checkResponse checks a response against the invariants.
+func (c *caller) checkResponse(id string, events bool, resp *http.Response, text string, err error) {
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		c.ledger.deny(id, resp.StatusCode)
+		c.history.recordRefusal(id, resp.StatusCode)
 		return
 	default:
 		return
 	}
-	signed := strings.HasPrefix(resp.Header.Get(c.names.Signature), "by ")
-	c.ledger.check(promiseWhole, signed, "%s was answered without a signature", id)
+	signed := strings.HasPrefix(resp.Header.Get(c.headers.Signature), "by ")
+	c.history.check(invariantComplete, signed, "%s was answered without a signature", id)
 	if events {
-		c.judgeStream(id, text, err)
+		c.checkStream(id, text, err)
 		return
 	}
 	if err == nil {
-		c.whole.Add(1)
-		c.ledger.check(promiseWhole, text == answerOf(id), "%s was answered %q", id, text)
+		c.succeeded.Add(1)
+		c.history.check(invariantComplete, text == responseBody(id), "%s was answered %q", id, text)
 	}
 }
 
-func (c *caller) judgeStream(id, text string, err error) {
+// checkStream checks that a stream ended with the last event, or that a broken stream is
+// a prefix of the complete one.
+func (c *caller) checkStream(id, text string, err error) {
 	want := ""
 	for n := 1; n <= streamEvents; n++ {
-		want += eventOf(id, n)
+		want += eventText(id, n)
 	}
 	if err == nil {
-		c.whole.Add(1)
-		c.ledger.check(promiseStream, text == want, "%s ended as whole with %q", id, text)
+		c.succeeded.Add(1)
+		c.history.check(invariantStream, text == want, "%s completed with %q", id, text)
 		return
 	}
-	c.ledger.check(promiseStream, strings.HasPrefix(want, text), "%s broke off after %q", id, text)
+	c.history.check(invariantStream, strings.HasPrefix(want, text), "%s was truncated after %q", id, text)
 }
--- /dev/null
+++ b/internal/soak/history.go
@@ -0,0 +1,121 @@
+package soak
+
+import (
+	"fmt"
+	"sync"
+	"time"
+)
+
+// invariant is a property that must hold whatever faults occur.
+type invariant string
+
+const (
+	invariantAtMostOnce invariant = "a request that may not be repeated runs at most once"
+	invariantNotRun     invariant = "an answer that says not run is true"
+	invariantComplete   invariant = "a response that looks complete is its target's complete response"
+	invariantStream     invariant = "no event of a stream is missing or duplicated"
+	invariantBody       invariant = "targets receive a request as it was sent"
+	invariantRevoked    invariant = "no request runs with a key that was revoked longer ago than allowed"
+	invariantDrained    invariant = "a target that is leaving gets no requests after two seconds"
+	invariantVersion    invariant = "a configuration is in force everywhere and never goes back"
+	invariantHeld       invariant = "a request that crashes targets is held by all daemons"
+	invariantNotHeld    invariant = "no other request is held because of it"
+	invariantRecovery   invariant = "service is back after the faults"
+)
+
+// invariants lists all invariants in the order in which reports print them.
+var invariants = []invariant{
+	invariantAtMostOnce, invariantNotRun, invariantComplete, invariantStream, invariantBody,
+	invariantRevoked, invariantDrained, invariantVersion, invariantHeld, invariantNotHeld, invariantRecovery,
+}
+
+// violation is one failed check of an invariant.
+type violation struct {
+	invariant invariant
+	detail    string
+}
+
+// request is a request that a caller sent, and what became of it.
+type request struct {
+	atMostOnce bool
+	body       string
+	sentAt     time.Time
+	key        string
+	// runs counts how often targets ran the request.
+	runs int
+	// refusedStatus is the status of a response that says that the request did not run.
+	refusedStatus int
+}
+
+// history records the requests that callers sent and targets ran, and checks the
+// invariants.
+type history struct {
+	mu         sync.Mutex
+	requests   map[string]*request
+	revoked    map[string]time.Time
+	checked    map[invariant]int
+	violations []violation
+}
+
+func newHistory() *history {
+	return &history{requests: map[string]*request{}, revoked: map[string]time.Time{}, checked: map[invariant]int{}}
+}
+
+// check counts a check of the invariant and records a violation if ok is false.
+func (h *history) check(inv invariant, ok bool, format string, args ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.checkLocked(inv, ok, format, args...)
+}
+
+// checkLocked is like check. The caller holds mu.
+func (h *history) checkLocked(inv invariant, ok bool, format string, args ...any) {
+	h.checked[inv]++
+	if !ok {
+		h.violations = append(h.violations, violation{inv, fmt.Sprintf(format, args...)})
+	}
+}
+
+func (h *history) recordRequest(id string, s *request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.requests[id] = s
+}
+
+// recordRun records that a target ran a request.
+func (h *history) recordRun(id, body, target string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s := h.requests[id]
+	if s == nil {
+		h.checkLocked(invariantBody, false, "%s ran %q, which nobody sent", target, id)
+		return
+	}
+	s.runs++
+	h.checkLocked(invariantBody, s.body == body, "%s ran %s with another body", target, id)
+	if s.atMostOnce {
+		h.checkLocked(invariantAtMostOnce, s.runs == 1, "%s ran %d times, last on %s", id, s.runs, target)
+		h.checkLocked(invariantNotRun, s.refusedStatus == 0, "%s ran on %s after its caller received status %d", id, target, s.refusedStatus)
+	}
+	if revokedAt, isRevoked := h.revoked[s.key]; isRevoked && s.key != "" {
+		late := s.sentAt.Sub(revokedAt)
+		h.checkLocked(invariantRevoked, late <= revokeTime, "%s was sent %v after its key was revoked and ran on %s", id, late, target)
+	}
+}
+
+// recordRefusal records a response that says that the request did not run.
+func (h *history) recordRefusal(id string, status int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s := h.requests[id]
+	s.refusedStatus = status
+	if s.atMostOnce {
+		h.checkLocked(invariantNotRun, s.runs == 0, "%s received status %d although it ran", id, status)
+	}
+}
+
+func (h *history) recordRevocation(key string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.revoked[key] = time.Now()
+}
--- /dev/null
+++ b/internal/soak/history_test.go
@@ -0,0 +1,65 @@
+package soak
+
+import (
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// A soak test only proves something if the checks detect violations, so this test
+// violates each invariant on purpose.
+func TestHistoryDetectsViolations(t *testing.T) {
+	for inv, violate := range map[invariant]func(*history){
+		invariantAtMostOnce: func(h *history) {
+			h.recordRun("a", "b", "t1")
+			h.recordRun("a", "b", "t2")
+		},
+		invariantNotRun: func(h *history) {
+			h.recordRefusal("a", 503)
+			h.recordRun("a", "b", "t1")
+		},
+		invariantBody: func(h *history) { h.recordRun("a", "other", "t1") },
+		invariantRevoked: func(h *history) {
+			h.revoked["key"] = time.Now().Add(-time.Minute)
+			h.recordRun("a", "b", "t1")
+		},
+	} {
+		t.Run(string(inv), func(t *testing.T) {
+			is := is.New(t)
+			h := newHistory()
+			h.recordRequest("a", &request{atMostOnce: true, body: "b", sentAt: time.Now(), key: "key"})
+			violate(h)
+			is.True(len(h.violations) > 0)
+			is.Equal(h.violations[0].invariant, inv)
+		})
+	}
+}
+
+func TestHistoryAcceptsAllowedRuns(t *testing.T) {
+	is := is.New(t)
+	h := newHistory()
+	h.recordRequest("a", &request{body: "b", sentAt: time.Now()})
+	h.recordRun("a", "b", "t1")
+	h.recordRun("a", "b", "t2") // requests that are not marked atMostOnce may be repeated
+	h.recordRefusal("a", 503)
+	is.Equal(len(h.violations), 0)
+}
+
+// Streams that end early without an error, or contain an event twice, must be detected.
+func TestCheckStreamDetectsViolations(t *testing.T) {
+	is := is.New(t)
+	complete := ""
+	for n := 1; n <= streamEvents; n++ {
+		complete += eventText("a", n)
+	}
+	for text, ok := range map[string]bool{
+		complete: true, complete[:len(complete)-len(eventText("a", streamEvents))]: false, complete + eventText("a", 1): false, "": false,
+	} {
+		h := newHistory()
+		c := &caller{history: h, succeeded: &atomic.Int64{}}
+		c.checkStream("a", text, nil)
+		is.Equal(len(h.violations) == 0, ok)
+	}
+}
--- a/internal/soak/ports.go
+++ b/internal/soak/ports.go
@@ -8,33 +8,33 @@
 	"github.com/fireflypath/fireflypath/internal/loopback"
 )
 
-// ports are those of the daemons. A daemon that is down holds none, and the kernel gives
-// them to any listener on a free port: a target that starts meanwhile would keep the
-// daemon from coming back.
+// ports reserves the ports of the daemons. A daemon that is down does not occupy its
+// ports, and the kernel could assign them to a target that starts meanwhile, so that the
+// daemon could not restart.
 type ports struct {
-	mu   sync.Mutex
-	kept map[int]bool
+	mu       sync.Mutex
+	reserved map[int]bool
 }
 
 func newPorts() *ports {
-	return &ports{kept: map[int]bool{}}
+	return &ports{reserved: map[int]bool{}}
 }
 
-// errNoPort means that all ports tried are kept.
-var errNoPort = errors.New("no port is free that is not kept for a daemon")
+// errNoPort means that all assigned ports are reserved.
+var errNoPort = errors.New("no free port that is not reserved for a daemon")
 
-// portTries bounds the ports tried.
-const portTries = 100
+// maxPortAttempts limits the attempts to find a port that is not reserved.
+const maxPortAttempts = 100
 
-// listen listens on a free port that is not a daemon's.
+// listen listens on a free port that is not reserved for a daemon.
 func (p *ports) listen() (net.Listener, error) {
-	for range portTries {
+	for range maxPortAttempts {
 		ln, err := net.Listen("tcp", loopback.ListenAddr())
 		if err != nil {
 			return nil, err
 		}
 		p.mu.Lock()
-		kept := p.kept[ln.Addr().(*net.TCPAddr).Port]
+		kept := p.reserved[ln.Addr().(*net.TCPAddr).Port]
 		p.mu.Unlock()
 		if !kept {
 			return ln, nil
@@ -44,8 +44,8 @@
 	return nil, errNoPort
 }
 
-// reserve finds ports for so many daemons and keeps them for the whole run. They are
-// listened on until release: two daemons would get one port otherwise.
+// reserve reserves ports for a number of daemons for the whole run. The ports are occupied
+// until release is called, because otherwise the kernel could assign the same port twice.
 func (p *ports) reserve(daemons int) (found [][4]int, release func(), err error) {
 	var lns []net.Listener
 	release = func() {
@@ -65,7 +65,7 @@
 			port := ln.Addr().(*net.TCPAddr).Port
 			found[d][i] = port
 			p.mu.Lock()
-			p.kept[port] = true
+			p.reserved[port] = true
 			p.mu.Unlock()
 		}
 	}
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A daemon is down and a target starts on its port: the daemon ends at each start, and
-// the soak would blame it for not coming back.
-func TestListenersLeaveTheDaemonsPorts(t *testing.T) {
+// While a daemon is down, a target must not be given its port. Otherwise the daemon cannot
+// restart, and the soak test reports that as a fault of the daemon.
+func TestListenAvoidsReservedPorts(t *testing.T) {
 	is := is.New(t)
 	p := newPorts()
 	found, release, err := p.reserve(50)
@@ -18,7 +18,7 @@
 	kept := map[int]bool{}
 	for _, ports := range found {
 		for _, port := range ports {
-			is.True(!kept[port]) // no two daemons have one port
+			is.True(!kept[port]) // each port is reserved once
 			kept[port] = true
 		}
 	}
--- a/internal/soak/prober.go
+++ b/internal/soak/prober.go
@@ -13,95 +13,97 @@
 )
 
 const (
-	// probeEvery is the pause between two looks at a daemon's configuration.
-	probeEvery = 100 * time.Millisecond
-	// forceSlack is what a request takes besides.
-	forceSlack = 300 * time.Millisecond
-	// backSlack is how long after a newer configuration was seen an older one may
-	// still answer.
-	backSlack = 250 * time.Millisecond
+	// probeInterval is the time between two probes of a daemon's configuration.
+	probeInterval = 100 * time.Millisecond
+	// requestMargin is added to forceTime for the duration of the probe itself.
+	requestMargin = 300 * time.Millisecond
+	// rollbackMargin is how long an older configuration may still be served after a
+	// newer one was observed.
+	rollbackMargin = 250 * time.Millisecond
 )
 
-// prober asks each daemon for the route that only the newest version has, and
-// for the one before, which that took away.
+// prober detects which version of the configuration a daemon uses. Each version has one
+// numbered route of its own that the next version removes; the prober requests the newest
+// route and the one before it.
 type prober struct {
-	ledger *ledger
-	names  fireflypath.Headers
-	client *http.Client
+	history *history
+	headers fireflypath.Headers
+	client  *http.Client
 
 	mu sync.Mutex
-	// number is that of the newest route, since when it was written.
-	number int
-	since  time.Time
+	// number is the number of the newest route, createdAt the time when it was written.
+	number    int
+	createdAt time.Time
 }
 
-// route is the route of a number.
+// route returns the route with a number.
 func (p *prober) route(n int) fireflypath.Route {
 	r := routes()[1]
 	r.Name, r.Prefix, r.Public = fmt.Sprintf("probe%d", n), fmt.Sprintf("/probe%d/", n), true
 	return r
 }
 
-// next makes a new route the newest.
+// next creates the next route.
 func (p *prober) next() fireflypath.Route {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.number++
-	p.since = time.Now()
+	p.createdAt = time.Now()
 	return p.route(p.number)
 }
 
-// newest is the number of the newest route.
+// newest returns the number of the newest route.
 func (p *prober) newest() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.number
 }
 
-// run watches one daemon. calm is false while it may rightly lag.
-func (p *prober) run(ctx context.Context, d *process, calm func() bool) {
-	seen, at := 0, time.Time{}
+// run probes one daemon. While stable returns false, the daemon may use an outdated
+// configuration.
+func (p *prober) run(ctx context.Context, d *process, stable func() bool) {
+	seen, seenAt := 0, time.Time{}
 	for i := 0; ctx.Err() == nil; i++ {
-		sleep(ctx, probeEvery)
+		sleep(ctx, probeInterval)
 		p.mu.Lock()
-		n, since := p.number, p.since
+		n, createdAt := p.number, p.createdAt
 		p.mu.Unlock()
-		sent := time.Now()
+		sentAt := time.Now()
 		status := p.get(ctx, d, n, fmt.Sprintf("%s-%d", d.name, i))
 		switch {
 		case status == http.StatusOK && n >= seen:
 			if n > seen {
-				seen, at = n, time.Now()
+				seen, seenAt = n, time.Now()
 			}
 		case status == http.StatusNotFound && p.newest() != n:
-			// A newer configuration took the route away while the question was on its way.
+			// A newer configuration removed the route during the probe.
 		case status == http.StatusNotFound && n == seen:
-			p.ledger.check(promiseForward, false, "%s took version %d back", d.name, n)
-		case status == http.StatusNotFound && sent.Sub(since) > forceTime+forceSlack && calm():
-			p.ledger.check(promiseForward, false, "%s does not know version %d after %v", d.name, n, sent.Sub(since))
+			p.history.check(invariantVersion, false, "%s took version %d back", d.name, n)
+		case status == http.StatusNotFound && sentAt.Sub(createdAt) > forceTime+requestMargin && stable():
+			p.history.check(invariantVersion, false, "%s does not know version %d after %v", d.name, n, sentAt.Sub(createdAt))
 		}
-		p.ledger.check(promiseForward, true, "")
-		if seen > 1 && time.Since(at) > backSlack {
+		p.history.check(invariantVersion, true, "")
+		if seen > 1 && time.Since(seenAt) > rollbackMargin {
 			old := p.get(ctx, d, seen-1, fmt.Sprintf("%s-%d-old", d.name, i))
-			p.ledger.check(promiseForward, old != http.StatusOK, "%s went back to version %d from %d", d.name, seen-1, seen)
+			p.history.check(invariantVersion, old != http.StatusOK, "%s went back to version %d from %d", d.name, seen-1, seen)
 		}
 	}
 }
 
-// get asks for a numbered route and returns the status, 0 without an answer.
+// get requests the route with a number and returns the status, or 0 without a response.
 func (p *prober) get(ctx context.Context, d *process, n int, id string) int {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/probe%d/", d.callers, n)
+	url := fmt.Sprintf("http://%s/probe%d/", d.callerAddr, n)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return 0
 	}
 	r.Host = host
 	id = strings.ReplaceAll(id, "/", "-")
-	r.Header.Set(p.names.ID, id)
-	r.Header.Set(p.names.Deadline, "900")
-	p.ledger.send(id, &sent{at: time.Now()})
+	r.Header.Set(p.headers.ID, id)
+	r.Header.Set(p.headers.Deadline, "900")
+	p.history.recordRequest(id, &request{sentAt: time.Now()})
 	resp, err := p.client.Do(r)
 	if err != nil {
 		return 0
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -17,41 +17,43 @@
 	"github.com/fireflypath/fireflypath/internal/loopback"
 )
 
-// Figures of the settings that the promises are checked against.
+// Times in the daemons' settings, which the invariants depend on.
 const (
 	revokeTime = 5 * time.Second
 	forceTime  = 2 * time.Second
 	drainTime  = 2 * time.Second
 	graceTime  = 4 * time.Second
-	// calmTime is how long after a fault a daemon is not held to its times.
-	calmTime = 4 * time.Second
+	// stableTime is how long after a fault a daemon may exceed these times.
+	stableTime = 4 * time.Second
 )
 
-// process is one daemon, started again under the same name and addresses.
+// process is one daemon. It is restarted with the same name and addresses.
 type process struct {
-	name    string
-	program string
-	file    string
-	log     *os.File
-	callers string
-	ready   string
-	store   *proxy
-
-	// busy is true while a fault has it: two that restarted one daemon at the same
-	// time would start it twice, and nobody would end the first of the two.
+	name         string
+	program      string
+	settingsFile string
+	log          *os.File
+	callerAddr   string
+	readyAddr    string
+	store        *proxy
+
+	// busy is true while a fault has acquired the daemon. If two faults restarted it at
+	// the same time, they would start two processes, of which the first would never be
+	// stopped.
 	busy atomic.Bool
-	// harmed is when a fault of this daemon last began or ended, in Unix
+	// disturbedAt is when a fault of this daemon last started or ended, in Unix
 	// nanoseconds.
-	harmed atomic.Int64
+	disturbedAt atomic.Int64
 
-	// ending is true once the soak has ended the process.
-	ending atomic.Bool
-	// note takes what goes wrong with the process by itself.
-	note func(error)
+	// stopping is true if the test is stopping the process, so that its exit is expected.
+	stopping atomic.Bool
+	// onError is called with errors that happen outside of a method call, such as an
+	// unexpected exit.
+	onError func(error)
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// done is closed when the process has ended.
+	// done is closed when the process has exited.
 	done chan struct{}
 }
 
@@ -60,10 +62,10 @@
 	if err != nil {
 		return nil, err
 	}
-	at := func(i int) string { return loopback.Addr() + ":" + strconv.Itoa(ports[i]) }
+	addr := func(i int) string { return loopback.Addr() + ":" + strconv.Itoa(ports[i]) }
 	settings := map[string]any{
 		"name": name, "domain": "a",
-		"listen":   map[string]any{"callers": at(0), "ready": at(1), "peers": at(2), "operators": at(3)},
+		"listen":   map[string]any{"callers": addr(0), "ready": addr(1), "peers": addr(2), "operators": addr(3)},
 		"platform": map[string]any{"addr": p.addr(), "timeout": "800ms"},
 		"peers":    map[string]any{"seeds": seeds, "plain": true},
 		"gate": map[string]any{
@@ -84,67 +86,66 @@
 	if err != nil {
 		return nil, err
 	}
-	return &process{name: name, program: program, file: file, log: log, callers: at(0), ready: at(1), store: p}, nil
+	return &process{name: name, program: program, settingsFile: file, log: log, callerAddr: addr(0), readyAddr: addr(1), store: p}, nil
 }
 
-// hurt notes a fault of this daemon.
-func (p *process) hurt() { p.harmed.Store(time.Now().UnixNano()) }
+// markDisturbed records that a fault of this daemon started or ended.
+func (p *process) markDisturbed() { p.disturbedAt.Store(time.Now().UnixNano()) }
 
-// calm is true if nothing happened to the daemon for a while, so that it may be
-// held to its times.
-func (p *process) calm() bool {
-	return !p.busy.Load() && time.Since(time.Unix(0, p.harmed.Load())) > calmTime
+// isStable reports whether the daemon had no fault recently, so that it must meet its
+// times.
+func (p *process) isStable() bool {
+	return !p.busy.Load() && time.Since(time.Unix(0, p.disturbedAt.Load())) > stableTime
 }
 
 func (p *process) start() error {
-	p.hurt()
+	p.markDisturbed()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	cmd := exec.Command(p.program, "run", "--settings", p.file)
+	cmd := exec.Command(p.program, "run", "--settings", p.settingsFile)
 	cmd.Stdout, cmd.Stderr = p.log, p.log
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.name, err)
 	}
 	done := make(chan struct{})
 	p.cmd, p.done = cmd, done
-	p.ending.Store(false)
+	p.stopping.Store(false)
 	go func() {
 		err := cmd.Wait()
 		close(done)
-		if !p.ending.Load() {
-			p.revive(err)
+		if !p.stopping.Load() {
+			p.restartAfterExit(err)
 		}
 	}()
 	return nil
 }
 
-// restartLag is how soon the platform starts a process again that ended by itself.
-const restartLag = 200 * time.Millisecond
+// restartDelay is the time after which the platform restarts a process that exited.
+const restartDelay = 200 * time.Millisecond
 
-// revive starts a process again that ended by itself. That is a fault of the daemon,
-// but for one: a signal to reload that arrives before the program is loaded ends any
-// process.
-func (p *process) revive(err error) {
+// restartAfterExit restarts a process that exited unexpectedly and reports the exit as an
+// error of the daemon. The exception is an exit by SIGHUP: a reload signal that arrives
+// before the program is loaded terminates any process.
+func (p *process) restartAfterExit(err error) {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.Sys().(syscall.WaitStatus).Signal() != syscall.SIGHUP {
-		p.note(fmt.Errorf("%s ended by itself: %w", p.name, err))
+		p.onError(fmt.Errorf("%s exited unexpectedly: %w", p.name, err))
 	}
-	time.Sleep(restartLag)
-	if p.ending.Load() {
+	time.Sleep(restartDelay)
+	if p.stopping.Load() {
 		return
 	}
 	if err := p.start(); err != nil {
-		p.note(err)
+		p.onError(err)
 	}
 }
 
-// claim takes the process for one fault, unless another one has it.
-func (p *process) claim() bool { return p.busy.CompareAndSwap(false, true) }
+// acquire reserves the process for one fault. It reports false if another fault has it.
+func (p *process) acquire() bool { return p.busy.CompareAndSwap(false, true) }
 
 func (p *process) release() { p.busy.Store(false) }
 
-// signal sends a signal to this process, which the soak started. One that has
-// ended takes none; that is no error.
+// signal sends a signal to the process. A process that has exited is not an error.
 func (p *process) signal(s syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,14 +155,14 @@
 	return nil
 }
 
-// killTime is how long the kernel may take to end a process that was killed.
-const killTime = 10 * time.Second
+// killTimeout is how long a process may take to exit after SIGKILL.
+const killTimeout = 10 * time.Second
 
-// end sends the signal and waits for the process to end. One that does not end in
-// twice its grace time is killed, and the error says so: a planned stop that hangs
-// is a fault of the daemon.
-func (p *process) end(s syscall.Signal) error {
-	p.ending.Store(true)
+// stop sends the signal and waits until the process exits. A process that does not exit
+// within twice its grace time is killed, and stop returns an error, because a planned stop
+// that hangs is a fault of the daemon.
+func (p *process) stop(s syscall.Signal) error {
+	p.stopping.Store(true)
 	err := p.signal(s)
 	p.mu.Lock()
 	done, pid := p.done, p.cmd.Process.Pid
@@ -176,22 +177,22 @@
 	select {
 	case <-done:
 		return err
-	case <-time.After(killTime):
-		return errors.Join(err, fmt.Errorf("%s, process %d, outlived its kill", p.name, pid))
+	case <-time.After(killTimeout):
+		return errors.Join(err, fmt.Errorf("%s, process %d, did not exit after SIGKILL", p.name, pid))
 	}
 }
 
-// restart ends the process by a signal and starts it again.
+// restart stops the process with a signal and starts it again after the time down.
 func (p *process) restart(s syscall.Signal, down time.Duration) error {
-	err := p.end(s)
+	err := p.stop(s)
 	time.Sleep(down)
 	return errors.Join(err, p.start())
 }
 
-// up is true if the balancer would send callers to the daemon.
-func (p *process) up() bool {
+// isReady reports whether a load balancer would send callers to the daemon.
+func (p *process) isReady() bool {
 	c := http.Client{Timeout: time.Second}
-	resp, err := c.Get("http://" + p.ready + "/ready")
+	resp, err := c.Get("http://" + p.readyAddr + "/ready")
 	if err != nil {
 		return false
 	}
@@ -199,20 +200,20 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// lastWords is the end of what the daemon logged.
-func (p *process) lastWords() string {
+// logTail returns the end of the daemon's log.
+func (p *process) logTail() string {
 	b, err := os.ReadFile(p.log.Name())
 	if err != nil {
 		return err.Error()
 	}
-	return string(b[max(0, len(b)-lastBytes):])
+	return string(b[max(0, len(b)-maxLogTail):])
 }
 
-// lastBytes bounds what an error repeats of a log.
-const lastBytes = 2 << 10
+// maxLogTail limits how much of a log is included in an error.
+const maxLogTail = 2 << 10
 
 func (p *process) kill() error {
-	err := errors.Join(p.signal(syscall.SIGCONT), p.end(syscall.SIGKILL))
+	err := errors.Join(p.signal(syscall.SIGCONT), p.stop(syscall.SIGKILL))
 	p.store.close()
 	p.log.Close()
 	return err
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// proxy passes connections on to an address and harms them as told.
+// proxy forwards connections to an address and injects network faults.
 type proxy struct {
 	ln net.Listener
 	to string
 
-	// delay is added to each piece, in nanoseconds.
+	// delay is added before each chunk of data is forwarded, in nanoseconds.
 	delay atomic.Int64
-	// silent drops what is sent towards the address, or back from it.
-	silentTo, silentBack atomic.Bool
-	refuse               atomic.Bool
+	// dropTo drops data that is sent to the address, dropFrom data from it.
+	dropTo, dropFrom atomic.Bool
+	refuse           atomic.Bool
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -46,11 +46,11 @@
 			reset(c)
 			continue
 		}
-		go p.pass(c)
+		go p.forward(c)
 	}
 }
 
-func (p *proxy) pass(c net.Conn) {
+func (p *proxy) forward(c net.Conn) {
 	o, err := net.DialTimeout("tcp", p.to, time.Second)
 	if err != nil {
 		reset(c)
@@ -59,31 +59,32 @@
 	p.mu.Lock()
 	p.conns[c] = true
 	p.mu.Unlock()
-	go p.copy(o, c, &p.silentTo)
-	p.copy(c, o, &p.silentBack)
+	go p.copy(o, c, &p.dropTo)
+	p.copy(c, o, &p.dropFrom)
 	p.mu.Lock()
 	delete(p.conns, c)
 	p.mu.Unlock()
 }
 
-// copy passes one direction on, and a reset as a reset. A connection that has lost
-// bytes stays silent until it ends: TCP lets nothing pass behind a hole. Two faults of
-// one proxy overlap, and the end of the first one heals it for both.
-func (p *proxy) copy(to, from net.Conn, silent *atomic.Bool) {
+// copy forwards one direction of a connection, and a reset as a reset. A connection that
+// has lost bytes stays silent until it ends, because TCP delivers nothing after a gap.
+// clearFaults cannot undo this: if two faults of a proxy overlap, the end of the first
+// ends both.
+func (p *proxy) copy(to, from net.Conn, drop *atomic.Bool) {
 	buf := make([]byte, 16<<10)
-	hole := false
+	lost := false
 	for {
 		n, err := from.Read(buf)
 		if d := p.delay.Load(); d > 0 {
 			time.Sleep(time.Duration(d))
 		}
-		hole = hole || n > 0 && silent.Load()
-		if n > 0 && !hole {
+		lost = lost || n > 0 && drop.Load()
+		if n > 0 && !lost {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				break
 			}
 		}
-		if errors.Is(err, io.EOF) && !hole {
+		if errors.Is(err, io.EOF) && !lost {
 			to.Close()
 			from.Close()
 			return
@@ -105,11 +106,11 @@
 	}
 }
 
-// heal takes all harm back.
-func (p *proxy) heal() {
+// clearFaults ends all faults of the proxy.
+func (p *proxy) clearFaults() {
 	p.delay.Store(0)
-	p.silentTo.Store(false)
-	p.silentBack.Store(false)
+	p.dropTo.Store(false)
+	p.dropFrom.Store(false)
 	p.refuse.Store(false)
 }
 
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -10,10 +10,10 @@
 	"github.com/matryer/is"
 )
 
-// A target falls silent for a while and what it sends meanwhile is lost. If the
-// connection went on after that, a caller would get a stream with a hole that looks
-// whole, which no network does: the checks would blame the daemon for it.
-func TestSilentConnectionStaysSilent(t *testing.T) {
+// The proxy drops data from a target for a while. If it forwarded later data of the same
+// connection, a caller would receive a stream with a gap that looks complete. A real network
+// never does that, and the checks would blame the daemon.
+func TestConnectionStaysSilentAfterDroppedBytes(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -31,11 +31,11 @@
 	is.NoErr(err)
 	_, err = io.ReadFull(c, buf[:3])
 	is.NoErr(err)
-	p.silentBack.Store(true)
+	p.dropFrom.Store(true)
 	_, err = far.Write([]byte("two"))
 	is.NoErr(err)
-	// The other direction still passes; once it has, the bytes above were read too
-	// or are read before the next ones.
+	// The other direction still works. Once this byte has arrived, the bytes above have
+	// been read or will be read before any later ones.
 	_, err = c.Write([]byte("x"))
 	is.NoErr(err)
 	_, err = io.ReadFull(far, buf[:1])
@@ -43,12 +43,12 @@
 	is.NoErr(c.SetReadDeadline(time.Now().Add(100 * time.Millisecond)))
 	_, err = c.Read(buf)
 	is.True(err != nil)
-	p.heal()
+	p.clearFaults()
 	_, err = far.Write([]byte("three"))
 	is.NoErr(err)
 	is.NoErr(far.Close())
 	is.NoErr(c.SetReadDeadline(time.Now().Add(5 * time.Second)))
 	n, err := c.Read(buf)
 	is.Equal(n, 0)
-	is.True(err != nil && !errors.Is(err, io.EOF)) // reset, not ended
+	is.True(err != nil && !errors.Is(err, io.EOF)) // reset instead of EOF
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,4 +1,4 @@
-// Package soak runs daemons as real processes between callers and targets, harms all of them at random, and checks the promises meanwhile.
+// Package soak runs daemons as real processes between callers and targets, injects random faults, and checks that the invariants hold.
 package soak
 
 import (
@@ -21,35 +21,37 @@
 
 const (
 	host = "soak.example"
-	// settleTime is what the fleet has after the last fault to serve again.
-	settleTime = 6 * time.Second
-	// afterTime is how long service is measured then, and afterPart the part of
-	// requests that must be whole.
-	afterTime = 3 * time.Second
-	afterPart = 0.9
-	// startTime bounds the start of the daemons.
-	startTime = 20 * time.Second
+	// recoveryTime is how long the fleet may take to recover after the last fault.
+	recoveryTime = 6 * time.Second
+	// measureTime is how long requests are counted after that. At least the fraction
+	// minSuccessRatio of them must receive a complete response.
+	measureTime     = 3 * time.Second
+	minSuccessRatio = 0.9
+	// startTimeout limits the time until all daemons are ready.
+	startTimeout = 20 * time.Second
 )
 
-// Options choose a run.
+// Options configures a run.
 type Options struct {
-	// Program is the daemon's program.
+	// Program is the path of the daemon's executable.
 	Program string
-	// Seed decides the faults and their times.
+	// Seed determines the faults and their times.
 	Seed uint64
-	// Duration is how long faults strike.
+	// Duration is how long faults are injected.
 	Duration time.Duration
-	// Daemons, Targets and Callers are numbers.
+	// Daemons, Targets and Callers are the number of each to run.
 	Daemons, Targets, Callers int
-	// Dir takes settings and logs; it is kept if a promise is broken.
+	// Dir is the directory for the settings and logs of the daemons. Run does not remove
+	// them, so that they are available after a violation.
 	Dir string
-	// NoFaults leaves the faults out, to see the load alone.
+	// NoFaults disables faults, to run only the load.
 	NoFaults bool
-	// PoisonRequest has a caller send a request that ends targets, and others one and the same.
+	// PoisonRequest adds a caller that sends a request that crashes targets, and makes
+	// the other callers send a body that they share.
 	PoisonRequest bool
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
 	Seed       uint64
 	Requests   int
@@ -58,69 +60,69 @@
 	Violations []string
 }
 
-// keyring holds the keys in use.
+// keyring holds the keys that callers use.
 type keyring struct {
 	mu   sync.Mutex
 	keys []string
-	// stale are keys that were taken away and that some callers still use.
-	stale []string
+	// revoked are revoked keys, which some requests still use.
+	revoked []string
 }
 
-// pick is a key; one in twenty callers uses one that was taken away.
-func (k *keyring) pick(r *rand.Rand) string {
+// random returns a random key. One in revokedKeyRatio requests gets a revoked key.
+func (k *keyring) random(r *rand.Rand) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.stale) > 0 && r.IntN(staleOf) == 0 {
-		return k.stale[r.IntN(len(k.stale))]
+	if len(k.revoked) > 0 && r.IntN(revokedKeyRatio) == 0 {
+		return k.revoked[r.IntN(len(k.revoked))]
 	}
 	return k.keys[r.IntN(len(k.keys))]
 }
 
-// staleOf is one in how many requests carries a key that was taken away.
-const staleOf = 20
+// revokedKeyRatio is the ratio of all requests to those with a revoked key.
+const revokedKeyRatio = 20
 
-// run is one run.
+// run is the state of one run.
 type run struct {
-	o       Options
+	options Options
 	rnd     *rand.Rand
-	ledger  *ledger
+	history *history
 	ports   *ports
 	store   *standin.Store
 	storeLn net.Listener
 	daemons []*process
 	mu      sync.Mutex
 	targets []*target
-	// leaving are targets that said that they leave.
-	leaving []*target
-	lives   int
-	version uint64
-	keys    *keyring
-	routes  []fireflypath.Route
-	// harms counts the faults of the store, and of ways to it, that are in force
-	// or were a little before.
-	harms  atomic.Int32
-	prober *prober
-	deadly deadly
-	faults map[string]int
-	tried  atomic.Int64
-	whole  atomic.Int64
+	// leaving are the targets whose registration said that they are leaving.
+	leaving      []*target
+	incarnations int
+	version      uint64
+	keys         *keyring
+	routes       []fireflypath.Route
+	// disturbances counts the faults of the store and of connections to it that are
+	// active or ended recently.
+	disturbances  atomic.Int32
+	prober        *prober
+	poisonCrashes poisonCrashes
+	faults        map[string]int
+	attempted     atomic.Int64
+	succeeded     atomic.Int64
 }
 
-// Run plays one seed.
+// Run executes one run.
 func Run(ctx context.Context, o Options) (Result, error) {
 	r := &run{
-		o: o, rnd: rand.New(rand.NewPCG(o.Seed, 1)), ledger: newLedger(), ports: newPorts(), store: standin.New(),
+		options: o, rnd: rand.New(rand.NewPCG(o.Seed, 1)), history: newHistory(), ports: newPorts(), store: standin.New(),
 		keys: &keyring{keys: []string{"k0", "k1", "k2"}}, faults: map[string]int{}, routes: routes(),
 	}
 	r.prober = &prober{
-		ledger: r.ledger, names: platform.Codec{}.Headers(),
+		history: r.history, headers: platform.Codec{}.Headers(),
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	if err := r.setUp(ctx); err != nil {
 		r.close()
 		return Result{}, err
 	}
-	r.play(ctx)
+	r.execute(ctx)
 	r.close()
 	return r.result(), nil
 }
@@ -149,7 +151,7 @@
 	}
 	r.storeLn = ln
 	go func() { _ = (&http.Server{Handler: r.store, ReadHeaderTimeout: time.Minute}).Serve(ln) }()
-	for range r.o.Targets {
+	for range r.options.Targets {
 		if err := r.addTarget(); err != nil {
 			return err
 		}
@@ -157,7 +159,7 @@
 	if err := r.configure(); err != nil {
 		return err
 	}
-	ports, release, err := r.ports.reserve(r.o.Daemons)
+	ports, release, err := r.ports.reserve(r.options.Daemons)
 	if err != nil {
 		return err
 	}
@@ -166,32 +168,32 @@
 	for _, p := range ports {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", loopback.Addr(), p[2]))
 	}
-	var made []*process
+	var processes []*process
 	for i, p := range ports {
-		d, err := newProcess(r.o.Dir, r.o.Program, fmt.Sprintf("d%d", i), ln.Addr().String(), seeds[:min(3, len(seeds))], p, r.ports)
+		d, err := newProcess(r.options.Dir, r.options.Program, fmt.Sprintf("d%d", i), ln.Addr().String(), seeds[:min(3, len(seeds))], p, r.ports)
 		if err != nil {
 			return err
 		}
-		d.note = r.noteErr
-		made = append(made, d)
+		d.onError = r.reportError
+		processes = append(processes, d)
 	}
 	release()
-	for _, d := range made {
+	for _, d := range processes {
 		if err := d.start(); err != nil {
 			return err
 		}
 		r.daemons = append(r.daemons, d)
 	}
-	return r.await(ctx, startTime)
+	return r.waitReady(ctx, startTimeout)
 }
 
-// await waits until all daemons take callers.
-func (r *run) await(ctx context.Context, limit time.Duration) error {
+// waitReady waits until all daemons are ready for callers.
+func (r *run) waitReady(ctx context.Context, limit time.Duration) error {
 	end := time.Now().Add(limit)
 	for _, d := range r.daemons {
-		for !d.up() {
+		for !d.isReady() {
 			if time.Now().After(end) || ctx.Err() != nil {
-				return fmt.Errorf("%s is not ready; its log ends with %s", d.name, d.lastWords())
+				return fmt.Errorf("%s is not ready; its log ends with %s", d.name, d.logTail())
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -202,67 +204,69 @@
 func (r *run) addTarget() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives++
-	return r.startTarget(fmt.Sprintf("t%d", r.lives))
+	r.incarnations++
+	return r.startTarget(fmt.Sprintf("t%d", r.incarnations))
 }
 
-// startAgain starts a target that crashed under the name that it had. Its
-// registration was there all the while.
-func (r *run) startAgain(t *target) error {
+// restartTarget restarts a crashed target under the same name. Its registration was not
+// removed in the meantime.
+func (r *run) restartTarget(t *target) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lives++
+	r.incarnations++
 	return r.startTarget(t.name)
 }
 
-// startTarget starts the next life under the name. The caller holds mu.
+// startTarget starts the next incarnation of a target. The caller holds mu.
 func (r *run) startTarget(name string) error {
-	t, err := newTarget(name, "p", r.lives, r.ledger, r.ports, r.o.Seed+uint64(r.lives))
+	t, err := newTarget(name, "p", r.incarnations, r.history, r.ports, r.options.Seed+uint64(r.incarnations))
 	if err != nil {
 		return err
 	}
-	t.dies = func() { r.endDeadly(t) }
+	t.onPoison = func() { r.crashByPoison(t) }
 	r.targets = append(r.targets, t)
 	return r.store.PutTarget(t.registration())
 }
 
-// configure writes the next version.
+// configure writes the next version of the configuration to the store. The caller holds mu,
+// except during setUp.
 func (r *run) configure() error {
 	r.version += 1 + uint64(r.rnd.IntN(3))
 	return r.store.PutConfig(r.version, append(r.routes[:len(r.routes):len(r.routes)], r.prober.next()), []fireflypath.Pool{{Name: "p"}}, []standin.Team{{Name: "red", Keys: r.keys.keys}})
 }
 
-// play lets callers send while faults strike, and looks at service afterwards.
-func (r *run) play(ctx context.Context) {
+// execute injects faults while callers send requests, and then checks that the fleet has
+// recovered.
+func (r *run) execute(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
-	for i := range r.o.Callers {
+	for i := range r.options.Callers {
 		c := &caller{
-			n: i, names: platform.Codec{}.Headers(), ledger: r.ledger, daemons: r.daemons, keys: r.keys,
+			index: i, headers: platform.Codec{}.Headers(), history: r.history, daemons: r.daemons, keys: r.keys,
 			client: &http.Client{Transport: &http.Transport{}},
-			rnd:    rand.New(rand.NewPCG(r.o.Seed, uint64(100+i))), tried: &r.tried, whole: &r.whole, hot: r.o.PoisonRequest,
+			rnd:    rand.New(rand.NewPCG(r.options.Seed, uint64(100+i))), attempted: &r.attempted, succeeded: &r.succeeded, sendsSharedBody: r.options.PoisonRequest,
 		}
 		wg.Go(func() { c.run(ctx) })
 	}
-	if r.o.PoisonRequest {
-		wg.Go(func() { r.sendDeadly(ctx) })
+	if r.options.PoisonRequest {
+		wg.Go(func() { r.sendPoisonRequests(ctx) })
 	}
 	for _, d := range r.daemons {
-		wg.Go(func() { r.prober.run(ctx, d, func() bool { return r.harms.Load() == 0 && d.calm() }) })
+		wg.Go(func() { r.prober.run(ctx, d, func() bool { return r.disturbances.Load() == 0 && d.isStable() }) })
 	}
-	if !r.o.NoFaults {
-		r.strike(ctx)
+	if !r.options.NoFaults {
+		r.injectFaults(ctx)
 	}
-	sleep(ctx, settleTime)
-	tried, whole := r.tried.Load(), r.whole.Load()
-	sleep(ctx, afterTime)
-	tried, whole = r.tried.Load()-tried, r.whole.Load()-whole
-	r.ledger.check(promiseRecover, tried > 0 && float64(whole) >= afterPart*float64(tried),
-		"%d of %d requests were whole after the faults", whole, tried)
+	sleep(ctx, recoveryTime)
+	attempted, succeeded := r.attempted.Load(), r.succeeded.Load()
+	sleep(ctx, measureTime)
+	attempted, succeeded = r.attempted.Load()-attempted, r.succeeded.Load()-succeeded
+	r.history.check(invariantRecovery, attempted > 0 && float64(succeeded) >= minSuccessRatio*float64(attempted),
+		"%d of %d requests succeeded after the faults", succeeded, attempted)
 	cancel()
 	wg.Wait()
-	if r.o.PoisonRequest {
-		r.judgeDeadly()
+	if r.options.PoisonRequest {
+		r.checkPoisonCrashes()
 	}
 }
 
@@ -274,22 +278,22 @@
 }
 
 func (r *run) result() Result {
-	l := r.ledger
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := Result{Seed: r.o.Seed, Requests: len(l.requests), Faults: r.faults, Checked: map[string]int{}}
-	for _, p := range promises {
-		out.Checked[string(p)] = l.checked[p]
+	h := r.history
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	out := Result{Seed: r.options.Seed, Requests: len(h.requests), Faults: r.faults, Checked: map[string]int{}}
+	for _, p := range invariants {
+		out.Checked[string(p)] = h.checked[p]
 	}
-	for _, b := range l.broken {
-		out.Violations = append(out.Violations, string(b.promise)+": "+b.detail)
+	for _, b := range h.violations {
+		out.Violations = append(out.Violations, string(b.invariant)+": "+b.detail)
 	}
 	return out
 }
 
 func (r *run) close() {
 	for _, d := range r.daemons {
-		r.noteErr(d.kill())
+		r.reportError(d.kill())
 	}
 	for _, t := range r.targets {
 		t.crash()
@@ -299,10 +303,10 @@
 	}
 }
 
-// Invariants lists what is checked, in the order of reports.
+// Invariants returns the descriptions of the invariants in the order of reports.
 func Invariants() []string {
 	var out []string
-	for _, p := range promises {
+	for _, p := range invariants {
 		out = append(out, string(p))
 	}
 	return out
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,18 +11,18 @@
 	"github.com/fireflypath/fireflypath/internal/soak"
 )
 
-// Three real daemons are killed, stopped and cut off between callers and
-// targets that fail too. Whatever happens, no promise is broken.
-func TestShortSoak(t *testing.T) {
-	play(t, soak.Options{Seed: 11})
+// Three daemon processes serve callers while random faults are injected into the daemons,
+// the targets and the store. No invariant may be violated.
+func TestSoak(t *testing.T) {
+	runSoak(t, soak.Options{Seed: 11})
 }
 
-// The same, while one caller's request ends each target that begins to run it.
-func TestShortSoakWithADeadlyRequest(t *testing.T) {
-	play(t, soak.Options{Seed: 12, PoisonRequest: true})
+// Like TestSoak, while one caller sends a request that crashes each target that runs it.
+func TestSoakWithPoisonRequest(t *testing.T) {
+	runSoak(t, soak.Options{Seed: 12, PoisonRequest: true})
 }
 
-func play(t *testing.T, o soak.Options) {
+func runSoak(t *testing.T, o soak.Options) {
 	t.Helper()
 	is := is.New(t)
 	o.Dir = t.TempDir()
--- a/internal/soak/target.go
+++ b/internal/soak/target.go
@@ -16,39 +16,39 @@
 )
 
 const (
-	// streamEvents is the number of events of a stream, eventPause the time
-	// between two; workTime is how long a plain request takes.
+	// streamEvents is the number of events of a stream and eventPause the time between
+	// two of them. workTime is the duration of a request without a stream.
 	streamEvents = 12
 	eventPause   = 15 * time.Millisecond
 	workTime     = 20 * time.Millisecond
 	targetSlots  = 6
 )
 
-// target is one life of a back end.
+// target is one incarnation of a target.
 type target struct {
 	name string
 	pool string
-	// life is the number of this life among those of all targets; it grows, so it
-	// is the incarnation too.
-	life   int
-	names  fireflypath.Headers
-	ledger *ledger
-	srv    *http.Server
-	ln     net.Listener
-	proxy  *proxy
-	// left is when its registration said that it leaves, in Unix nanoseconds; 0
-	// while it does not.
-	left atomic.Int64
-	// cut is the part of answers that break off, lose the part that is never sent.
-	cut, lose atomic.Uint64 // in thousandths
-	// dies ends it, when it begins to run the deadly request.
-	dies func()
+	// incarnation is unique among all targets of the run and increases with each start.
+	incarnation int
+	headers     fireflypath.Headers
+	history     *history
+	srv         *http.Server
+	ln          net.Listener
+	proxy       *proxy
+	// leavingSince is when the registration said that the target is leaving, in Unix
+	// nanoseconds, or 0 if the target is not leaving or not checked.
+	leavingSince atomic.Int64
+	// truncateRate is the fraction of responses that are truncated, dropRate the
+	// fraction that is never sent. Both are in thousandths.
+	truncateRate, dropRate atomic.Uint64
+	// onPoison is called when the target starts to run the poison request, and crashes it.
+	onPoison func()
 
 	mu  sync.Mutex
 	rnd *rand.Rand
 }
 
-func newTarget(name, pool string, life int, l *ledger, ps *ports, seed uint64) (*target, error) {
+func newTarget(name, pool string, life int, l *history, ps *ports, seed uint64) (*target, error) {
 	ln, err := ps.listen()
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	t := &target{
-		name: name, pool: pool, life: life, names: platform.Codec{}.Headers(), ledger: l, ln: ln, proxy: p,
+		name: name, pool: pool, incarnation: life, headers: platform.Codec{}.Headers(), history: l, ln: ln, proxy: p,
 		rnd: rand.New(rand.NewPCG(seed, 3)),
 	}
 	t.srv = &http.Server{Handler: t, ReadHeaderTimeout: time.Minute}
@@ -66,57 +66,57 @@
 	return t, nil
 }
 
-// registration is what the target writes about itself.
+// registration returns the target's registration in the store.
 func (t *target) registration() fireflypath.Target {
 	return fireflypath.Target{
-		Name: t.name, Pool: t.pool, Addr: t.proxy.addr(), Domain: "a", Slots: targetSlots, Drained: t.left.Load() != 0,
-		Incarnation: uint64(t.life),
+		Name: t.name, Pool: t.pool, Addr: t.proxy.addr(), Domain: "a", Slots: targetSlots, Drained: t.leavingSince.Load() != 0,
+		Incarnation: uint64(t.incarnation),
 	}
 }
 
 func (t *target) crash() {
 	t.proxy.close()
-	_ = t.srv.Close() // a crash has no use for the error
+	_ = t.srv.Close() // an error does not matter for a crash
 }
 
-func (t *target) chance(part uint64) bool {
-	return uint64(t.draw(1000)) < part
+func (t *target) happens(part uint64) bool {
+	return uint64(t.randN(1000)) < part
 }
 
-// draw is a number below n; requests draw at the same time.
-func (t *target) draw(n int) int {
+// randN returns a random number in [0, n). It is safe for concurrent use.
+func (t *target) randN(n int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rnd.IntN(n)
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP handles one request.
 func (t *target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	h := w.Header()
-	id := r.Header.Get(t.names.ID)
-	h.Set(t.names.ID, id)
-	if want := r.Header.Get(t.names.Target); want != t.name {
-		h.Set(t.names.Instance, t.name)
+	id := r.Header.Get(t.headers.ID)
+	h.Set(t.headers.ID, id)
+	if want := r.Header.Get(t.headers.Target); want != t.name {
+		h.Set(t.headers.Instance, t.name)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if at := t.left.Load(); at != 0 {
+	if at := t.leavingSince.Load(); at != 0 {
 		late := time.Since(time.Unix(0, at))
-		t.ledger.check(promiseDrained, late < drainTime, "%s reached %s %v after that said it leaves", id, t.name, late)
+		t.history.check(invariantDrained, late < drainTime, "%s reached %s %v after the target announced that it is leaving", id, t.name, late)
 	}
-	t.ledger.ran(id, string(body), t.name)
-	h.Set(t.names.Signature, "by "+t.name)
-	if string(body) == deadlyBody {
+	t.history.recordRun(id, string(body), t.name)
+	h.Set(t.headers.Signature, "by "+t.name)
+	if string(body) == poisonBody {
 		time.Sleep(workTime)
-		go t.dies() // it waits for the handlers of the server
+		go t.onPoison() // closing the server must not wait for this handler
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
-	if t.chance(t.lose.Load()) {
+	if t.happens(t.dropRate.Load()) {
 		panic(http.ErrAbortHandler)
 	}
 	if form := r.URL.Query().Get("form"); form == "events" {
@@ -124,25 +124,25 @@
 		return
 	}
 	time.Sleep(workTime)
-	text := answerOf(id)
+	text := responseBody(id)
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	if t.chance(t.cut.Load()) {
+	if t.happens(t.truncateRate.Load()) {
 		_, _ = io.WriteString(w, text[:len(text)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(w, text)
 }
 
-func answerOf(id string) string { return "the whole answer to " + id }
+func responseBody(id string) string { return "the whole answer to " + id }
 
-func eventOf(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
+func eventText(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
 
 func (t *target) stream(w http.ResponseWriter, r *http.Request) {
-	id := r.Header.Get(t.names.ID)
-	from, _ := strconv.Atoi(r.Header.Get(t.names.Event))
+	id := r.Header.Get(t.headers.ID)
+	from, _ := strconv.Atoi(r.Header.Get(t.headers.Event))
 	breaks := streamEvents + 1
-	if t.chance(t.cut.Load()) {
-		breaks = from + 1 + t.draw(streamEvents)
+	if t.happens(t.truncateRate.Load()) {
+		breaks = from + 1 + t.randN(streamEvents)
 	}
 	w.WriteHeader(http.StatusOK)
 	for n := from + 1; n <= streamEvents; n++ {
@@ -151,7 +151,7 @@
 			return
 		case <-time.After(eventPause):
 		}
-		e := eventOf(id, n)
+		e := eventText(id, n)
 		if n == breaks {
 			_, _ = io.WriteString(w, e[:len(e)/2])
 			w.(http.Flusher).Flush()
