--- a/internal/syntax/error.go
+++ b/internal/syntax/error.go
@@ -7,22 +7,22 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Error says where a text cannot be read and what could have stood there.
+// Error is a syntax error. It describes its position and the tokens that would have been valid.
 type Error struct {
-	// Line and Column count from 1, Column in characters.
+	// Line and Column start at 1. Column counts characters.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Source is the line itself.
+	// Source is the text of the line.
 	Source string `json:"source"`
-	// Found is the token there, empty at the end of the text.
+	// Found is the token at the position, empty at the end of the text.
 	Found string `json:"found"`
-	// Expected lists what could have stood there.
+	// Expected lists the tokens that would have been valid.
 	Expected []string `json:"expected,omitempty"`
-	// Detail is a sentence in place of the list.
+	// Detail is the error message if Expected is empty.
 	Detail string `json:"detail,omitempty"`
 }
 
-// NewError makes an error with a sentence at a place of the text.
+// NewError returns an error at a position of the text.
 func NewError(text string, pos lexer.Position, detail string) *Error {
 	e := &Error{Line: max(pos.Line, 1), Column: max(pos.Column, 1), Detail: detail}
 	lines := strings.Split(text, "\n")
@@ -32,16 +32,16 @@
 	return e
 }
 
-// Error prints the sentence, the line and a caret below the place.
+// Error returns the message, the line and a caret below the position.
 func (e *Error) Error() string {
-	head := fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.sentence())
+	message := fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.message())
 	if e.Source == "" {
-		return head
+		return message
 	}
-	return head + "\n  " + e.Source + "\n  " + strings.Repeat(" ", e.Column-1) + "^"
+	return message + "\n  " + e.Source + "\n  " + strings.Repeat(" ", e.Column-1) + "^"
 }
 
-func (e *Error) sentence() string {
+func (e *Error) message() string {
 	found := "end of the text"
 	if e.Found != "" {
 		found = fmt.Sprintf("%q", e.Found)
--- a/internal/syntax/language.go
+++ b/internal/syntax/language.go
@@ -1,4 +1,4 @@
-// Package syntax parses the operators' languages and explains what does not parse.
+// Package syntax parses the operators' languages and explains syntax errors.
 package syntax
 
 import (
@@ -12,20 +12,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxTextBytes bounds a command or query in bytes: the audit trail keeps the words
-// as given and takes no longer line. About a hundred teams with their keys fit;
-// more are split into several changes.
+// MaxTextBytes is the maximum size of a command or query: the audit trail stores the text verbatim
+// and accepts no longer line. About a hundred teams with their keys fit; more must be split into
+// several changes.
 const MaxTextBytes = 16 << 10
 
-// maxProbe bounds the text that is parsed again for each keyword to explain an
-// error. Without it, 16 KiB of semicolons and one wrong word took 3 s of a core.
-const maxProbe = 1 << 10
+// maxExplainedBytes bounds the text that is parsed again for each keyword to explain an error.
+// Without it, 16 KiB of semicolons and one wrong word took 3 s of CPU time.
+const maxExplainedBytes = 1 << 10
 
-// separator is a token behind which every language here begins anew.
+// separator is the token after which every language starts over at its first rule.
 const separator = ";"
 
-// probe stands for a word that is no keyword of any language here.
-const probe = "0probe0"
+// nonKeyword is a word that is not a keyword of any language. It is used to test whether any word
+// is accepted.
+const nonKeyword = "0probe0"
 
 var tokens = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
@@ -36,50 +37,50 @@
 	{Name: "Mark", Pattern: `[;,]`},
 })
 
-var literal = regexp.MustCompile(`"([a-z0-9]+|[;,=!<>~]+)"`)
+var literalPattern = regexp.MustCompile(`"([a-z0-9]+|[;,=!<>~]+)"`)
 
-// Word is a name or value, with its place for errors.
+// Word is a name or value with its position, for errors.
 type Word struct {
 	Pos  lexer.Position
 	Text string `parser:"@(Word | String)"`
 }
 
-// Language is a grammar with one token of lookahead, so that the place of an
-// error is the first token that cannot stand where it does.
+// Language is a grammar with one token of lookahead, so that the position of an error is the first
+// token that is not valid there.
 type Language[G any] struct {
 	parser *participle.Parser[G]
-	// literals are the grammar's keywords in its own order, then its marks.
-	literals []string
-	// values says what follows a keyword: "rank" is followed by "a whole number".
-	values map[string]string
+	// keywords are the grammar's keywords in order of appearance, then its punctuation.
+	keywords []string
+	// valueNames describes the value after a keyword: "rank" is followed by "a whole number".
+	valueNames map[string]string
 }
 
-// New builds the language of the grammar G. It panics if G is no grammar.
+// New builds the language of the grammar G. It panics if G is not a valid grammar.
 func New[G any](values map[string]string) *Language[G] {
-	l := &Language[G]{values: values}
+	l := &Language[G]{valueNames: values}
 	l.parser = participle.MustBuild[G](
 		participle.Lexer(tokens),
 		participle.Elide("Comment", "Space"),
 		participle.Unquote("String"),
 	)
-	var marks []string
-	for _, m := range literal.FindAllStringSubmatch(l.parser.String(), -1) {
+	var punctuation []string
+	for _, m := range literalPattern.FindAllStringSubmatch(l.parser.String(), -1) {
 		switch {
-		case slices.Contains(l.literals, m[1]) || slices.Contains(marks, m[1]):
+		case slices.Contains(l.keywords, m[1]) || slices.Contains(punctuation, m[1]):
 		case strings.ContainsAny(m[1], ";,=<>~"):
-			marks = append(marks, m[1])
+			punctuation = append(punctuation, m[1])
 		default:
-			l.literals = append(l.literals, m[1])
+			l.keywords = append(l.keywords, m[1])
 		}
 	}
-	l.literals = append(l.literals, marks...)
+	l.keywords = append(l.keywords, punctuation...)
 	return l
 }
 
-// Parse reads the whole text, or returns an *Error.
+// Parse parses the whole text. Its error is an *Error.
 func (l *Language[G]) Parse(text string) (*G, error) {
 	if len(text) > MaxTextBytes {
-		return nil, &Error{Line: 1, Column: 1, Detail: tooLong(len(text))}
+		return nil, &Error{Line: 1, Column: 1, Detail: tooLongMessage(len(text))}
 	}
 	g, err := l.parser.ParseString("", text)
 	if err == nil {
@@ -102,7 +103,7 @@
 		return e
 	}
 	e.Found = unexpected.Unexpected.Value
-	prefix, ok := recent(text[:min(pos.Offset, len(text))])
+	prefix, ok := relevantPrefix(text[:min(pos.Offset, len(text))])
 	if !ok {
 		e.Detail = fmt.Sprintf("%q cannot stand here", e.Found)
 		return e
@@ -111,23 +112,23 @@
 	return e
 }
 
-// recent is the end of the prefix that decides what may follow, and whether it
-// is short enough to be tried.
-func recent(prefix string) (string, bool) {
+// relevantPrefix returns the end of the prefix that determines which tokens may follow, and whether
+// it is short enough to be parsed again.
+func relevantPrefix(prefix string) (string, bool) {
 	if i := strings.LastIndex(prefix, separator); i >= 0 && !strings.ContainsAny(prefix[i:], "\"#") {
 		prefix = prefix[i:]
 	}
-	return prefix, len(prefix) <= maxProbe
+	return prefix, len(prefix) <= maxExplainedBytes
 }
 
-// expected tries every literal, and a plain word, behind the prefix: those that
-// the parser gets past could have stood there.
+// expected returns the tokens that are valid after the prefix. It parses the prefix followed by each
+// keyword, and by an arbitrary word, and returns those that the parser gets past.
 func (l *Language[G]) expected(prefix string) []string {
 	var out []string
-	if l.accepts(prefix, probe) {
-		return append(out, l.value(prefix))
+	if l.accepts(prefix, nonKeyword) {
+		return append(out, l.valueName(prefix))
 	}
-	for _, word := range l.literals {
+	for _, word := range l.keywords {
 		if l.accepts(prefix, word) {
 			out = append(out, word)
 		}
@@ -136,32 +137,32 @@
 }
 
 func (l *Language[G]) accepts(prefix, word string) bool {
-	at := len(prefix) + 1
+	offset := len(prefix) + 1
 	_, err := l.parser.ParseString("", prefix+" "+word)
 	var perr participle.Error
-	return err == nil || errors.As(err, &perr) && perr.Position().Offset > at
+	return err == nil || errors.As(err, &perr) && perr.Position().Offset > offset
 }
 
-// value names the word that the last keyword of the prefix asks for.
-func (l *Language[G]) value(prefix string) string {
+// valueName describes the value that the last keyword of the prefix expects.
+func (l *Language[G]) valueName(prefix string) string {
 	words := strings.FieldsFunc(prefix, func(r rune) bool { return r == ' ' || r == '\n' || r == '\t' })
 	if len(words) > 0 {
-		if v, ok := l.values[words[len(words)-1]]; ok {
+		if v, ok := l.valueNames[words[len(words)-1]]; ok {
 			return v
 		}
 	}
 	return "a name"
 }
 
-// Keywords are the grammar's keywords, for completion.
+// Keywords returns the grammar's keywords and punctuation, for completion.
 func (l *Language[G]) Keywords() []string {
-	return l.literals
+	return l.keywords
 }
 
-// Complete lists the keywords that may follow the text.
+// Complete returns the keywords that may follow the text.
 func (l *Language[G]) Complete(text string) []string {
 	var out []string
-	for _, word := range l.literals {
+	for _, word := range l.keywords {
 		if l.accepts(text, word) {
 			out = append(out, word)
 		}
@@ -169,7 +170,7 @@
 	return out
 }
 
-func tooLong(n int) string {
+func tooLongMessage(n int) string {
 	return fmt.Sprintf("the text is %d bytes, above the limit of %d: split it into several", n, MaxTextBytes)
 }
 
