--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,4 +1,4 @@
-// Package plan tells what a change would do and what it would break.
+// Package plan describes what a configuration change would do and what it would break.
 package plan
 
 import (
@@ -12,13 +12,13 @@
 
 // Plan is the difference between two configurations.
 type Plan struct {
-	// Lines begin with + for what is new, - for what goes and ~ for what changes.
+	// Lines start with + for added, - for removed and ~ for changed items.
 	Lines []string `json:"lines"`
-	// BreakingChanges tells what would no longer work though the change is allowed.
+	// BreakingChanges lists what would no longer work although the change is valid.
 	BreakingChanges []string `json:"breaks,omitempty"`
 }
 
-// Compare compares the configuration in force with the next one.
+// Compare returns the difference between the configuration in force and the next one.
 func Compare(old, next *fireflypath.Config) *Plan {
 	p := &Plan{}
 	diff(p, "tier", old.Tiers, next.Tiers)
@@ -27,26 +27,26 @@
 	diff(p, "target", old.Targets, next.Targets)
 	diff(p, "rule", old.Rules, next.Rules)
 	diff(p, "operator", old.Operators, next.Operators)
-	p.BreakingChanges = breaks(old, next)
+	p.BreakingChanges = breakingChanges(old, next)
 	return p
 }
 
-// diff compares two lists of structs by their field Name.
+// diff compares two lists of structs, which are identified by their field Name.
 func diff[T any](p *Plan, kind string, old, next []T) {
-	before := byName(old)
+	oldByName := byName(old)
 	for i := range next {
 		name := nameOf(&next[i])
-		was, ok := before[name]
-		delete(before, name)
+		oldItem, ok := oldByName[name]
+		delete(oldByName, name)
 		switch {
 		case !ok:
-			p.Lines = append(p.Lines, "+ "+kind+" "+name+fields(&next[i]))
-		case !reflect.DeepEqual(*was, next[i]):
-			p.Lines = append(p.Lines, "~ "+kind+" "+name+changed(was, &next[i]))
+			p.Lines = append(p.Lines, "+ "+kind+" "+name+formatFields(&next[i]))
+		case !reflect.DeepEqual(*oldItem, next[i]):
+			p.Lines = append(p.Lines, "~ "+kind+" "+name+formatChanges(oldItem, &next[i]))
 		}
 	}
 	for i := range old {
-		if name := nameOf(&old[i]); before[name] != nil {
+		if name := nameOf(&old[i]); oldByName[name] != nil {
 			p.Lines = append(p.Lines, "- "+kind+" "+name)
 		}
 	}
@@ -64,40 +64,40 @@
 	return reflect.ValueOf(v).Elem().FieldByName("Name").String()
 }
 
-// fields prints the fields that are set, by their short names.
-func fields(v any) string {
+// formatFields formats the non-zero fields with their JSON names.
+func formatFields(v any) string {
 	var b strings.Builder
 	rv := reflect.ValueOf(v).Elem()
 	for i := range rv.NumField() {
 		if rv.Field(i).IsZero() || rv.Type().Field(i).Name == "Name" {
 			continue
 		}
-		fmt.Fprintf(&b, " %s %s", tag(rv.Type().Field(i)), show(rv.Field(i)))
+		fmt.Fprintf(&b, " %s %s", jsonName(rv.Type().Field(i)), formatValue(rv.Field(i)))
 	}
 	return b.String()
 }
 
-func changed(was, is any) string {
+func formatChanges(old, next any) string {
 	var b strings.Builder
-	a, z := reflect.ValueOf(was).Elem(), reflect.ValueOf(is).Elem()
-	for i := range a.NumField() {
-		if !reflect.DeepEqual(a.Field(i).Interface(), z.Field(i).Interface()) {
-			fmt.Fprintf(&b, " %s %s -> %s", tag(a.Type().Field(i)), show(a.Field(i)), show(z.Field(i)))
+	oldFields, nextFields := reflect.ValueOf(old).Elem(), reflect.ValueOf(next).Elem()
+	for i := range oldFields.NumField() {
+		if !reflect.DeepEqual(oldFields.Field(i).Interface(), nextFields.Field(i).Interface()) {
+			fmt.Fprintf(&b, " %s %s -> %s", jsonName(oldFields.Type().Field(i)), formatValue(oldFields.Field(i)), formatValue(nextFields.Field(i)))
 		}
 	}
 	return b.String()
 }
 
-func tag(f reflect.StructField) string {
+func jsonName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	return name
 }
 
-// show prints a value; of keys only the start of the hash is of use.
-func show(v reflect.Value) string {
+// formatValue formats a value. Keys are shortened to the start of their hash, which identifies them.
+func formatValue(v reflect.Value) string {
 	switch x := v.Interface().(type) {
 	case []fireflypath.Key:
-		return showKeys(x)
+		return formatKeys(x)
 	case []string:
 		if len(x) == 0 {
 			return "all"
@@ -116,7 +116,7 @@
 	return strings.Trim(string(text), `"`)
 }
 
-func showKeys(keys []fireflypath.Key) string {
+func formatKeys(keys []fireflypath.Key) string {
 	if len(keys) == 0 {
 		return "none"
 	}
