--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,4 +1,4 @@
-// Package client speaks to a daemon's operators' endpoints.
+// Package client is the client of the daemons' operator endpoints.
 package client
 
 import (
@@ -18,41 +18,41 @@
 )
 
 const (
-	// tries bounds how often a command is sent, always under the same id, so
-	// that it is done once however many of them arrive.
-	tries = 3
-	// callTimeout is above what a daemon takes to say that an outcome is
-	// unknown to it, so that its own words reach the operator.
-	callTimeout = 12 * time.Second
-	dialTimeout = 2 * time.Second
-	maxAnswer   = 64 << 20
+	// maxAttempts is how often a command is sent. All attempts have the same id, so that the
+	// command is executed once even if several arrive.
+	maxAttempts = 3
+	// callTimeout is longer than a daemon takes to report an unknown outcome, so that its response
+	// reaches the operator.
+	callTimeout      = 12 * time.Second
+	dialTimeout      = 2 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-// Errors of a Client, apart from *syntax.Error.
+// Errors of a Client besides *syntax.Error.
 var (
-	// ErrUnreachable means that no daemon took the call.
+	// ErrUnreachable means that no daemon accepted the request.
 	ErrUnreachable = errors.New("no daemon can be reached")
-	// ErrRefused means that the daemon refused to answer.
+	// ErrRefused means that the daemon refused the request.
 	ErrRefused = errors.New("refused")
 )
 
-// Options tell where the daemons are.
+// Options are the options of a Client.
 type Options struct {
-	// Addrs are tried in turn; https:// in front asks for TLS.
+	// Addrs are the daemons' addresses, which are tried in turn. The prefix https:// enables TLS.
 	Addrs []string
-	// Key is the operator's, empty where none is configured.
+	// Key is the operator's key, empty if none is configured.
 	Key string
-	// Roots check the daemon's certificate; nil takes the system's.
+	// Roots are the CAs that may sign the daemon's certificate; nil means the system's.
 	Roots *x509.CertPool
 }
 
-// Client asks one daemon after another.
+// Client sends requests to one daemon after another until one responds.
 type Client struct {
 	opts Options
 	http fasthttp.Client
 }
 
-// New returns a client.
+// New returns a Client with the given options.
 func New(opts Options) *Client {
 	c := &Client{opts: opts}
 	c.connect()
@@ -61,7 +61,7 @@
 
 func (c *Client) connect() {
 	c.http.TLSConfig = &tls.Config{RootCAs: c.opts.Roots, MinVersion: tls.VersionTLS12}
-	c.http.MaxResponseBodySize = maxAnswer
+	c.http.MaxResponseBodySize = maxResponseBytes
 	c.http.Dial = func(addr string) (net.Conn, error) {
 		conn, err := fasthttp.DialTimeout(addr, dialTimeout)
 		if err != nil {
@@ -71,82 +71,83 @@
 	}
 }
 
-// reply is a daemon's answer.
-type reply struct {
+// response is a daemon's HTTP response.
+type response struct {
 	status int
 	body   []byte
 }
 
-// Execute has a command done. The answer's outcome is OutcomeUnknown unless a daemon
-// said otherwise, and OutcomeUnavailable if none was reached at all.
-func (c *Client) Execute(d wire.CommandRequest) wire.CommandResult {
-	best := wire.CommandResult{ID: d.ID, Outcome: wire.OutcomeUnavailable, Detail: "no address is given"}
-	for i := range tries {
+// Execute sends a command until a daemon reports its outcome. Otherwise the outcome is
+// OutcomeUnavailable if no attempt reached a daemon, and OutcomeUnknown if one may have.
+func (c *Client) Execute(req wire.CommandRequest) wire.CommandResult {
+	res := wire.CommandResult{ID: req.ID, Outcome: wire.OutcomeUnavailable, Detail: "no address is given"}
+	for i := range maxAttempts {
 		addr := c.opts.Addrs[i%len(c.opts.Addrs)]
-		done := c.doOnce(addr, d)
-		switch done.Outcome {
+		attempt := c.executeOnce(addr, req)
+		switch attempt.Outcome {
 		case wire.OutcomeUnknown:
-			best = done
+			res = attempt
 		case wire.OutcomeUnavailable:
-			// Nothing was changed by this attempt; an earlier one may have.
-			if best.Outcome != wire.OutcomeUnknown {
-				best = done
+			// This attempt had no effect, but an earlier one may have had.
+			if res.Outcome != wire.OutcomeUnknown {
+				res = attempt
 			}
 		default:
-			return done
+			return attempt
 		}
 	}
-	return best
+	return res
 }
 
-func (c *Client) doOnce(addr string, d wire.CommandRequest) wire.CommandResult {
-	done := wire.CommandResult{ID: d.ID}
-	r, err := c.post(addr, wire.PathDo, d)
+func (c *Client) executeOnce(addr string, req wire.CommandRequest) wire.CommandResult {
+	res := wire.CommandResult{ID: req.ID}
+	r, err := c.post(addr, wire.PathDo, req)
 	if errors.Is(err, ErrUnreachable) {
-		done.Outcome, done.Detail = wire.OutcomeUnavailable, "nothing was changed: "+err.Error()
-		return done
+		res.Outcome, res.Detail = wire.OutcomeUnavailable, "nothing was changed: "+err.Error()
+		return res
 	}
 	if err != nil {
-		done.Outcome, done.Detail = wire.OutcomeUnknown, "the answer was lost: "+err.Error()
-		return done
+		res.Outcome, res.Detail = wire.OutcomeUnknown, "the answer was lost: "+err.Error()
+		return res
 	}
-	if json.Unmarshal(r.body, &done) == nil && done.Outcome != "" {
-		return done
+	if json.Unmarshal(r.body, &res) == nil && res.Outcome != "" {
+		return res
 	}
-	done.Outcome, done.Detail = wire.OutcomeUnknown, "the answer cannot be read"
+	res.Outcome, res.Detail = wire.OutcomeUnknown, "the answer cannot be read"
 	var f wire.ErrorResponse
 	if json.Unmarshal(r.body, &f) == nil && f.Detail != "" {
-		done.Outcome, done.Detail = wire.OutcomeRefused, f.Detail
+		res.Outcome, res.Detail = wire.OutcomeRefused, f.Detail
 	}
-	return done
+	return res
 }
 
-// Query answers a query. Its errors are *syntax.Error, ErrUnreachable and ErrRefused.
-func (c *Client) Query(words string) (*eval.Result, error) {
+// Query runs a query on one daemon. Its errors are *syntax.Error, ErrUnreachable and ErrRefused.
+func (c *Client) Query(text string) (*eval.Result, error) {
 	var last error
 	for _, addr := range c.opts.Addrs {
-		r, err := c.post(addr, wire.PathAsk, wire.QueryRequest{Text: words})
+		r, err := c.post(addr, wire.PathAsk, wire.QueryRequest{Text: text})
 		if err != nil {
 			last = errors.Mark(err, ErrUnreachable)
 			continue
 		}
-		return decode(r)
+		return decodeResult(r)
 	}
 	return nil, last
 }
 
-// HeldRequests lists the requests that are held or suspected since they end targets.
+// HeldRequests lists the requests that are held or suspected because targets crashed on them.
 func (c *Client) HeldRequests() ([]quarantine.Row, error) {
 	var h wire.HeldResponse
 	return h.Rows, c.call(wire.PathHeld, struct{}{}, &h)
 }
 
-// Release lets a held request run again at all daemons.
+// Release releases a held request at all daemons.
 func (c *Client) Release(digest string) error {
 	return c.call(wire.PathRelease, wire.ReleaseRequest{Digest: digest}, &wire.ReleaseRequest{})
 }
 
-// call tries the daemons in turn. What it asks for may be asked twice.
+// call tries the daemons in turn. It is only for idempotent operations, since an operation may be
+// executed more than once.
 func (c *Client) call(path string, message, result any) error {
 	var last error
 	for _, addr := range c.opts.Addrs {
@@ -156,23 +157,23 @@
 			continue
 		}
 		if r.status != fasthttp.StatusOK {
-			return failure(r)
+			return responseError(r)
 		}
 		return errors.Wrap(json.Unmarshal(r.body, result), "read the answer")
 	}
 	return last
 }
 
-func decode(r *reply) (*eval.Result, error) {
+func decodeResult(r *response) (*eval.Result, error) {
 	if r.status == fasthttp.StatusOK {
 		var a eval.Result
 		return &a, errors.Wrap(json.Unmarshal(r.body, &a), "read the answer")
 	}
-	return nil, failure(r)
+	return nil, responseError(r)
 }
 
-// failure is the error of a refusal.
-func failure(r *reply) error {
+// responseError returns the error for an unsuccessful response.
+func responseError(r *response) error {
 	var f wire.ErrorResponse
 	if err := json.Unmarshal(r.body, &f); err != nil || f.Detail == "" {
 		return errors.Wrapf(ErrRefused, "with status %d", r.status)
@@ -183,10 +184,10 @@
 	return errors.Mark(errors.New(f.Detail), ErrRefused)
 }
 
-func (c *Client) post(addr, path string, message any) (*reply, error) {
+func (c *Client) post(addr, path string, message any) (*response, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		return nil, errors.Wrap(err, "write the call")
+		return nil, errors.Wrap(err, "encode the request")
 	}
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -204,5 +205,5 @@
 	if err := c.http.DoTimeout(req, res, callTimeout); err != nil {
 		return nil, errors.Wrapf(err, "call %s", addr)
 	}
-	return &reply{status: res.StatusCode(), body: append([]byte(nil), res.Body()...)}, nil
+	return &response{status: res.StatusCode(), body: append([]byte(nil), res.Body()...)}, nil
 }
