--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -1,4 +1,4 @@
-// Package certificate serves a TLS certificate that is replaced without a restart.
+// Package certificate reloads a TLS certificate when its files change.
 package certificate
 
 import (
@@ -12,30 +12,29 @@
 	"go.uber.org/zap"
 )
 
-// look is the least time between two looks at the files: renewals come days
-// before the old certificate's end, and a look costs two system calls.
-const look = 10 * time.Second
+// checkInterval is the minimum time between two checks of the files. Certificates are renewed days
+// before they expire, and a check costs two system calls.
+const checkInterval = 10 * time.Second
 
-// Certificate is a key pair in two PEM files. A handshake takes the newest pair
-// that could be read; a half-written or broken pair is logged and the one
-// before it stays in use, because a daemon that refuses every caller over a
-// file in the middle of a copy would cost more than a late renewal.
+// Certificate is a certificate and its key in two PEM files. Handshakes use the last pair that
+// could be loaded. An incomplete or invalid pair is logged and the previous one stays in use: a
+// daemon that refused all callers while a file is being copied would be worse than a late renewal.
 type Certificate struct {
 	certFile, keyFile string
 	clock             clockwork.Clock
 	log               *zap.Logger
 	pair              atomic.Pointer[tls.Certificate]
-	// next is the time of the next look, in Unix nanoseconds.
-	next atomic.Int64
-	seen atomic.Pointer[stamp]
+	// nextCheck is the time of the next check, in Unix nanoseconds.
+	nextCheck atomic.Int64
+	loaded    atomic.Pointer[modTimes]
 }
 
-// stamp tells whether the files changed.
-type stamp struct {
+// modTimes are the modification times of the files, by which changes are detected.
+type modTimes struct {
 	cert, key time.Time
 }
 
-// New reads the pair; it fails if there is none to begin with.
+// New loads the pair. It fails if the pair cannot be loaded.
 func New(certFile, keyFile string, clock clockwork.Clock, log *zap.Logger) (*Certificate, error) {
 	c := &Certificate{certFile: certFile, keyFile: keyFile, clock: clock, log: log}
 	s, err := c.stat()
@@ -45,40 +44,40 @@
 	if err := c.load(s); err != nil {
 		return nil, err
 	}
-	c.next.Store(clock.Now().Add(look).UnixNano())
+	c.nextCheck.Store(clock.Now().Add(checkInterval).UnixNano())
 	return c, nil
 }
 
-// TLSConfig is for a listener; later pairs are served without a new one.
+// TLSConfig returns the configuration for a listener. It always serves the current pair.
 func (c *Certificate) TLSConfig() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: c.get}
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: c.getCertificate}
 }
 
-func (c *Certificate) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-	now, next := c.clock.Now(), c.next.Load()
-	if now.UnixNano() >= next && c.next.CompareAndSwap(next, now.Add(look).UnixNano()) {
+func (c *Certificate) getCertificate(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+	now, next := c.clock.Now(), c.nextCheck.Load()
+	if now.UnixNano() >= next && c.nextCheck.CompareAndSwap(next, now.Add(checkInterval).UnixNano()) {
 		c.reload()
 	}
 	return c.pair.Load(), nil
 }
 
-// reload runs in the one handshake that won the look.
+// reload loads the pair if the files changed. It runs in the one handshake that won the check.
 func (c *Certificate) reload() {
 	s, err := c.stat()
-	if err == nil && *s == *c.seen.Load() {
+	if err == nil && *s == *c.loaded.Load() {
 		return
 	}
 	if err == nil {
 		err = c.load(s)
 	}
 	if err != nil {
-		c.log.Warn("certificate is kept, the new one cannot be read", zap.String("file", c.certFile), zap.Error(err))
+		c.log.Warn("failed to load the new certificate, keeping the previous one", zap.String("file", c.certFile), zap.Error(err))
 		return
 	}
 	c.log.Info("certificate replaced", zap.String("file", c.certFile))
 }
 
-func (c *Certificate) stat() (*stamp, error) {
+func (c *Certificate) stat() (*modTimes, error) {
 	cert, err := os.Stat(c.certFile)
 	if err != nil {
 		return nil, errors.Wrap(err, "read the certificate")
@@ -87,15 +86,15 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "read the certificate's key")
 	}
-	return &stamp{cert: cert.ModTime(), key: key.ModTime()}, nil
+	return &modTimes{cert: cert.ModTime(), key: key.ModTime()}, nil
 }
 
-func (c *Certificate) load(s *stamp) error {
+func (c *Certificate) load(s *modTimes) error {
 	pair, err := tls.LoadX509KeyPair(c.certFile, c.keyFile)
 	if err != nil {
 		return errors.Wrapf(err, "load certificate %s", c.certFile)
 	}
 	c.pair.Store(&pair)
-	c.seen.Store(s)
+	c.loaded.Store(s)
 	return nil
 }
--- a/internal/certificate/certificate_test.go
+++ b/internal/certificate/certificate_test.go
@@ -14,7 +14,7 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-func serial(t *testing.T, cfg *tls.Config) int64 {
+func serialNumber(t *testing.T, cfg *tls.Config) int64 {
 	t.Helper()
 	is := is.New(t)
 	pair, err := cfg.GetCertificate(nil)
@@ -24,10 +24,9 @@
 	return leaf.SerialNumber.Int64()
 }
 
-// A certificate is renewed on a running daemon, and a later renewal is caught
-// half written. Callers must get the first renewal without a restart, and must
-// not be turned away over the second.
-func TestReplaced(t *testing.T) {
+// A renewed certificate must be served without a restart. If a later renewal is read while its
+// file is incomplete, the daemon must continue to serve the previous certificate.
+func TestCertificateReload(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
 	certFile, keyFile := testkit.Pair(t, dir, 1)
@@ -35,21 +34,21 @@
 	c, err := certificate.New(certFile, keyFile, clock, zap.NewNop())
 	is.NoErr(err)
 	cfg := c.TLSConfig()
-	is.Equal(serial(t, cfg), int64(1))
+	is.Equal(serialNumber(t, cfg), int64(1))
 	testkit.Pair(t, dir, 2)
-	is.Equal(serial(t, cfg), int64(1)) // not looked again yet
+	is.Equal(serialNumber(t, cfg), int64(1)) // not checked again yet
 	clock.Advance(10 * time.Second)
-	is.Equal(serial(t, cfg), int64(2))
+	is.Equal(serialNumber(t, cfg), int64(2))
 
 	testkit.PutFile(t, certFile, []byte("half"), 3)
 	clock.Advance(10 * time.Second)
-	is.Equal(serial(t, cfg), int64(2))
+	is.Equal(serialNumber(t, cfg), int64(2))
 	testkit.Pair(t, dir, 4)
 	clock.Advance(10 * time.Second)
-	is.Equal(serial(t, cfg), int64(4))
+	is.Equal(serialNumber(t, cfg), int64(4))
 }
 
-func TestMissing(t *testing.T) {
+func TestMissingFiles(t *testing.T) {
 	_, err := certificate.New("nowhere.pem", "nowhere.key", clockwork.NewFakeClock(), zap.NewNop())
 	is.New(t).True(err != nil)
 }
