--- a/internal/caller/bodies/bodies.go
+++ b/internal/caller/bodies/bodies.go
@@ -27,10 +27,10 @@
 	budget  *Budget
 	rank    int
 	onEvict func()
-	// held is the number of bytes reserved, 0 after an eviction. budget.mu guards both
+	// reserved is the number of reserved bytes, 0 after an eviction. budget.mu guards both
 	// fields.
-	held    int
-	evicted bool
+	reserved int
+	evicted  bool
 }
 
 // Reserve returns an empty reservation for a body of a tier's rank. onEvict is called if the
@@ -60,7 +60,7 @@
 	if r.evicted || !b.makeRoom(n, r.rank) {
 		return false
 	}
-	r.held += n
+	r.reserved += n
 	b.used += n
 	return true
 }
@@ -72,9 +72,9 @@
 		return true
 	}
 	evictable := 0
-	for o := range b.reservations {
-		if o.rank > rank {
-			evictable += o.held
+	for r := range b.reservations {
+		if r.rank > rank {
+			evictable += r.reserved
 		}
 	}
 	if b.used+n-evictable > b.limit {
@@ -90,17 +90,17 @@
 // holds mu.
 func (b *Budget) evictionCandidate() *Reservation {
 	var candidate *Reservation
-	for o := range b.reservations {
-		if o.held > 0 && (candidate == nil || o.rank > candidate.rank) {
-			candidate = o
+	for r := range b.reservations {
+		if r.reserved > 0 && (candidate == nil || r.rank > candidate.rank) {
+			candidate = r
 		}
 	}
 	return candidate
 }
 
 func (r *Reservation) evict() {
-	r.budget.used -= r.held
-	r.held, r.evicted = 0, true
+	r.budget.used -= r.reserved
+	r.reserved, r.evicted = 0, true
 	r.onEvict()
 }
 
@@ -117,6 +117,6 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.reservations, r)
-	b.used -= r.held
-	r.held = 0
+	b.used -= r.reserved
+	r.reserved = 0
 }
--- a/internal/caller/body_test.go
+++ b/internal/caller/body_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// waitHeld waits until n bytes are reserved for bodies.
-func (s *testServer) waitHeld(n int) {
+// waitReserved waits until n bytes are reserved for bodies.
+func (s *testServer) waitReserved(n int) {
 	for s.bodies.Used() != n {
 		runtime.Gosched()
 	}
@@ -118,14 +118,14 @@
 	is := is.New(t)
 	s := startServer(t, settings.Limits{Body: 100_000, PendingBodies: 150_000})
 	lowTier := s.send(bronzeTier+"Content-Length: 100000\r\n", strings.Repeat("x", 70_000))
-	s.waitHeld(100_000)
+	s.waitReserved(100_000)
 	s.expectResponse(s.send(bronzeTier+"Content-Length: 100000\r\n", strings.Repeat("x", 100_000)), 503, `"run":"no"`)
 	s.expectResponse(s.send(bronzeTier+"Transfer-Encoding: chunked\r\n", "11170\r\n"+strings.Repeat("x", 70_000)), 503, `"code":"full"`)
 	s.expectResponse(s.send(bronzeTier+"Content-Length: 20000\r\n", strings.Repeat("x", 20_000)), 200, "20000 bytes")
-	s.waitHeld(100_000)
+	s.waitReserved(100_000)
 	s.expectResponse(s.send(key+"Content-Length: 100000\r\n", strings.Repeat("x", 100_000)), 200, "100000 bytes")
 	s.expectResponse(lowTier, 503, `"run":"no"`)
-	s.waitHeld(0)
+	s.waitReserved(0)
 	is.True(s.bodies.Used() == 0)
 }
 
@@ -136,6 +136,6 @@
 	for range 16 {
 		s.send(bronzeTier+"Content-Length: 4000000\r\n", "x")
 	}
-	s.waitHeld(16 * initialBodyBuffer)
+	s.waitReserved(16 * initialBodyBuffer)
 	s.expectResponse(s.send(bronzeTier+"Content-Length: 4000000\r\n", strings.Repeat("x", 4_000_000)), 200, "4000000 bytes")
 }
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -190,8 +190,8 @@
 // admit reads the body of a request whose header is accepted. It returns false if the
 // request was refused and the reply is written.
 func (s *Server) admit(c *fasthttp.RequestCtx, r *request.Request) bool {
-	rank, known := s.route.Rank(r)
-	if known {
+	rank, accepted := s.route.Rank(r)
+	if accepted {
 		body, ref := s.readBody(c, rank)
 		if ref == nil {
 			r.Inbound.Body = body
@@ -199,7 +199,7 @@
 		}
 		s.route.Refuse(r, ref)
 	}
-	if n := c.Request.Header.ContentLength(); known || n < 0 || n > initialBodyBuffer {
+	if n := c.Request.Header.ContentLength(); accepted || n < 0 || n > initialBodyBuffer {
 		closeUnread(c) // the library reads and discards a small body itself
 	}
 	c.Response.Header.Set(headerID, r.Work.ID)
--- a/internal/http1/client_test.go
+++ b/internal/http1/client_test.go
@@ -29,7 +29,7 @@
 	conns atomic.Int32
 }
 
-func startTarget(t *testing.T, answer func(c net.Conn, n int, r *http.Request) bool) *target {
+func startTarget(t *testing.T, respond func(c net.Conn, n int, r *http.Request) bool) *target {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 					if err != nil {
 						return
 					}
-					if !answer(c, n, r) {
+					if !respond(c, n, r) {
 						return
 					}
 				}
@@ -139,14 +139,14 @@
 // missing. None of them may be taken for a complete one.
 func TestBrokenResponsesAreErrors(t *testing.T) {
 	is := is.New(t)
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"short":   "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab",
 		"chunked": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
 		"garbage": "\x00\x01 not http\r\n\r\n",
 		"nothing": "",
 	} {
 		tg := startTarget(t, func(c net.Conn, _ int, _ *http.Request) bool {
-			io.WriteString(c, answer)
+			io.WriteString(c, response)
 			return false
 		})
 		_, err := readBody(t, newClient(), tg.addr(), "1")
--- a/internal/send/exchange.go
+++ b/internal/send/exchange.go
@@ -171,8 +171,8 @@
 }
 
 // Complete closes an exchange whose content was read completely, although the last chunk of
-// the body may not have arrived yet. The caller does not wait for it: it is read before the
-// connection is used again.
+// the body may not have arrived yet. It does not wait for that chunk, which is read before
+// the connection is used again.
 func (x *Exchange) Complete() {
 	x.Detach()
 	if x.complete || !x.contextAlive || x.Header.ConnectionClose() || x.unpooled {
