--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -166,8 +166,8 @@
 
 func decodeResult(r *response) (*eval.Result, error) {
 	if r.status == fasthttp.StatusOK {
-		var a eval.Result
-		return &a, errors.Wrap(json.Unmarshal(r.body, &a), "read the answer")
+		var res eval.Result
+		return &res, errors.Wrap(json.Unmarshal(r.body, &res), "read the answer")
 	}
 	return nil, responseError(r)
 }
--- a/internal/client/queryall.go
+++ b/internal/client/queryall.go
@@ -58,7 +58,7 @@
 
 // daemons returns the live daemons, as listed by the first daemon that responds.
 func (c *Client) daemons() ([]daemon, error) {
-	a, err := c.Query("daemons")
+	res, err := c.Query("daemons")
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	if strings.HasPrefix(c.opts.Addrs[0], "https://") {
 		scheme = "https://"
 	}
-	t := a.Sections[0].Table
+	t := res.Sections[0].Table
 	name, addr := t.Index("name"), t.Index("operator")
 	if name < 0 || addr < 0 {
 		return nil, errors.Wrap(ErrRefused, "the list of daemons has no addresses")
--- a/internal/query/eval/live.go
+++ b/internal/query/eval/live.go
@@ -29,10 +29,12 @@
 
 // newRequestTable returns an empty table with the columns of ended and open requests.
 func newRequestTable() *table.Table {
-	return newTable(textColumn("id"), textColumn("team"), textColumn("tier"), textColumn("pool"), textColumn("state"), textColumn("reason"),
-		textColumn("target"), timeColumn("arrived"), durationColumn("wait"), durationColumn("first"), durationColumn("total"),
-		numberColumn("prompt"), numberColumn("output"), numberColumn("tokens"), numberColumn("ahead"), numberColumn("resumes"),
-		textColumn("rule"), numberColumn("generation"))
+	return newTable(
+		textColumn("id"), textColumn("team"), textColumn("tier"), textColumn("pool"),
+		textColumn("state"), textColumn("reason"), textColumn("target"), timeColumn("arrived"),
+		durationColumn("wait"), durationColumn("first"), durationColumn("total"),
+		numberColumn("prompt"), numberColumn("output"), numberColumn("tokens"),
+		numberColumn("ahead"), numberColumn("resumes"), textColumn("rule"), numberColumn("generation"))
 }
 
 // openRequests lists the waiting and running requests, oldest first, with their times up to now.
@@ -95,7 +97,8 @@
 	if err != nil && len(lines) == 0 {
 		return nil, errors.Wrapf(ErrAuditTrail, "%v", err)
 	}
-	t := newTable(textColumn("id"), timeColumn("at"), textColumn("who"), numberColumn("from"), numberColumn("to"), textColumn("result"), textColumn("words"))
+	t := newTable(textColumn("id"), timeColumn("at"), textColumn("who"), numberColumn("from"),
+		numberColumn("to"), textColumn("result"), textColumn("words"))
 	for _, l := range lines {
 		t.Rows = append(t.Rows, table.Row{
 			table.Str(l.ID), table.At(l.At), table.Str(l.Operator), table.Num(l.From), table.Num(l.To),
--- a/internal/query/eval/settle.go
+++ b/internal/query/eval/settle.go
@@ -41,9 +41,9 @@
 	if err != nil && !missing {
 		return errors.Wrapf(ErrAuditTrail, "command %s: %v", id, err)
 	}
-	lines, terr := e.src.Committer.Trail(ctx, SettleSearchLines)
-	if terr != nil {
-		return errors.Wrapf(ErrAuditTrail, "command %s: %v", id, terr)
+	lines, trailErr := e.src.Committer.Trail(ctx, SettleSearchLines)
+	if trailErr != nil {
+		return errors.Wrapf(ErrAuditTrail, "command %s: %v", id, trailErr)
 	}
 	if missing {
 		res.Lines = []string{describeNotDone(lines, id)}
@@ -64,11 +64,11 @@
 	if refusal := lineResult(lines, RefusalLineID(id), ""); refusal != "" {
 		return "not done: " + refusal
 	}
-	made, err := ulid.ParseStrict(id)
+	parsed, err := ulid.ParseStrict(id)
 	if err != nil {
 		return "not done: the trail holds no command " + id
 	}
-	if n := len(lines); n == SettleSearchLines && ulid.Time(made.Time()).Before(lines[n-1].At.Add(maxClockSkew)) {
+	if n := len(lines); n == SettleSearchLines && ulid.Time(parsed.Time()).Before(lines[n-1].At.Add(maxClockSkew)) {
 		return fmt.Sprintf("unknown: command %s is older than the %d newest lines of the trail", id, n)
 	}
 	return "not done: the trail holds no command " + id
--- a/internal/query/eval/transform.go
+++ b/internal/query/eval/transform.go
@@ -48,8 +48,8 @@
 type conjunction []predicate
 
 func (c conjunction) match(r table.Row) bool {
-	for _, t := range c {
-		if !table.Matches(t.kind, r[t.column], t.op, t.literal) {
+	for _, p := range c {
+		if !table.Matches(p.kind, r[p.column], p.op, p.literal) {
 			return false
 		}
 	}
--- a/internal/query/table/table.go
+++ b/internal/query/table/table.go
@@ -39,7 +39,8 @@
 	Number float64
 	// Time contains a time.
 	Time time.Time
-	// Empty is true if there is no value. An empty cell sorts before all values and equals none.
+	// Empty is true if there is no value. An empty cell sorts before all values and equals none of
+	// them.
 	Empty bool
 }
 
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -77,7 +77,7 @@
 	c.uvarint(&r.Generation)
 }
 
-// slice codes the length and the elements.
+// slice encodes or decodes a length and the elements.
 func slice[T any](c *codec, values *[]T, element func(*codec, *T)) {
 	n := len(*values)
 	c.integer(&n)
@@ -89,7 +89,7 @@
 	}
 }
 
-// optional codes whether the value is present, and the value.
+// optional encodes or decodes whether the value is present, and the value.
 func optional[T any](c *codec, v **T, value func(*codec, *T)) {
 	var present uint64
 	if *v != nil {
@@ -135,7 +135,7 @@
 	c.varint((*int64)(v))
 }
 
-// float codes 32 bits, about seven digits. The scores that it is used for are far less precise.
+// float stores 32 bits, about seven digits. The scores that it is used for are far less precise.
 func (c *codec) float(v *float64) {
 	if !c.decoding {
 		c.buf = binary.LittleEndian.AppendUint32(c.buf, math.Float32bits(float32(*v)))
@@ -145,8 +145,8 @@
 	c.buf = c.buf[4:]
 }
 
-// time codes the wall time in Unix nanoseconds, without the monotonic clock reading, and the
-// zero time as 0.
+// time stores the wall time in Unix nanoseconds, without the monotonic clock reading. The zero time
+// is stored as 0.
 func (c *codec) time(v *time.Time) {
 	var n int64
 	if !v.IsZero() {
--- a/internal/syntax/language.go
+++ b/internal/syntax/language.go
@@ -90,11 +90,11 @@
 }
 
 func (l *Language[G]) explain(text string, err error) error {
-	var perr participle.Error
-	if !errors.As(err, &perr) {
+	var parseErr participle.Error
+	if !errors.As(err, &parseErr) {
 		return &Error{Line: 1, Column: 1, Detail: err.Error()}
 	}
-	pos := perr.Position()
+	pos := parseErr.Position()
 	e := NewError(text, pos, "")
 	var unexpected *participle.UnexpectedTokenError
 	if !errors.As(err, &unexpected) {
@@ -136,11 +136,12 @@
 	return out
 }
 
+// accepts reports whether the parser gets past a word that follows the prefix.
 func (l *Language[G]) accepts(prefix, word string) bool {
 	offset := len(prefix) + 1
 	_, err := l.parser.ParseString("", prefix+" "+word)
-	var perr participle.Error
-	return err == nil || errors.As(err, &perr) && perr.Position().Offset > offset
+	var parseErr participle.Error
+	return err == nil || errors.As(err, &parseErr) && parseErr.Position().Offset > offset
 }
 
 // valueName describes the value that the last keyword of the prefix expects.
