--- a/internal/sim/baseline/baseline.go
+++ b/internal/sim/baseline/baseline.go
@@ -1,4 +1,5 @@
-// Package baseline schedules as plain gateways do: in order of arrival, without tiers, deadlines or refusals.
+// Package baseline schedules as plain gateways do: in order of arrival, without tiers,
+// deadlines or refusals.
 package baseline
 
 import (
@@ -9,57 +10,57 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Sched implements fireflypath.Scheduler for one daemon that knows only its own work.
-type Sched struct {
-	least   bool
-	turn    int
-	targets []string
-	held    map[string]int
-	queue   []*fireflypath.Work
+// Scheduler implements fireflypath.Scheduler for one daemon that knows only its own work.
+type Scheduler struct {
+	leastLoaded bool
+	next        int
+	targets     []string
+	inFlight    map[string]int
+	queue       []*fireflypath.Work
 }
 
-var _ fireflypath.Scheduler = (*Sched)(nil)
+var _ fireflypath.Scheduler = (*Scheduler)(nil)
 
-// New returns a scheduler that sends each request at once, to the target with the
-// least of this daemon's requests or to the next one in turn.
-func New(least bool, seed uint64) *Sched {
-	return &Sched{least: least, turn: int(seed % 1000), held: map[string]int{}}
+// New returns a scheduler that dispatches each request immediately, either to the
+// target with the fewest of this daemon's requests in flight or in round-robin order.
+func New(least bool, seed uint64) *Scheduler {
+	return &Scheduler{leastLoaded: least, next: int(seed % 1000), inFlight: map[string]int{}}
 }
 
-// Offer takes work in.
-func (s *Sched) Offer(_ time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
+// Offer queues the work.
+func (s *Scheduler) Offer(_ time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	s.queue = append(s.queue, w)
 	return out
 }
 
-// Next gives out the work that came first.
-func (s *Sched) Next(now time.Time, p *fireflypath.Placement) bool {
+// Next returns the oldest queued work.
+func (s *Scheduler) Next(now time.Time, p *fireflypath.Placement) bool {
 	if len(s.queue) == 0 || len(s.targets) == 0 {
 		return false
 	}
 	w := s.queue[0]
 	s.queue = s.queue[1:]
 	t := s.choose(w)
-	s.held[t]++
+	s.inFlight[t]++
 	p.Work, p.Target, p.Waited = w, t, now.Sub(w.Arrived)
 	return true
 }
 
-func (s *Sched) choose(w *fireflypath.Work) string {
-	s.turn++
-	best := s.targets[s.turn%len(s.targets)]
+func (s *Scheduler) choose(w *fireflypath.Work) string {
+	s.next++
+	best := s.targets[s.next%len(s.targets)]
 	for i := range s.targets {
-		t := s.targets[(s.turn+i)%len(s.targets)]
-		again := slices.Contains(w.Avoid, best) && !slices.Contains(w.Avoid, t)
-		if again || s.least && s.held[t] < s.held[best] {
+		t := s.targets[(s.next+i)%len(s.targets)]
+		avoidsRepeat := slices.Contains(w.Avoid, best) && !slices.Contains(w.Avoid, t)
+		if avoidsRepeat || s.leastLoaded && s.inFlight[t] < s.inFlight[best] {
 			best = t
 		}
 	}
 	return best
 }
 
-// Withdraw removes waiting work.
-func (s *Sched) Withdraw(_ time.Time, w *fireflypath.Work) bool {
+// Withdraw removes queued work.
+func (s *Scheduler) Withdraw(_ time.Time, w *fireflypath.Work) bool {
 	i := slices.Index(s.queue, w)
 	if i >= 0 {
 		s.queue = slices.Delete(s.queue, i, i+1)
@@ -67,23 +68,23 @@
 	return i >= 0
 }
 
-// Expire gives nothing up.
-func (s *Sched) Expire(_ time.Time, out []fireflypath.Shed) []fireflypath.Shed { return out }
+// Expire never sheds work.
+func (s *Scheduler) Expire(_ time.Time, out []fireflypath.Shed) []fireflypath.Shed { return out }
 
-// Wake is never.
-func (s *Sched) Wake(time.Time) time.Time { return time.Time{} }
+// Wake never requests a wake-up.
+func (s *Scheduler) Wake(time.Time) time.Time { return time.Time{} }
 
-// Observe counts what has ended.
-func (s *Sched) Observe(_ time.Time, e fireflypath.Event) {
+// Observe updates the number of requests in flight.
+func (s *Scheduler) Observe(_ time.Time, e fireflypath.Event) {
 	switch e.Kind {
 	case fireflypath.EventDone, fireflypath.EventFailed, fireflypath.EventRefused, fireflypath.EventUnsent:
-		s.held[e.Target]--
+		s.inFlight[e.Target]--
 	default:
 	}
 }
 
 // SetTargets replaces the targets.
-func (s *Sched) SetTargets(_ time.Time, targets []fireflypath.Target) {
+func (s *Scheduler) SetTargets(_ time.Time, targets []fireflypath.Target) {
 	s.targets = s.targets[:0]
 	for _, t := range targets {
 		if !t.Drained {
@@ -93,14 +94,18 @@
 	slices.SortFunc(s.targets, strings.Compare)
 }
 
-// SetShare is of no use here.
-func (s *Sched) SetShare(time.Time, fireflypath.Share) {}
+// SetShare does nothing.
+func (s *Scheduler) SetShare(time.Time, fireflypath.Share) {}
 
-// Demand tells nothing.
-func (s *Sched) Demand(time.Time) fireflypath.Demand { return fireflypath.Demand{} }
+// Demand returns an empty demand.
+func (s *Scheduler) Demand(time.Time) fireflypath.Demand { return fireflypath.Demand{} }
 
-// Relieve gives nothing up.
-func (s *Sched) Relieve(_ time.Time, _, _ int, out []fireflypath.Shed) []fireflypath.Shed { return out }
+// Relieve never sheds work.
+func (s *Scheduler) Relieve(_ time.Time, _, _ int, out []fireflypath.Shed) []fireflypath.Shed {
+	return out
+}
 
-// Views tells nothing.
-func (s *Sched) Views(_ time.Time, out []fireflypath.TargetView) []fireflypath.TargetView { return out }
+// Views returns no views.
+func (s *Scheduler) Views(_ time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
+	return out
+}
--- a/internal/sim/call.go
+++ b/internal/sim/call.go
@@ -8,116 +8,117 @@
 	"github.com/fireflypath/fireflypath/internal/sim/engine"
 )
 
-// call is one attempt of a caller at a daemon.
+// call is one attempt of a caller through one daemon.
 type call struct {
-	r      *request
-	d      *daemon
-	number int
-	work   fireflypath.Work
-	tries  int
-	avoid  []string
-	target *target
-	run    *engine.Run
-	over   bool
-	events int
+	r             *request
+	d             *daemon
+	number        int
+	work          fireflypath.Work
+	tries         int
+	avoid         []string
+	target        *target
+	engineRequest *engine.Request
+	finished      bool
+	events        int
 }
 
-// arrive offers the request to the daemon's scheduler.
-func (c *call) arrive() {
-	if c.over {
+// offer passes the request to the daemon's scheduler.
+func (c *call) offer() {
+	if c.finished {
 		return
 	}
 	r, now := c.r, c.r.w.loop.Now()
 	k := r.spec()
 	c.tries++
 	c.work = fireflypath.Work{
-		ID: r.id + "-" + strconv.Itoa(c.number), Rank: r.rank, Pool: pool, Weight: 1, Arrived: now, Deadline: r.deadline(),
-		Goal: r.goal(), Cost: fireflypath.Cost{Prompt: r.prompt + r.made, MaxOutput: r.hint}, ExpectedOutput: max(r.hint-r.made, 1),
-		Gap: k.Gap.Std(), Idempotent: k.Repeat, Avoid: c.avoid,
+		ID: r.id + "-" + strconv.Itoa(c.number), Rank: r.rank, Pool: poolName, Weight: 1, Arrived: now, Deadline: r.deadline(),
+		Goal: r.goal(), Cost: fireflypath.Cost{Prompt: r.prompt + r.generated, MaxOutput: r.outputEstimate}, ExpectedOutput: max(r.outputEstimate-r.generated, 1),
+		Gap: k.Gap.Duration(), Idempotent: k.Repeat, Avoid: c.avoid,
 	}
-	if r.made == 0 {
+	if r.generated == 0 {
 		c.work.PatienceEnds = now.Add(k.Patience())
 	}
 	c.d.offer(c)
 }
 
-// goal is when the answer should begin.
+// goal returns the time by which the answer should begin.
 func (r *request) goal() time.Time {
-	return r.arrived.Add(r.spec().Goal.Std())
+	return r.arrivedAt.Add(r.spec().Goal.Duration())
 }
 
-// refused passes a refusal of the daemon on.
-func (c *call) refused(after time.Duration) {
-	if c.over {
+// refuse returns the daemon's refusal to the caller.
+func (c *call) refuse(after time.Duration) {
+	if c.finished {
 		return
 	}
-	c.over = true
-	c.r.w.loop.After(c.r.w.o.Fleet.Way.Std(), func() { c.r.refused(after) })
+	c.finished = true
+	c.r.w.loop.After(c.r.w.options.Fleet.CallerHop.Duration(), func() { c.r.handleRefusal(after) })
 }
 
-// broken ends the caller's connection.
-func (c *call) broken() {
-	if c.over {
+// disconnect closes the caller's connection.
+func (c *call) disconnect() {
+	if c.finished {
 		return
 	}
-	c.over = true
-	if c.run != nil {
-		c.target.Cancel(c.run)
+	c.finished = true
+	if c.engineRequest != nil {
+		c.target.Cancel(c.engineRequest)
 	}
-	c.r.w.loop.After(c.r.w.o.Fleet.Way.Std(), c.r.failed)
+	c.r.w.loop.After(c.r.w.options.Fleet.CallerHop.Duration(), c.r.handleFailure)
 }
 
-// impatient ends an attempt whose caller has waited for as long as it bears.
-func (c *call) impatient(since time.Time, patience time.Duration) {
-	if c.over || c.r.ended {
+// checkPatience ends the attempt if the caller has waited longer than its patience
+// since the last event.
+func (c *call) checkPatience(since time.Time, patience time.Duration) {
+	if c.finished || c.r.ended {
 		return
 	}
 	now := c.r.w.loop.Now()
-	if seen := c.r.seen; seen.After(since) {
+	if seen := c.r.lastEventAt; seen.After(since) {
 		if left := patience - now.Sub(seen); left > 0 {
-			c.r.w.loop.After(left, func() { c.impatient(since, patience) })
+			c.r.w.loop.After(left, func() { c.checkPatience(since, patience) })
 			return
 		}
 	}
-	c.over = true
-	c.r.end(outcomeLeft)
-	c.r.w.loop.After(c.r.w.o.Fleet.Way.Std(), c.gone)
+	c.finished = true
+	c.r.finish(outcomeLeft)
+	c.r.w.loop.After(c.r.w.options.Fleet.CallerHop.Duration(), c.cancel)
 }
 
-// gone tells the daemon and the engine that the caller left.
-func (c *call) gone() {
+// cancel informs the daemon and the engine that the caller has left.
+func (c *call) cancel() {
 	c.d.withdraw(c)
-	if c.run == nil {
+	if c.engineRequest == nil {
 		return
 	}
-	c.target.Cancel(c.run)
-	c.tell(fireflypath.Event{Kind: fireflypath.EventFailed, CallerLeft: true, Tokens: c.events})
+	c.target.Cancel(c.engineRequest)
+	c.notifyScheduler(fireflypath.Event{Kind: fireflypath.EventFailed, CallerLeft: true, Tokens: c.events})
 }
 
-// dispatched sends the request to an engine.
-func (c *call) dispatched(name string) {
+// send sends the request to an engine.
+func (c *call) send(name string) {
 	w := c.r.w
 	c.avoid = append(c.avoid, name)
-	c.target = w.find(name)
+	c.target = w.findTarget(name)
 	if c.number == 1 && c.tries == 1 {
-		c.r.sent = w.loop.Now()
+		c.r.dispatchedAt = w.loop.Now()
 	}
-	run := &engine.Run{Prompt: c.work.Cost.Prompt, Output: c.r.output - c.r.made}
-	run.Event = func(_ time.Time, last bool) {
+	run := &engine.Request{Prompt: c.work.Cost.Prompt, Output: c.r.output - c.r.generated}
+	run.OnEvent = func(_ time.Time, last bool) {
 		running, waiting := c.target.Load()
-		w.loop.After(w.o.Fleet.Hop.Std(), func() { c.event(run, last, running, waiting) })
+		w.loop.After(w.options.Fleet.Hop.Duration(), func() { c.handleEvent(run, last, running, waiting) })
 	}
-	run.Fail = func(time.Time) { w.loop.After(w.o.Fleet.Hop.Std(), func() { c.failed(run) }) }
-	c.run = run
-	w.loop.After(w.o.Fleet.Hop.Std(), func() {
+	run.OnFailure = func(time.Time) { w.loop.After(w.options.Fleet.Hop.Duration(), func() { c.handleEngineFailure(run) }) }
+	c.engineRequest = run
+	w.loop.After(w.options.Fleet.Hop.Duration(), func() {
 		if c.target == nil || !c.target.Submit(run) {
-			w.loop.After(w.o.Fleet.Hop.Std(), c.turnedAway)
+			w.loop.After(w.options.Fleet.Hop.Duration(), c.handleEngineRefusal)
 		}
 	})
 }
 
-// tell passes an event of this call on to its scheduler.
-func (c *call) tell(e fireflypath.Event) {
+// notifyScheduler passes an event of this call to its scheduler.
+func (c *call) notifyScheduler(e fireflypath.Event) {
 	e.Work, e.Cached = &c.work, -1
 	if c.target != nil {
 		e.Target = c.target.Name
@@ -131,9 +132,9 @@
 	c.d.observe(e)
 }
 
-// event passes an answer's event on.
-func (c *call) event(run *engine.Run, last bool, running, waiting int) {
-	if c.over || run != c.run {
+// handleEvent forwards an output event to the scheduler and the caller.
+func (c *call) handleEvent(run *engine.Request, last bool, running, waiting int) {
+	if c.finished || run != c.engineRequest {
 		return
 	}
 	r, now := c.r, c.r.w.loop.Now()
@@ -142,49 +143,50 @@
 			Kind: fireflypath.EventReport, Target: c.target.Name, Cached: -1,
 			Report: fireflypath.Report{MeasuredAt: now, Running: running, Waiting: waiting},
 		})
-		c.tell(fireflypath.Event{Kind: fireflypath.EventFirstOutput})
+		c.notifyScheduler(fireflypath.Event{Kind: fireflypath.EventFirstOutput})
 	}
 	c.events++
-	r.made = min(r.made+r.w.o.Fleet.Engines.Stride, r.output-1)
+	r.generated = min(r.generated+r.w.options.Fleet.Engines.Stride, r.output-1)
 	if last {
-		c.over = true
-		c.tell(fireflypath.Event{Kind: fireflypath.EventDone, Tokens: c.events})
+		c.finished = true
+		c.notifyScheduler(fireflypath.Event{Kind: fireflypath.EventDone, Tokens: c.events})
 	}
-	r.w.loop.After(r.w.o.Fleet.Way.Std(), func() { r.event(r.w.loop.Now(), last) })
+	r.w.loop.After(r.w.options.Fleet.CallerHop.Duration(), func() { r.handleEvent(r.w.loop.Now(), last) })
 }
 
-// failed is the end of an engine that had the request.
-func (c *call) failed(run *engine.Run) {
-	if c.over || run != c.run {
+// handleEngineFailure handles an engine that went down while it held the request.
+func (c *call) handleEngineFailure(run *engine.Request) {
+	if c.finished || run != c.engineRequest {
 		return
 	}
-	c.tell(fireflypath.Event{Kind: fireflypath.EventFailed, Tokens: c.events})
-	c.run, c.events = nil, 0
+	c.notifyScheduler(fireflypath.Event{Kind: fireflypath.EventFailed, Tokens: c.events})
+	c.engineRequest, c.events = nil, 0
 	if c.r.spec().Repeat && c.tries < 2 {
-		c.arrive()
+		c.offer()
 		return
 	}
-	c.over = true
-	c.r.w.loop.After(c.r.w.o.Fleet.Way.Std(), c.r.failed)
+	c.finished = true
+	c.r.w.loop.After(c.r.w.options.Fleet.CallerHop.Duration(), c.r.handleFailure)
 }
 
-// turnedAway is an engine that did not run the request.
-func (c *call) turnedAway() {
-	if c.over {
+// handleEngineRefusal handles an engine that did not run the request.
+func (c *call) handleEngineRefusal() {
+	if c.finished {
 		return
 	}
-	if c.target == nil || c.target.Gone() {
-		c.tell(fireflypath.Event{Kind: fireflypath.EventFailed})
+	if c.target == nil || c.target.Stopped() {
+		c.notifyScheduler(fireflypath.Event{Kind: fireflypath.EventFailed})
 	} else {
-		c.tell(fireflypath.Event{Kind: fireflypath.EventRefused})
+		c.notifyScheduler(fireflypath.Event{Kind: fireflypath.EventRefused})
 	}
-	c.run = nil
+	c.engineRequest = nil
 	if c.tries < maxAttempts {
-		c.arrive()
+		c.offer()
 		return
 	}
-	c.refused(turnedAwayAgain)
+	c.refuse(engineRefusalRetryAfter)
 }
 
-// turnedAwayAgain is what a caller is told whose request no engine took.
-const turnedAwayAgain = 300 * time.Millisecond
+// engineRefusalRetryAfter is the retry delay sent to a caller whose request no engine
+// accepted.
+const engineRefusalRetryAfter = 300 * time.Millisecond
--- a/internal/sim/caller.go
+++ b/internal/sim/caller.go
@@ -11,73 +11,78 @@
 )
 
 const (
-	// honoured is the part of the time left up to which callers wait as told.
-	honoured = 1.0 / 3
-	// retries is how often a caller comes back.
-	retries = 1
-	// impatientRetries is how often one comes back that does not wait.
-	impatientRetries = 3
-	// hintSpread is the standard deviation of the logarithm of how far callers'
-	// estimates of the output are off.
-	hintSpread = 0.5
-	// waveSwing and wavePeriod are how the rate rises and falls by itself.
-	waveSwing  = 0.15
-	wavePeriod = 11 * time.Second
-	// rankStep is the difference of rank between two groups of teams.
+	// maxRetryWaitFraction is the largest fraction of the time left until its deadline
+	// that a caller waits before it retries.
+	maxRetryWaitFraction = 1.0 / 3
+	// maxRetries is how often a caller retries.
+	maxRetries = 1
+	// maxImpatientRetries is how often a caller retries that does not wait before it
+	// does.
+	maxImpatientRetries = 3
+	// estimateSpread is the standard deviation of the logarithm of the error in
+	// callers' estimates of the output size.
+	estimateSpread = 0.5
+	// waveAmplitude and wavePeriod describe the periodic variation of the arrival rate.
+	waveAmplitude = 0.15
+	wavePeriod    = 11 * time.Second
+	// rankStep is the difference in rank between the two groups of teams.
 	rankStep = 4
-	// uneven is how far the balancer's parts are from the even one.
-	uneven = 0.25
+	// balancerSkew is the largest relative deviation of a daemon's share of the
+	// requests from an even share.
+	balancerSkew = 0.25
 )
 
-// request is what a caller wants, over all of its attempts.
+// request is a caller's request over all of its attempts.
 type request struct {
 	w      *world
 	id     string
 	kind   int
 	prompt int
-	// output is in tokens, hint the caller's estimate of it.
-	output, hint int
-	rank         int
-	arrived      time.Time
-	impatient    bool
-
-	attempts int
-	refusals int
-	last     *daemon
-	ended    bool
-	// made is how many tokens have come; first, late and gap are of the events.
-	made  int
-	first time.Time
-	seen  time.Time
-	gap   time.Duration
-	// waited is the time in daemons before the answer began, sent the last dispatch.
-	sent time.Time
+	// output is in tokens; outputEstimate is the caller's estimate of it.
+	output, outputEstimate int
+	rank                   int
+	arrivedAt              time.Time
+	impatient              bool
+
+	attempts   int
+	refusals   int
+	lastDaemon *daemon
+	ended      bool
+	// generated counts the output tokens received; firstEventAt, lastEventAt and
+	// longestGap describe the output events.
+	generated    int
+	firstEventAt time.Time
+	lastEventAt  time.Time
+	longestGap   time.Duration
+	// dispatchedAt is the time of the first dispatch of the first attempt.
+	dispatchedAt time.Time
 }
 
-func (r *request) spec() fleet.Kind { return r.w.o.Fleet.Kinds[r.kind] }
+func (r *request) spec() fleet.Kind { return r.w.options.Fleet.Kinds[r.kind] }
 
-func (r *request) deadline() time.Time { return r.arrived.Add(r.spec().Timeout.Std()) }
+func (r *request) deadline() time.Time { return r.arrivedAt.Add(r.spec().Timeout.Duration()) }
 
-// arrivals schedules all requests.
-func (w *world) arrivals() {
-	w.each(func(r *request) { w.loop.At(r.arrived, r.begin) })
+// scheduleArrivals schedules the arrival of all requests.
+func (w *world) scheduleArrivals() {
+	w.generateRequests(func(r *request) { w.loop.At(r.arrivedAt, r.start) })
 }
 
-// each draws all requests; they do not depend on what becomes of them.
-func (w *world) each(fn func(*request)) {
-	for k, kind := range w.o.Fleet.Kinds {
-		rnd := newRand(w.o.Seed, uint64(100+k))
+// generateRequests draws all requests. They do not depend on the outcome of earlier
+// ones.
+func (w *world) generateRequests(fn func(*request)) {
+	for k, kind := range w.options.Fleet.Kinds {
+		rnd := newRand(w.options.Seed, uint64(100+k))
 		phase := rnd.Float64() * 2 * math.Pi
-		most := kind.Rate * 6
+		maxRate := kind.Rate * 6
 		for at := 0.0; ; {
-			at += rnd.ExpFloat64() / most
+			at += rnd.ExpFloat64() / maxRate
 			t := time.Duration(at * float64(time.Second))
 			if t >= load.Span {
 				break
 			}
-			wave := 1 + waveSwing*math.Sin(2*math.Pi*t.Seconds()/wavePeriod.Seconds()+phase)
-			accept := rnd.Float64() < kind.Rate*w.o.Load.Factor(k, t)*wave/most
-			r := w.draw(rnd, k, t)
+			wave := 1 + waveAmplitude*math.Sin(2*math.Pi*t.Seconds()/wavePeriod.Seconds()+phase)
+			accept := rnd.Float64() < kind.Rate*w.options.Load.RateFactor(k, t)*wave/maxRate
+			r := w.drawRequest(rnd, k, t)
 			if accept {
 				fn(r)
 			}
@@ -85,60 +90,61 @@
 	}
 }
 
-// draw makes one request.
-func (w *world) draw(rnd source, k int, at time.Duration) *request {
-	kind := w.o.Fleet.Kinds[k]
-	events := size(rnd, kind.Output)
+// drawRequest draws the properties of one request.
+func (w *world) drawRequest(rnd randomSource, k int, at time.Duration) *request {
+	kind := w.options.Fleet.Kinds[k]
+	events := lognormalSize(rnd, kind.Output)
 	r := &request{
 		w: w, kind: k, id: strconv.Itoa(k) + "-" + strconv.FormatInt(int64(at), 36),
-		prompt: int(size(rnd, kind.Prompt)), output: int(max(events, 1) * float64(w.o.Fleet.Engines.Stride)),
-		rank: k, arrived: loop.Epoch.Add(at),
+		prompt: int(lognormalSize(rnd, kind.Prompt)), output: int(max(events, 1) * float64(w.options.Fleet.Engines.Stride)),
+		rank: k, arrivedAt: loop.Epoch.Add(at),
 	}
-	r.hint = max(1, int(float64(r.output)*math.Exp(hintSpread*rnd.NormFloat64())))
-	if rnd.Float64() >= w.o.Fleet.High {
+	r.outputEstimate = max(1, int(float64(r.output)*math.Exp(estimateSpread*rnd.NormFloat64())))
+	if rnd.Float64() >= w.options.Fleet.HighPriority {
 		r.rank += rankStep
 	}
-	r.impatient = rnd.Float64() < w.o.Load.Impatient
+	r.impatient = rnd.Float64() < w.options.Load.Impatient
 	return r
 }
 
-// size draws from a lognormal distribution of that mean.
-func size(rnd source, s fleet.Size) float64 {
+// lognormalSize draws a size from a lognormal distribution with the given mean.
+func lognormalSize(rnd randomSource, s fleet.Size) float64 {
 	v := s.Mean * math.Exp(s.Spread*rnd.NormFloat64()-s.Spread*s.Spread/2)
 	return math.Round(min(max(v, 1), s.Max))
 }
 
-func (r *request) begin() {
-	r.w.tally.arrive(r)
-	r.attempt()
+func (r *request) start() {
+	r.w.tally.add(r)
+	r.startAttempt()
 }
 
-// attempt goes to a daemon that the balancer chooses; another one than last time.
-func (r *request) attempt() {
-	d := r.w.balance(r)
-	r.last = d
+// startAttempt sends the request to a daemon chosen by the balancer, not the one of the
+// previous attempt.
+func (r *request) startAttempt() {
+	d := r.w.pickDaemon(r)
+	r.lastDaemon = d
 	r.attempts++
 	c := &call{r: r, d: d, number: r.attempts}
 	now := r.w.loop.Now()
 	patience := r.spec().Patience()
-	r.w.loop.After(r.w.o.Fleet.Way.Std(), func() { c.arrive() })
-	r.w.loop.After(patience, func() { c.impatient(now, patience) })
+	r.w.loop.After(r.w.options.Fleet.CallerHop.Duration(), func() { c.offer() })
+	r.w.loop.After(patience, func() { c.checkPatience(now, patience) })
 }
 
-// balance chooses a daemon by uneven parts.
-func (w *world) balance(r *request) *daemon {
+// pickDaemon chooses a daemon pseudorandomly with uneven weights.
+func (w *world) pickDaemon(r *request) *daemon {
 	n := len(w.daemons)
 	weight := func(d *daemon) float64 {
-		if d == r.last && n > 1 {
+		if d == r.lastDaemon && n > 1 {
 			return 0
 		}
-		return 1 + uneven*(1-2*float64(d.n)/float64(max(n-1, 1)))
+		return 1 + balancerSkew*(1-2*float64(d.index)/float64(max(n-1, 1)))
 	}
 	sum := 0.0
 	for _, d := range w.daemons {
 		sum += weight(d)
 	}
-	at := mix(w.o.Seed, int(r.arrived.Sub(loop.Epoch)), r.attempts+10*r.kind) * sum
+	at := hashFraction(w.options.Seed, int(r.arrivedAt.Sub(loop.Epoch)), r.attempts+10*r.kind) * sum
 	for _, d := range w.daemons {
 		if at -= weight(d); at < 0 {
 			return d
@@ -147,53 +153,54 @@
 	return w.daemons[n-1]
 }
 
-// refused is an answer that the request was not run, with a time to come back.
-func (r *request) refused(after time.Duration) {
+// handleRefusal handles a refusal: the caller retries after the given time, or gives
+// up.
+func (r *request) handleRefusal(after time.Duration) {
 	r.refusals++
-	left := r.deadline().Sub(r.w.loop.Now())
-	most := retries
+	remaining := r.deadline().Sub(r.w.loop.Now())
+	limit := maxRetries
 	if r.impatient {
-		most, after = impatientRetries, 0
+		limit, after = maxImpatientRetries, 0
 	}
-	if r.attempts > most || left <= 0 {
-		r.end(outcomeRefused)
+	if r.attempts > limit || remaining <= 0 {
+		r.finish(outcomeRefused)
 		return
 	}
-	r.w.loop.After(min(after, time.Duration(honoured*float64(left))), r.attempt)
+	r.w.loop.After(min(after, time.Duration(maxRetryWaitFraction*float64(remaining))), r.startAttempt)
 }
 
-// failed is an answer that broke off, or none.
-func (r *request) failed() {
-	if r.spec().Repeat && r.attempts <= retries && r.w.loop.Now().Before(r.deadline()) {
-		r.attempt()
+// handleFailure handles an answer that broke off or never began.
+func (r *request) handleFailure() {
+	if r.spec().Repeat && r.attempts <= maxRetries && r.w.loop.Now().Before(r.deadline()) {
+		r.startAttempt()
 		return
 	}
-	r.end(outcomeFailed)
+	r.finish(outcomeFailed)
 }
 
-// event is a piece of the answer.
-func (r *request) event(now time.Time, last bool) {
-	if r.first.IsZero() {
-		r.first = now
+// handleEvent handles one output event.
+func (r *request) handleEvent(now time.Time, last bool) {
+	if r.firstEventAt.IsZero() {
+		r.firstEventAt = now
 	} else {
-		r.gap = max(r.gap, now.Sub(r.seen))
+		r.longestGap = max(r.longestGap, now.Sub(r.lastEventAt))
 	}
-	r.seen = now
+	r.lastEventAt = now
 	if !last {
 		return
 	}
 	k := r.spec()
-	if r.first.Sub(r.arrived) <= k.Goal.Std() && r.gap <= k.Gap.Std() {
-		r.end(outcomeInTime)
+	if r.firstEventAt.Sub(r.arrivedAt) <= k.Goal.Duration() && r.longestGap <= k.Gap.Duration() {
+		r.finish(outcomeInTime)
 		return
 	}
-	r.end(outcomeLate)
+	r.finish(outcomeLate)
 }
 
-func (r *request) end(o outcome) {
+func (r *request) finish(o outcome) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	r.w.tally.end(r, o)
+	r.w.tally.finish(r, o)
 }
--- a/internal/sim/daemon.go
+++ b/internal/sim/daemon.go
@@ -13,74 +13,75 @@
 )
 
 const (
-	// pool is the name of the one pool.
-	pool = "engines"
-	// beatEvery is how often a daemon looks for news to tell, and takes in those of
-	// others; flushLag is how long news then wait for a beat.
-	beatEvery = 30 * time.Millisecond
-	flushLag  = 5 * time.Millisecond
-	// maxAttempts bounds how often one attempt of a caller is given to engines.
+	// poolName is the name of the only pool.
+	poolName = "engines"
+	// reportInterval is how often a daemon publishes its changed load and processes the
+	// reports of others; reportDelay is the additional delay before a report is sent.
+	reportInterval = 30 * time.Millisecond
+	reportDelay    = 5 * time.Millisecond
+	// maxAttempts bounds how often one call is dispatched to engines.
 	maxAttempts = 4
 )
 
-// teller is a scheduler that exchanges with those of other daemons.
-type teller interface {
+// peerReporter is a scheduler that exchanges load reports with those of other daemons.
+type peerReporter interface {
 	Report(m *fireflypath.PeerLoad)
 	UpdatePeers(now time.Time, mates []fireflypath.PeerLoad)
 }
 
-// daemon owns one scheduler and carries its decisions out.
+// daemon owns one scheduler and executes its decisions.
 type daemon struct {
-	w     *world
-	name  string
-	n     int
-	sched fireflypath.Scheduler
-	calls map[*fireflypath.Work]*call
-	// told is what it told last; heard is what others told, by name.
-	told  fireflypath.PeerLoad
-	heard map[string]fireflypath.PeerLoad
-	mates []*daemon
-	place fireflypath.Placement
-	wake  time.Time
-	life  int
-	share fireflypath.Share
-	// client and desk are nil where daemons decide alone; desk also at all but the
-	// dispatcher.
-	client *client
-	desk   *desk
+	w         *world
+	name      string
+	index     int
+	scheduler fireflypath.Scheduler
+	calls     map[*fireflypath.Work]*call
+	// lastReport is the last published report; peerReports holds the reports of other
+	// daemons by name.
+	lastReport  fireflypath.PeerLoad
+	peerReports map[string]fireflypath.PeerLoad
+	peers       []*daemon
+	placement   fireflypath.Placement
+	nextWake    time.Time
+	incarnation int
+	share       fireflypath.Share
+	// dispatchClient and dispatcher are nil where daemons decide alone; dispatcher is
+	// also nil in all daemons that are not the dispatcher of their group.
+	dispatchClient *dispatchClient
+	dispatcher     *dispatcherNode
 }
 
 func newDaemon(w *world, n int) *daemon {
-	d := &daemon{w: w, n: n, name: fmt.Sprintf("daemon-%02d", n)}
-	d.begin()
-	phase := time.Duration(mix(w.o.Seed, n, 3) * float64(beatEvery))
-	w.loop.After(phase, d.beat)
+	d := &daemon{w: w, index: n, name: fmt.Sprintf("daemon-%02d", n)}
+	d.reset()
+	phase := time.Duration(hashFraction(w.options.Seed, n, 3) * float64(reportInterval))
+	w.loop.After(phase, d.exchangeReports)
 	return d
 }
 
-// begin makes a daemon that knows nothing.
-func (d *daemon) begin() {
-	d.life++
-	d.sched = d.w.o.Make(d.pool(), xxhash.Sum64String(d.name+"/"+pool))
-	d.client, d.desk = nil, nil
-	if local, ok := d.sched.(remote.Local); ok && d.w.o.Dispatch != nil {
+// reset gives the daemon a new scheduler with empty state.
+func (d *daemon) reset() {
+	d.incarnation++
+	d.scheduler = d.w.options.Make(d.pool(), xxhash.Sum64String(d.name+"/"+poolName))
+	d.dispatchClient, d.dispatcher = nil, nil
+	if local, ok := d.scheduler.(remote.Local); ok && d.w.options.Dispatch != nil {
 		r := remote.New(local)
-		d.sched = r
-		d.client = &client{d: d, r: r, id: uint64(d.life) << 32}
+		d.scheduler = r
+		d.dispatchClient = &dispatchClient{d: d, scheduler: r, sessionID: uint64(d.incarnation) << 32}
 	}
 	d.calls = map[*fireflypath.Work]*call{}
-	d.heard = map[string]fireflypath.PeerLoad{}
-	d.told = fireflypath.NewPeerLoad(d.name)
-	d.wake = time.Time{}
-	d.sched.SetTargets(d.w.loop.Now(), d.w.list())
+	d.peerReports = map[string]fireflypath.PeerLoad{}
+	d.lastReport = fireflypath.NewPeerLoad(d.name)
+	d.nextWake = time.Time{}
+	d.scheduler.SetTargets(d.w.loop.Now(), d.w.targetList())
 }
 
 func (d *daemon) pool() fireflypath.Pool {
-	return fireflypath.Pool{Name: pool, Kind: fireflypath.KindEngine, Stride: d.w.o.Fleet.Engines.Stride}
+	return fireflypath.Pool{Name: poolName, Kind: fireflypath.KindEngine, Stride: d.w.options.Fleet.Engines.Stride}
 }
 
-// list is the targets as daemons see them.
-func (w *world) list() []fireflypath.Target {
+// targetList returns the targets as daemons see them.
+func (w *world) targetList() []fireflypath.Target {
 	out := make([]fireflypath.Target, 0, len(w.targets))
 	for _, t := range w.targets {
 		out = append(out, t.Target)
@@ -88,8 +89,8 @@
 	return out
 }
 
-// byName is the daemon of a name, or nil.
-func (w *world) byName(name string) *daemon {
+// findDaemon returns the daemon with the name, or nil.
+func (w *world) findDaemon(name string) *daemon {
 	for _, d := range w.daemons {
 		if d.name == name {
 			return d
@@ -98,28 +99,28 @@
 	return nil
 }
 
-// restart kills the daemon: its callers lose their connections.
+// restart kills and restarts the daemon; its callers lose their connections.
 func (d *daemon) restart() {
 	old := d.calls
-	d.begin()
+	d.reset()
 	for w, c := range old {
 		w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn)
-		c.broken()
+		c.disconnect()
 	}
 	for _, o := range d.w.daemons {
-		delete(o.heard, d.name)
-		if o.client != nil && o.client.to != nil && o.client.to.d == d && o != d {
-			d.w.loop.After(notice, o.client.lose)
+		delete(o.peerReports, d.name)
+		if o.dispatchClient != nil && o.dispatchClient.node != nil && o.dispatchClient.node.d == d && o != d {
+			d.w.loop.After(failureDetectionDelay, o.dispatchClient.handleDispatcherLoss)
 		}
-		if o.desk != nil {
-			o.desk.CloseSession(d.w.loop.Now(), d.name)
+		if o.dispatcher != nil {
+			o.dispatcher.CloseSession(d.w.loop.Now(), d.name)
 		}
 	}
-	d.w.layout()
+	d.w.assignCells()
 }
 
-// layout gives each daemon its engines and the daemons that it hears.
-func (w *world) layout() {
+// assignCells assigns each daemon its targets and the peers it exchanges reports with.
+func (w *world) assignCells() {
 	var names, targets []string
 	byName := map[string]*daemon{}
 	for _, d := range w.daemons {
@@ -129,149 +130,151 @@
 	for _, t := range w.targets {
 		targets = append(targets, t.Name)
 	}
-	l := cell.New(names)
+	cells := cell.New(names)
 	for _, d := range w.daemons {
-		mine, mates := l.AssignedTargets(d.name, targets)
+		assigned, peers := cells.AssignedTargets(d.name, targets)
 		share := fireflypath.Share{Default: 1}
-		if l.CellCount() > 1 {
-			share = fireflypath.Share{Fractions: map[string]float64{}, UnknownSenders: len(mates) > len(l.Members(d.name))}
-			for _, t := range mine {
+		if cells.CellCount() > 1 {
+			share = fireflypath.Share{Fractions: map[string]float64{}, UnknownSenders: len(peers) > len(cells.Members(d.name))}
+			for _, t := range assigned {
 				share.Fractions[t] = 1
 			}
 		}
-		d.mates = d.mates[:0]
-		for _, m := range l.Members(d.name) {
+		d.peers = d.peers[:0]
+		for _, m := range cells.Members(d.name) {
 			if m != d.name {
-				d.mates = append(d.mates, byName[m])
+				d.peers = append(d.peers, byName[m])
 			}
 		}
 		d.share = share
-		d.sched.SetShare(w.loop.Now(), share)
-		if d.desk != nil {
-			d.desk.SetShare(w.loop.Now(), share)
+		d.scheduler.SetShare(w.loop.Now(), share)
+		if d.dispatcher != nil {
+			d.dispatcher.SetShare(w.loop.Now(), share)
 		}
 	}
 	for _, d := range w.daemons {
-		if d.client != nil {
-			d.client.choose()
+		if d.dispatchClient != nil {
+			d.dispatchClient.connect()
 		}
 	}
 }
 
 func (d *daemon) setTargets(list []fireflypath.Target) {
-	d.sched.SetTargets(d.w.loop.Now(), list)
-	if d.desk != nil {
-		d.desk.SetTargets(d.w.loop.Now(), list)
-		d.desk.push()
+	d.scheduler.SetTargets(d.w.loop.Now(), list)
+	if d.dispatcher != nil {
+		d.dispatcher.SetTargets(d.w.loop.Now(), list)
+		d.dispatcher.pushDecisions()
 	}
-	d.pump()
+	d.runScheduler()
 }
 
-// beat tells the others what changed here and takes in what they told.
-func (d *daemon) beat() {
-	d.w.loop.After(beatEvery, d.beat)
-	t, ok := d.sched.(teller)
+// exchangeReports publishes the daemon's load if it has changed and processes the
+// reports of its peers.
+func (d *daemon) exchangeReports() {
+	d.w.loop.After(reportInterval, d.exchangeReports)
+	t, ok := d.scheduler.(peerReporter)
 	if !ok {
 		return
 	}
 	m := fireflypath.NewPeerLoad(d.name)
 	t.Report(&m)
-	if !same(&m, &d.told) {
-		d.told = m
-		for _, o := range d.mates {
-			d.w.loop.After(flushLag+d.w.o.Fleet.Hop.Std(), func() { o.heard[d.name] = m })
+	if !sameReport(&m, &d.lastReport) {
+		d.lastReport = m
+		for _, o := range d.peers {
+			d.w.loop.After(reportDelay+d.w.options.Fleet.Hop.Duration(), func() { o.peerReports[d.name] = m })
 		}
 	}
-	mates := make([]fireflypath.PeerLoad, 0, len(d.heard))
-	for _, o := range d.mates {
-		if m, ok := d.heardOf(o); ok {
-			mates = append(mates, m)
+	reports := make([]fireflypath.PeerLoad, 0, len(d.peerReports))
+	for _, o := range d.peers {
+		if m, ok := d.peerReport(o); ok {
+			reports = append(reports, m)
 		}
 	}
-	t.UpdatePeers(d.w.loop.Now(), mates)
-	if d.desk != nil {
-		d.desk.UpdatePeers(d.w.loop.Now(), mates)
-		d.desk.push()
+	t.UpdatePeers(d.w.loop.Now(), reports)
+	if d.dispatcher != nil {
+		d.dispatcher.UpdatePeers(d.w.loop.Now(), reports)
+		d.dispatcher.pushDecisions()
 	}
-	d.pump()
+	d.runScheduler()
 }
 
-func (d *daemon) heardOf(o *daemon) (fireflypath.PeerLoad, bool) {
-	m, ok := d.heard[o.name]
+func (d *daemon) peerReport(o *daemon) (fireflypath.PeerLoad, bool) {
+	m, ok := d.peerReports[o.name]
 	return m, ok
 }
 
-func same(a, b *fireflypath.PeerLoad) bool {
+func sameReport(a, b *fireflypath.PeerLoad) bool {
 	return maps.Equal(a.InFlight, b.InFlight) && maps.Equal(a.PendingPrompts, b.PendingPrompts) && maps.Equal(a.WaitingRanks, b.WaitingRanks)
 }
 
-// offer takes a request in.
+// offer passes a request to the scheduler.
 func (d *daemon) offer(c *call) {
 	d.calls[&c.work] = c
-	d.shed(d.sched.Offer(d.w.loop.Now(), &c.work, nil))
-	d.pump()
+	d.applySheds(d.scheduler.Offer(d.w.loop.Now(), &c.work, nil))
+	d.runScheduler()
 }
 
-func (d *daemon) shed(sheds []fireflypath.Shed) {
+func (d *daemon) applySheds(sheds []fireflypath.Shed) {
 	for _, s := range sheds {
 		c := d.calls[s.Work]
 		if c == nil || !s.Work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateShed) {
 			continue
 		}
-		d.sched.Withdraw(d.w.loop.Now(), s.Work)
+		d.scheduler.Withdraw(d.w.loop.Now(), s.Work)
 		delete(d.calls, s.Work)
-		c.refused(s.RetryAfter)
+		c.refuse(s.RetryAfter)
 	}
 }
 
-// pump carries out what the scheduler decides now, and tells the dispatcher.
-func (d *daemon) pump() {
-	if d.client != nil {
-		defer d.client.flush()
+// runScheduler executes the scheduler's pending decisions and sends updates to the
+// dispatcher.
+func (d *daemon) runScheduler() {
+	if d.dispatchClient != nil {
+		defer d.dispatchClient.sendUpdates()
 	}
 	now := d.w.loop.Now()
-	for d.sched.Next(now, &d.place) {
-		w := d.place.Work
+	for d.scheduler.Next(now, &d.placement) {
+		w := d.placement.Work
 		c := d.calls[w]
 		if c == nil || !w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched) {
-			d.sched.Observe(now, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: d.place.Target, Work: w, Cached: -1})
+			d.scheduler.Observe(now, fireflypath.Event{Kind: fireflypath.EventUnsent, Target: d.placement.Target, Work: w, Cached: -1})
 			continue
 		}
-		c.dispatched(d.place.Target)
+		c.send(d.placement.Target)
 	}
-	at := d.sched.Wake(now)
+	at := d.scheduler.Wake(now)
 	if at.IsZero() {
 		return
 	}
-	if soonest := now.Add(time.Millisecond); at.Before(soonest) {
-		at = soonest
+	if earliest := now.Add(time.Millisecond); at.Before(earliest) {
+		at = earliest
 	}
-	if d.wake.After(now) && !at.Before(d.wake) {
+	if d.nextWake.After(now) && !at.Before(d.nextWake) {
 		return
 	}
-	d.wake = at
-	life := d.life
+	d.nextWake = at
+	life := d.incarnation
 	d.w.loop.At(at, func() {
-		if d.life != life || !d.wake.Equal(at) {
+		if d.incarnation != life || !d.nextWake.Equal(at) {
 			return
 		}
-		d.wake = time.Time{}
-		d.shed(d.sched.Expire(d.w.loop.Now(), nil))
-		d.pump()
+		d.nextWake = time.Time{}
+		d.applySheds(d.scheduler.Expire(d.w.loop.Now(), nil))
+		d.runScheduler()
 	})
 }
 
-// withdraw takes a request out whose caller left.
+// withdraw removes a request whose caller has left.
 func (d *daemon) withdraw(c *call) {
 	if !c.work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateWithdrawn) {
 		return
 	}
-	d.sched.Withdraw(d.w.loop.Now(), &c.work)
+	d.scheduler.Withdraw(d.w.loop.Now(), &c.work)
 	delete(d.calls, &c.work)
 }
 
-// observe passes an event on and sees what it makes possible.
+// observe passes an event to the scheduler and executes the resulting decisions.
 func (d *daemon) observe(e fireflypath.Event) {
-	d.sched.Observe(d.w.loop.Now(), e)
-	d.pump()
+	d.scheduler.Observe(d.w.loop.Now(), e)
+	d.runScheduler()
 }
--- a/internal/sim/dispatch.go
+++ b/internal/sim/dispatch.go
@@ -9,142 +9,145 @@
 )
 
 const (
-	// process is what a message costs beside the way: encoding, waking up, decoding.
-	process = 200 * time.Microsecond
-	// notice is how long it takes daemons to see that their dispatcher died.
-	notice = 5 * time.Millisecond
+	// messageOverhead is the time to encode a message, wake the receiver and decode it,
+	// in addition to network latency.
+	messageOverhead = 200 * time.Microsecond
+	// failureDetectionDelay is how long daemons need to detect that their dispatcher
+	// has died.
+	failureDetectionDelay = 5 * time.Millisecond
 )
 
-// desk is the dispatcher at a daemon.
-type desk struct {
+// dispatcherNode is the dispatcher that runs in a daemon.
+type dispatcherNode struct {
 	d *daemon
 	*dispatcher.Dispatcher
-	wake time.Time
-	life int
+	nextWake    time.Time
+	incarnation int
 }
 
-func newDesk(d *daemon) *desk {
+func newDispatcherNode(d *daemon) *dispatcherNode {
 	w := d.w
-	k := &desk{d: d, Dispatcher: dispatcher.New(pool, w.o.Dispatch(d.pool(), uint64(d.n)+1)), life: d.life}
-	k.SetTargets(w.loop.Now(), w.list())
+	k := &dispatcherNode{d: d, Dispatcher: dispatcher.New(poolName, w.options.Dispatch(d.pool(), uint64(d.index)+1)), incarnation: d.incarnation}
+	k.SetTargets(w.loop.Now(), w.targetList())
 	k.SetShare(w.loop.Now(), d.share)
 	return k
 }
 
-// client is a daemon's side of its session.
-type client struct {
-	d    *daemon
-	r    *remote.Scheduler
-	to   *desk
-	id   uint64
-	busy bool
+// dispatchClient is a daemon's side of its session with the dispatcher.
+type dispatchClient struct {
+	d             *daemon
+	scheduler     *remote.Scheduler
+	node          *dispatcherNode
+	sessionID     uint64
+	awaitingReply bool
 }
 
-// choose turns to the dispatcher of the group: the first daemon of it.
-func (c *client) choose() {
-	if c.d.client != c {
+// connect opens a session with the group's dispatcher, which is its first daemon.
+func (c *dispatchClient) connect() {
+	if c.d.dispatchClient != c {
 		return // the daemon was restarted
 	}
 	first := c.d
-	for _, o := range c.d.mates {
-		if o.n < first.n {
+	for _, o := range c.d.peers {
+		if o.index < first.index {
 			first = o
 		}
 	}
-	if c.to != nil && c.to == first.desk {
+	if c.node != nil && c.node == first.dispatcher {
 		return
 	}
-	if first.desk == nil {
-		first.desk = newDesk(first)
+	if first.dispatcher == nil {
+		first.dispatcher = newDispatcherNode(first)
 	}
-	c.to = first.desk
-	c.id++
-	c.busy = false
+	c.node = first.dispatcher
+	c.sessionID++
+	c.awaitingReply = false
 	now := c.d.w.loop.Now()
-	c.r.Attach(now)
-	to, id := c.to, c.id
-	c.d.w.loop.After(c.way(), func() {
-		if c.d.client == c && c.id == id {
+	c.scheduler.Attach(now)
+	to, id := c.node, c.sessionID
+	c.d.w.loop.After(c.requestDelay(), func() {
+		if c.d.dispatchClient == c && c.sessionID == id {
 			to.OpenSession(c.d.w.loop.Now(), c.d.name, id)
 		}
 	})
-	c.flush()
+	c.sendUpdates()
 }
 
-// lose is the end of the dispatcher.
-func (c *client) lose() {
-	if c.d.client != c {
+// handleDispatcherLoss handles the failure of the dispatcher.
+func (c *dispatchClient) handleDispatcherLoss() {
+	if c.d.dispatchClient != c {
 		return
 	}
-	c.to = nil
-	c.d.shed(c.r.Detach(c.d.w.loop.Now(), nil))
-	c.d.pump()
-	c.d.w.loop.After(notice, func() { c.choose() })
+	c.node = nil
+	c.d.applySheds(c.scheduler.Detach(c.d.w.loop.Now(), nil))
+	c.d.runScheduler()
+	c.d.w.loop.After(failureDetectionDelay, func() { c.connect() })
 }
 
-// way is the time of a message to the dispatcher.
-func (c *client) way() time.Duration {
-	if c.to.d == c.d {
-		return process
+// requestDelay returns the latency of a message to the dispatcher.
+func (c *dispatchClient) requestDelay() time.Duration {
+	if c.node.d == c.d {
+		return messageOverhead
 	}
-	return c.d.w.o.Fleet.Hop.Std() + process
+	return c.d.w.options.Fleet.Hop.Duration() + messageOverhead
 }
 
-// flush sends the news, one message at a time.
-func (c *client) flush() {
-	if c.to == nil || c.busy {
+// sendUpdates sends pending updates to the dispatcher, with at most one message in
+// flight.
+func (c *dispatchClient) sendUpdates() {
+	if c.node == nil || c.awaitingReply {
 		return
 	}
-	news := c.r.News()
-	if news.Empty() {
+	updates := c.scheduler.News()
+	if updates.Empty() {
 		return
 	}
-	c.busy = true
-	to, id, loop := c.to, c.id, c.d.w.loop
-	loop.After(c.way(), func() {
-		if to.life != to.d.life || c.id != id {
+	c.awaitingReply = true
+	to, id, loop := c.node, c.sessionID, c.d.w.loop
+	loop.After(c.requestDelay(), func() {
+		if to.incarnation != to.d.incarnation || c.sessionID != id {
 			return
 		}
-		to.Apply(loop.Now(), c.d.name, &news)
-		turns := to.TakeDecisions(c.d.name)
-		to.push()
-		loop.After(c.back(to), func() {
-			if c.to != to || c.id != id {
+		to.Apply(loop.Now(), c.d.name, &updates)
+		decisions := to.TakeDecisions(c.d.name)
+		to.pushDecisions()
+		loop.After(c.replyDelay(to), func() {
+			if c.node != to || c.sessionID != id {
 				return
 			}
-			c.busy = false
-			c.deliver(turns)
-			c.flush()
+			c.awaitingReply = false
+			c.applyDecisions(decisions)
+			c.sendUpdates()
 		})
 	})
 }
 
-func (c *client) back(to *desk) time.Duration {
+func (c *dispatchClient) replyDelay(to *dispatcherNode) time.Duration {
 	if to.d == c.d {
-		return process
+		return messageOverhead
 	}
-	return c.d.w.o.Fleet.Hop.Std() + process
+	return c.d.w.options.Fleet.Hop.Duration() + messageOverhead
 }
 
-func (c *client) deliver(turns []fireflypath.Decision) {
-	c.d.shed(c.r.ApplyDecisions(c.d.w.loop.Now(), turns, nil))
-	c.d.pump()
+func (c *dispatchClient) applyDecisions(decisions []fireflypath.Decision) {
+	c.d.applySheds(c.scheduler.ApplyDecisions(c.d.w.loop.Now(), decisions, nil))
+	c.d.runScheduler()
 }
 
-// push tells all daemons what was decided for them, and sets the next wake.
-func (k *desk) push() {
+// pushDecisions sends pending decisions to the daemons and schedules the next wake-up.
+func (k *dispatcherNode) pushDecisions() {
 	loop := k.d.w.loop
 	for _, name := range k.Sessions() {
-		turns := k.TakeDecisions(name)
-		o := k.d.w.byName(name)
-		if len(turns) == 0 || o == nil || o.client == nil {
+		decisions := k.TakeDecisions(name)
+		o := k.d.w.findDaemon(name)
+		if len(decisions) == 0 || o == nil || o.dispatchClient == nil {
 			continue
 		}
-		id := o.client.id
-		loop.After(o.client.back(k), func() {
-			if o.client != nil && o.client.to == k && o.client.id == id {
-				o.client.deliver(turns)
-				o.client.flush()
+		id := o.dispatchClient.sessionID
+		loop.After(o.dispatchClient.replyDelay(k), func() {
+			if o.dispatchClient != nil && o.dispatchClient.node == k && o.dispatchClient.sessionID == id {
+				o.dispatchClient.applyDecisions(decisions)
+				o.dispatchClient.sendUpdates()
 			}
 		})
 	}
@@ -152,18 +155,18 @@
 	if at.IsZero() {
 		return
 	}
-	if soonest := loop.Now().Add(time.Millisecond); at.Before(soonest) {
-		at = soonest
+	if earliest := loop.Now().Add(time.Millisecond); at.Before(earliest) {
+		at = earliest
 	}
-	if k.wake.After(loop.Now()) && !at.Before(k.wake) {
+	if k.nextWake.After(loop.Now()) && !at.Before(k.nextWake) {
 		return
 	}
-	k.wake = at
+	k.nextWake = at
 	loop.At(at, func() {
-		if k.life != k.d.life || !k.wake.Equal(at) {
+		if k.incarnation != k.d.incarnation || !k.nextWake.Equal(at) {
 			return
 		}
 		k.Tick(loop.Now())
-		k.push()
+		k.pushDecisions()
 	})
 }
--- a/internal/sim/engine/engine.go
+++ b/internal/sim/engine/engine.go
@@ -8,176 +8,178 @@
 	"github.com/fireflypath/fireflypath/internal/sim/loop"
 )
 
-// Engine runs requests in a batch of slots. Each step generates one token for
-// each request whose prompt was read, and reads one chunk of the prompts that are
-// not, in order of arrival. It knows no tiers.
+// Engine runs requests in a batch of limited size. Each step generates one token for
+// each request whose prompt is prefilled and prefills up to one chunk of the other
+// prompts in order of arrival. It does not know tiers.
 type Engine struct {
 	loop  *loop.Loop
 	cfg   fleet.Engines
 	speed float64
-	// slow multiplies it for a while.
-	slow float64
+	// slowdown is an additional, temporary factor on all times.
+	slowdown float64
 
-	batch []*Run
-	queue []*Run
-	// stepping is true while a step is in progress.
+	batch []*Request
+	queue []*Request
+	// stepping reports whether a step is in progress.
 	stepping bool
-	// life tells a step of an earlier life from the present one.
-	life int
-	down bool
-	// Prefilled counts prompt tokens read.
+	// incarnation counts stops, so that a step scheduled before a stop has no effect
+	// after a restart.
+	incarnation int
+	stopped     bool
+	// Prefilled counts prefilled prompt tokens.
 	Prefilled int
 }
 
-// Run is one request at an engine.
-type Run struct {
+// Request is one request at an engine.
+type Request struct {
 	Prompt int
 	// Output is the number of tokens to generate; at least 1.
 	Output int
-	// Event is called with each event; last is true for the final one.
-	Event func(now time.Time, last bool)
-	// Fail is called if the engine goes down.
-	Fail func(now time.Time)
+	// OnEvent is called for each output event; last is true for the final one.
+	OnEvent func(now time.Time, last bool)
+	// OnFailure is called if the engine stops.
+	OnFailure func(now time.Time)
 
-	read, made int
-	gone       bool
+	prefilled, generated int
+	cancelled            bool
 }
 
 // New returns an idle engine whose times are multiplied by speed.
 func New(l *loop.Loop, cfg fleet.Engines, speed float64) *Engine {
-	return &Engine{loop: l, cfg: cfg, speed: speed, slow: 1}
+	return &Engine{loop: l, cfg: cfg, speed: speed, slowdown: 1}
 }
 
-// Submit takes a request in, or reports that the engine is full or down.
-func (e *Engine) Submit(r *Run) bool {
-	if e.down || len(e.batch) >= e.cfg.Slots && len(e.queue) >= e.cfg.Queue {
+// Submit queues a request. It returns false if the engine is full or stopped.
+func (e *Engine) Submit(r *Request) bool {
+	if e.stopped || len(e.batch) >= e.cfg.Slots && len(e.queue) >= e.cfg.Queue {
 		return false
 	}
 	e.queue = append(e.queue, r)
 	e.admit()
-	e.step()
+	e.startStep()
 	return true
 }
 
-// Cancel ends a request whose caller left.
-func (e *Engine) Cancel(r *Run) { r.gone = true }
+// Cancel ends a request whose caller has left.
+func (e *Engine) Cancel(r *Request) { r.cancelled = true }
 
-// Load is the number of running and of waiting requests.
+// Load returns the number of running and of queued requests.
 func (e *Engine) Load() (running, waiting int) { return len(e.batch), len(e.queue) }
 
-// Prefilling is the number of running requests whose prompt is not read.
+// Prefilling returns the number of running requests whose prompt is not fully
+// prefilled.
 func (e *Engine) Prefilling() int {
 	n := 0
 	for _, r := range e.batch {
-		if r.read < r.Prompt {
+		if r.prefilled < r.Prompt {
 			n++
 		}
 	}
 	return n
 }
 
-// Down ends the engine's life: all that it holds fails.
-func (e *Engine) Down() {
-	e.life++
-	e.down, e.stepping = true, false
-	all := append(e.batch, e.queue...)
+// Stop stops the engine; all its requests fail.
+func (e *Engine) Stop() {
+	e.incarnation++
+	e.stopped, e.stepping = true, false
+	requests := append(e.batch, e.queue...)
 	e.batch, e.queue = nil, nil
-	for _, r := range all {
-		if !r.gone {
-			r.Fail(e.loop.Now())
+	for _, r := range requests {
+		if !r.cancelled {
+			r.OnFailure(e.loop.Now())
 		}
 	}
 }
 
-// Up begins a new life without work.
-func (e *Engine) Up() { e.down = false }
+// Restart makes a stopped engine available again, without requests.
+func (e *Engine) Restart() { e.stopped = false }
 
 func (e *Engine) admit() {
 	for len(e.queue) > 0 && len(e.batch) < e.cfg.Slots {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
-		if !r.gone {
+		if !r.cancelled {
 			e.batch = append(e.batch, r)
 		}
 	}
 }
 
-// step begins a step if there is work and none is in progress.
-func (e *Engine) step() {
+// startStep begins a step if there is work and none is in progress.
+func (e *Engine) startStep() {
 	if e.stepping || len(e.batch) == 0 {
 		return
 	}
 	e.stepping = true
 	decoding, context := 0, 0
 	for _, r := range e.batch {
-		if r.read >= r.Prompt {
+		if r.prefilled >= r.Prompt {
 			decoding++
-			context += r.Prompt + r.made
+			context += r.Prompt + r.generated
 		}
 	}
 	ms := e.cfg.Step + e.cfg.PerSlot*float64(decoding) + e.cfg.PerContext*float64(context)/1000
-	first := false
+	completesPrompt := false
 	budget := e.cfg.Chunk
 	for _, r := range e.batch {
-		n := min(budget, r.Prompt-r.read)
+		n := min(budget, r.Prompt-r.prefilled)
 		if n <= 0 {
 			continue
 		}
-		ms += float64(n)/e.cfg.Prefill + e.cfg.Pairs*float64(n)*(float64(r.read)+float64(n)/2)/1e6
+		ms += float64(n)/e.cfg.Prefill + e.cfg.Pairs*float64(n)*(float64(r.prefilled)+float64(n)/2)/1e6
 		budget -= n
-		first = first || r.read+n >= r.Prompt
+		completesPrompt = completesPrompt || r.prefilled+n >= r.Prompt
 	}
-	if first {
+	if completesPrompt {
 		ms += e.cfg.First
 	}
-	life := e.life
-	e.loop.After(time.Duration(ms*e.speed*e.slow*float64(time.Millisecond)), func() {
-		if e.life == life {
-			e.end()
+	life := e.incarnation
+	e.loop.After(time.Duration(ms*e.speed*e.slowdown*float64(time.Millisecond)), func() {
+		if e.incarnation == life {
+			e.finishStep()
 		}
 	})
 }
 
-// end does the work of a step.
-func (e *Engine) end() {
+// finishStep applies the results of a step and starts the next one.
+func (e *Engine) finishStep() {
 	e.stepping = false
 	now := e.loop.Now()
 	budget := e.cfg.Chunk
-	rest := e.batch[:0]
-	var events []*Run
+	remaining := e.batch[:0]
+	var events []*Request
 	for _, r := range e.batch {
-		if r.gone {
+		if r.cancelled {
 			continue
 		}
-		if r.read < r.Prompt {
-			n := min(budget, r.Prompt-r.read)
+		if r.prefilled < r.Prompt {
+			n := min(budget, r.Prompt-r.prefilled)
 			budget -= n
-			r.read += n
+			r.prefilled += n
 			e.Prefilled += n
-			if r.read < r.Prompt {
-				rest = append(rest, r)
+			if r.prefilled < r.Prompt {
+				remaining = append(remaining, r)
 				continue
 			}
 		}
-		r.made++
-		if r.made == 1 || r.made >= r.Output || (r.made-1)%e.cfg.Stride == 0 {
+		r.generated++
+		if r.generated == 1 || r.generated >= r.Output || (r.generated-1)%e.cfg.Stride == 0 {
 			events = append(events, r)
 		}
-		if r.made < r.Output {
-			rest = append(rest, r)
+		if r.generated < r.Output {
+			remaining = append(remaining, r)
 		}
 	}
-	clear(e.batch[len(rest):])
-	e.batch = rest
+	clear(e.batch[len(remaining):])
+	e.batch = remaining
 	e.admit()
 	for _, r := range events {
-		r.Event(now, r.made >= r.Output)
+		r.OnEvent(now, r.generated >= r.Output)
 	}
-	e.step()
+	e.startStep()
 }
 
-// Slow multiplies the engine's times from the next step on.
-func (e *Engine) Slow(factor float64) { e.slow = factor }
+// SetSlowdown sets the temporary factor on the engine's times from the next step on.
+func (e *Engine) SetSlowdown(factor float64) { e.slowdown = factor }
 
-// Gone is true while the engine is down.
-func (e *Engine) Gone() bool { return e.down }
+// Stopped reports whether the engine is stopped.
+func (e *Engine) Stopped() bool { return e.stopped }
--- a/internal/sim/fleet/files.go
+++ b/internal/sim/fleet/files.go
@@ -8,13 +8,13 @@
 	"github.com/tailscale/hujson"
 )
 
-// ErrUnknown is the name of a fleet that does not exist.
+// ErrUnknown is returned for the name of a fleet that does not exist.
 var ErrUnknown = errors.New("unknown fleet")
 
 //go:embed fleets/*.jsonc
 var files embed.FS
 
-// Names lists the fleets that come with the program.
+// Names returns the names of the embedded fleets.
 func Names() []string {
 	entries, err := files.ReadDir("fleets")
 	if err != nil {
@@ -27,10 +27,10 @@
 	return out
 }
 
-// Find is the fleet of a name; "drawn" is one that differs from seed to seed.
+// Find returns the fleet with the name; "drawn" is random and depends on the seed.
 func Find(name string, seed uint64) (Fleet, error) {
 	if name == "drawn" {
-		return Draw(seed), nil
+		return Random(seed), nil
 	}
 	b, err := files.ReadFile("fleets/" + name + ".jsonc")
 	if err != nil {
@@ -39,7 +39,7 @@
 	return Parse(b)
 }
 
-// Parse reads a fleet in JSON with comments.
+// Parse parses a fleet in JSON with comments.
 func Parse(b []byte) (Fleet, error) {
 	var f Fleet
 	plain, err := hujson.Standardize(b)
--- a/internal/sim/loop/loop.go
+++ b/internal/sim/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop runs functions in virtual time.
+// Package loop is a discrete-event loop in virtual time.
 package loop
 
 import (
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Epoch is the start of virtual time; any fixed time does.
+// Epoch is the start of virtual time. Its value is arbitrary.
 var Epoch = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// Loop runs functions in the order of their virtual times, and of their
-// scheduling where times are equal, so that a run is repeatable.
+// Loop runs functions in the order of their virtual times, and in scheduling order
+// where times are equal, so that runs are repeatable.
 type Loop struct {
 	now   time.Time
 	queue events
 	seq   uint64
 }
 
-// New returns a loop that stands at Epoch.
+// New returns a loop whose time is Epoch.
 func New() *Loop {
 	return &Loop{now: Epoch}
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (l *Loop) Now() time.Time { return l.now }
 
-// Since is the time since Epoch.
+// Since returns the time since Epoch.
 func (l *Loop) Since() time.Duration { return l.now.Sub(Epoch) }
 
-// At schedules a function; times that have passed mean now.
+// At schedules a function; a time in the past means now.
 func (l *Loop) At(t time.Time, fn func()) {
 	if t.Before(l.now) {
 		t = l.now
@@ -37,12 +37,12 @@
 	heap.Push(&l.queue, event{at: t, seq: l.seq, fn: fn})
 }
 
-// After schedules a function.
+// After schedules a function to run after a delay.
 func (l *Loop) After(d time.Duration, fn func()) {
 	l.At(l.now.Add(d), fn)
 }
 
-// Run works until the end or until nothing is left.
+// Run processes events until the end time or until none is left.
 func (l *Loop) Run(end time.Time) {
 	for len(l.queue) > 0 && !l.queue[0].at.After(end) {
 		e := heap.Pop(&l.queue).(event)
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -1,4 +1,5 @@
-// Package sim plays the daemons' decisions in virtual time, against engines and callers that behave as the users' own.
+// Package sim runs the daemons' schedulers in virtual time against simulated engines
+// and callers whose sizes, rates and behavior are those of the users.
 package sim
 
 import (
@@ -16,74 +17,74 @@
 	"github.com/fireflypath/fireflypath/internal/sim/loop"
 )
 
-// settle is how long a run goes on after the last arrival.
-const settle = 12 * time.Second
+// settleTime is how long a run continues after the last arrival.
+const settleTime = 12 * time.Second
 
-// Maker makes a daemon's scheduler.
-type Maker func(pool fireflypath.Pool, seed uint64) fireflypath.Scheduler
+// SchedulerFactory returns a new scheduler for one daemon.
+type SchedulerFactory func(pool fireflypath.Pool, seed uint64) fireflypath.Scheduler
 
-// Options choose one run.
+// Options configure one run.
 type Options struct {
 	Fleet fleet.Fleet
 	Load  load.Load
 	Seed  uint64
-	Make  Maker
-	// Dispatch makes the scheduler of a dispatcher that decides for a group of
-	// daemons; nil for daemons that decide alone.
+	Make  SchedulerFactory
+	// Dispatch returns the scheduler of a dispatcher that decides for a group of
+	// daemons. It is nil if each daemon decides alone.
 	Dispatch func(pool fireflypath.Pool, seed uint64) dispatcher.Scheduler
 }
 
-// world is one run.
+// world is the state of one run.
 type world struct {
-	o       Options
+	options Options
 	loop    *loop.Loop
 	rnd     *rand.Rand
 	daemons []*daemon
-	// targets are those that exist, in the order of their start.
+	// targets lists the existing engines in the order of their start.
 	targets []*target
 	started int
 	tally   *tally
 }
 
-// target is an engine in use.
+// target is an engine together with its entry in the target list.
 type target struct {
 	fireflypath.Target
 	*engine.Engine
 	speed float64
 }
 
-// Run plays one run. The same options give the same result.
+// Run simulates one run. Equal options give equal results.
 func Run(o Options) Result {
-	w := &world{o: o, loop: loop.New(), rnd: rand.New(rand.NewPCG(o.Seed, 1))}
+	w := &world{options: o, loop: loop.New(), rnd: rand.New(rand.NewPCG(o.Seed, 1))}
 	w.tally = newTally(o.Fleet)
 	for i := range o.Fleet.Engines.Count {
-		w.start(o.Fleet.Engines.Speeds[i%len(o.Fleet.Engines.Speeds)])
+		w.startEngine(o.Fleet.Engines.Speeds[i%len(o.Fleet.Engines.Speeds)])
 	}
 	for i := range o.Fleet.Daemons {
 		w.daemons = append(w.daemons, newDaemon(w, i))
 	}
-	w.layout()
-	w.trouble()
-	w.arrivals()
-	w.loop.Run(loop.Epoch.Add(load.Span + settle))
+	w.assignCells()
+	w.scheduleFaults()
+	w.scheduleArrivals()
+	w.loop.Run(loop.Epoch.Add(load.Span + settleTime))
 	return w.tally.result()
 }
 
-// start adds an engine.
-func (w *world) start(speed float64) {
+// startEngine adds an engine.
+func (w *world) startEngine(speed float64) {
 	w.started++
 	t := &target{
 		Target: fireflypath.Target{
-			Name: fmt.Sprintf("t%03d", w.started), Pool: pool, Addr: fmt.Sprintf("10.0.0.1:%d", w.started),
-			Domain: "d", Slots: w.o.Fleet.Engines.Slots,
+			Name: fmt.Sprintf("t%03d", w.started), Pool: poolName, Addr: fmt.Sprintf("10.0.0.1:%d", w.started),
+			Domain: "d", Slots: w.options.Fleet.Engines.Slots,
 		},
-		Engine: engine.New(w.loop, w.o.Fleet.Engines, speed), speed: speed,
+		Engine: engine.New(w.loop, w.options.Fleet.Engines, speed), speed: speed,
 	}
 	w.targets = append(w.targets, t)
 }
 
-// find is the engine of a name, or nil.
-func (w *world) find(name string) *target {
+// findTarget returns the target with the name, or nil.
+func (w *world) findTarget(name string) *target {
 	for _, t := range w.targets {
 		if t.Name == name {
 			return t
@@ -92,55 +93,56 @@
 	return nil
 }
 
-// remove takes an engine out of the list that daemons see.
-func (w *world) remove(t *target) {
+// removeTarget removes an engine from the target list and informs the daemons.
+func (w *world) removeTarget(t *target) {
 	for i, o := range w.targets {
 		if o == t {
 			w.targets = append(w.targets[:i:i], w.targets[i+1:]...)
 		}
 	}
-	w.tell()
+	w.announceTargets()
 }
 
 const (
-	// listLag is how long after a change of the list of targets daemons know it:
-	// a watch of the store and the relay of it.
-	listLag = 15 * time.Millisecond
-	// lapse is when an engine that crashed is off the list.
-	lapse = 3600 * time.Millisecond
+	// targetListDelay is the time until daemons learn of a change to the target list: a
+	// watch event of the store and its propagation between daemons.
+	targetListDelay = 15 * time.Millisecond
+	// crashRemovalDelay is the time from an engine's crash to its removal from the
+	// target list.
+	crashRemovalDelay = 3600 * time.Millisecond
 )
 
-// tell gives the list of engines to all daemons.
-func (w *world) tell() {
-	list := w.list()
-	w.loop.After(listLag, func() {
-		w.layout()
+// announceTargets sends the target list to all daemons.
+func (w *world) announceTargets() {
+	list := w.targetList()
+	w.loop.After(targetListDelay, func() {
+		w.assignCells()
 		for _, d := range w.daemons {
 			d.setTargets(list)
 		}
 	})
 }
 
-// trouble schedules what goes wrong.
-func (w *world) trouble() {
-	for _, o := range w.o.Load.Outages {
-		w.loop.After(o.At, func() { w.outage(o) })
+// scheduleFaults schedules the outages, slowdowns and restarts of the load.
+func (w *world) scheduleFaults() {
+	for _, o := range w.options.Load.Outages {
+		w.loop.After(o.At, func() { w.applyOutage(o) })
 	}
-	for _, s := range w.o.Load.Slows {
-		w.loop.After(s.At, func() { w.slow(s) })
+	for _, s := range w.options.Load.Slowdowns {
+		w.loop.After(s.At, func() { w.applySlowdown(s) })
 	}
-	for _, r := range w.o.Load.Restarts {
+	for _, r := range w.options.Load.Restarts {
 		w.loop.After(r.At, func() {
-			for _, d := range w.daemons[:int(math.Round(r.Part*float64(len(w.daemons))))] {
+			for _, d := range w.daemons[:int(math.Round(r.Fraction*float64(len(w.daemons))))] {
 				d.restart()
 			}
 		})
 	}
 }
 
-// some are that part of the engines, by lot.
-func (w *world) some(part float64) []*target {
-	n := int(math.Round(part * float64(w.o.Fleet.Engines.Count)))
+// randomTargets returns the given fraction of the engines, chosen at random.
+func (w *world) randomTargets(part float64) []*target {
+	n := int(math.Round(part * float64(w.options.Fleet.Engines.Count)))
 	var out []*target
 	for _, i := range w.rnd.Perm(len(w.targets)) {
 		if len(out) < n {
@@ -150,47 +152,47 @@
 	return out
 }
 
-func (w *world) outage(o load.Outage) {
-	for i, t := range w.some(o.Part) {
-		w.loop.After(time.Duration(i)*o.Step, func() {
+func (w *world) applyOutage(o load.Outage) {
+	for i, t := range w.randomTargets(o.Fraction) {
+		w.loop.After(time.Duration(i)*o.Stagger, func() {
 			if o.Planned {
-				w.replace(t)
+				w.replaceTarget(t)
 				return
 			}
-			t.Down()
-			w.loop.After(lapse, func() { w.remove(t) })
+			t.Stop()
+			w.loop.After(crashRemovalDelay, func() { w.removeTarget(t) })
 		})
 		if !o.Planned {
-			w.loop.After(o.For+time.Duration(i)*o.Step, func() {
-				w.start(t.speed)
-				w.tell()
+			w.loop.After(o.Duration+time.Duration(i)*o.Stagger, func() {
+				w.startEngine(t.speed)
+				w.announceTargets()
 			})
 		}
 	}
 }
 
-// drain is how long an engine that leaves goes on.
-const drain = 2500 * time.Millisecond
+// drainTime is how long a leaving engine keeps running.
+const drainTime = 2500 * time.Millisecond
 
-// replace starts another engine and has the old one leave.
-func (w *world) replace(t *target) {
-	w.start(t.speed)
+// replaceTarget starts a replacement engine and drains the old one.
+func (w *world) replaceTarget(t *target) {
+	w.startEngine(t.speed)
 	t.Drained = true
-	w.tell()
-	w.loop.After(drain, func() {
-		t.Down()
-		w.remove(t)
+	w.announceTargets()
+	w.loop.After(drainTime, func() {
+		t.Stop()
+		w.removeTarget(t)
 	})
 }
 
-func (w *world) slow(s load.Slow) {
-	for _, t := range w.some(s.Part) {
-		t.Slow(s.Factor)
-		w.loop.After(s.For, func() { t.Slow(1) })
+func (w *world) applySlowdown(s load.Slowdown) {
+	for _, t := range w.randomTargets(s.Fraction) {
+		t.SetSlowdown(s.Factor)
+		w.loop.After(s.Duration, func() { t.SetSlowdown(1) })
 	}
 }
 
-// mix is a number between 0 and 1 for a seed and two numbers.
-func mix(seed uint64, a, b int) float64 {
+// hashFraction hashes a seed and two numbers to a number in [0, 1).
+func hashFraction(seed uint64, a, b int) float64 {
 	return float64(place.Mix64(seed^place.Mix64(uint64(a)<<32|uint64(b)))>>11) / (1 << 53)
 }
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -14,8 +14,8 @@
 	"github.com/fireflypath/fireflypath/internal/sim/load"
 )
 
-// play runs a named load on a named fleet, with a dispatcher or without.
-func play(t *testing.T, mix, pattern string, seed uint64, dispatched bool) sim.Result {
+// simulate runs a named load on a named fleet, with a dispatcher or without.
+func simulate(t *testing.T, mix, pattern string, seed uint64, dispatched bool) sim.Result {
 	t.Helper()
 	f, err := fleet.Find(mix, seed)
 	if err != nil {
@@ -36,45 +36,45 @@
 	return sim.Run(o)
 }
 
-// mean is the mean worth over some seeds.
-func mean(t *testing.T, mix, pattern string, dispatched bool) float64 {
+// meanWorth returns the mean worth over three seeds.
+func meanWorth(t *testing.T, mix, pattern string, dispatched bool) float64 {
 	const seeds = 3
 	sum := 0.0
 	for seed := range uint64(seeds) {
-		sum += play(t, mix, pattern, seed+1, dispatched).Worth
+		sum += simulate(t, mix, pattern, seed+1, dispatched).Worth
 	}
 	return sum / seeds
 }
 
-// Many more users than the engines can serve come at once, some engines crash, or half
-// of them return together. With a queue at each daemon, low and late work takes places
-// that higher and punctual work at another daemon waits for; one queue for all daemons
-// serves callers what is worth more. Over eight seeds the difference is 0.10 to 0.17
-// on these loads; half of the least is asked for.
-func TestOneQueueServesHeavyLoads(t *testing.T) {
+// Guards against a dispatcher that serves overloads no better than separate queues:
+// with one queue per daemon, low-priority or late requests occupy slots that
+// higher-priority requests at another daemon, which could still be answered in time,
+// wait for. Measured over eight seeds, the dispatcher gains 0.10 to 0.17 on these
+// loads; the test requires half of the smallest gain.
+func TestDispatcherImprovesHeavyLoads(t *testing.T) {
 	for _, pattern := range []string{"flash", "flash-shortage", "return"} {
 		t.Run(pattern, func(t *testing.T) {
 			is := is.New(t)
 			for _, mix := range []string{"norte", "austral"} {
-				is.True(mean(t, mix, pattern, true) > mean(t, mix, pattern, false)+0.05)
+				is.True(meanWorth(t, mix, pattern, true) > meanWorth(t, mix, pattern, false)+0.05)
 			}
 		})
 	}
 }
 
-// The daemon that decides for all is restarted with the others, and half of them once
-// more. Callers lose what was in flight there and no more than without a dispatcher.
-func TestOneQueueSurvivesRestarts(t *testing.T) {
+// All daemons restart, including the one that runs the dispatcher, and later half of
+// them again. Callers must lose no more than without a dispatcher.
+func TestDispatcherSurvivesRestarts(t *testing.T) {
 	is := is.New(t)
-	is.True(mean(t, "norte", "restarts", true) > mean(t, "norte", "restarts", false)-0.01)
+	is.True(meanWorth(t, "norte", "restarts", true) > meanWorth(t, "norte", "restarts", false)-0.01)
 }
 
-func TestSameSeedGivesTheSameBytes(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	for _, dispatched := range []bool{false, true} {
-		a, err := json.Marshal(play(t, "drawn", "drawn", 3, dispatched))
+		a, err := json.Marshal(simulate(t, "drawn", "drawn", 3, dispatched))
 		is.NoErr(err)
-		b, err := json.Marshal(play(t, "drawn", "drawn", 3, dispatched))
+		b, err := json.Marshal(simulate(t, "drawn", "drawn", 3, dispatched))
 		is.NoErr(err)
 		is.Equal(string(a), string(b))
 	}
--- a/internal/sim/tally.go
+++ b/internal/sim/tally.go
@@ -10,8 +10,8 @@
 	"github.com/fireflypath/fireflypath/internal/sim/loop"
 )
 
-// source draws random numbers.
-type source interface {
+// randomSource generates random numbers.
+type randomSource interface {
 	Float64() float64
 	NormFloat64() float64
 	ExpFloat64() float64
@@ -19,7 +19,7 @@
 
 func newRand(seed, purpose uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, purpose)) }
 
-// outcome is what became of a request.
+// outcome is the final state of a request.
 type outcome int
 
 const (
@@ -28,37 +28,39 @@
 	outcomeRefused
 	outcomeFailed
 	outcomeLeft
-	outcomes
+	outcomeCount
 )
 
-// Figures of a run that enter its worth.
+// Parameters of a run's score.
 const (
-	// window is the span of the worst times.
+	// window is the length of the intervals of which the worst two enter the score.
 	window = 2 * time.Second
-	// againPrice is the part of its worth that a request costs which came back
-	// after a refusal and was refused once more.
-	againPrice = 0.3
-	// mostWeight bounds what one request is worth against the mean of its kind.
-	mostWeight = 4
-	// baseWeight is the part of a request's worth that does not grow with its size.
-	baseWeight = 0.3
+	// repeatedRefusalPenalty is the fraction of its worth that is deducted for a
+	// request that retried after a refusal and was refused again.
+	repeatedRefusalPenalty = 0.3
+	// maxRelativeWeight bounds the worth of one request relative to the mean of its
+	// kind.
+	maxRelativeWeight = 4
+	// fixedWeight is the fraction of a request's worth that does not grow with its
+	// size.
+	fixedWeight = 0.3
 )
 
-// Result is what the callers of one run received.
+// Result summarizes what the callers of one run received.
 type Result struct {
-	// Worth is what the fleet's goal makes of the parts below, less Again.
+	// Worth is the weighted sum of Whole, Window and Class, less Again.
 	Worth  float64 `json:"worth"`
 	Whole  float64 `json:"whole"`
 	Window float64 `json:"window"`
 	Class  float64 `json:"class"`
-	// Again is the price of requests that were refused twice.
+	// Again is the penalty for requests that were refused more than once.
 	Again float64 `json:"again"`
 	Kinds []Kind  `json:"kinds"`
-	// Windows is the part of the worth earned by the time of arrival.
+	// Windows is the earned fraction of the worth per interval of arrival.
 	Windows []float64 `json:"windows"`
 }
 
-// Kind is what the callers of one kind of work received.
+// Kind summarizes what the callers of one kind of work received.
 type Kind struct {
 	Name    string  `json:"name"`
 	Sent    int     `json:"sent"`
@@ -69,121 +71,122 @@
 	Failed  int     `json:"failed"`
 	Left    int     `json:"left"`
 	Worth   float64 `json:"worth"`
-	// Waited is the median and the 90th percentile in seconds in the daemon, First
-	// those at the engine until the first event, of requests served at the first try.
+	// Waited holds the median and the 90th percentile, in seconds, of the time in the
+	// daemon, First those of the time from dispatch to the first event, for requests
+	// served at the first attempt.
 	Waited [2]float64 `json:"waited"`
 	First  [2]float64 `json:"first"`
 }
 
 type sample struct {
-	r      *request
-	owed   float64
-	earned float64
-	weight float64
-	out    outcome
+	request *request
+	worth   float64
+	earned  float64
+	weight  float64
+	outcome outcome
 }
 
 type tally struct {
-	fleet   fleet.Fleet
-	means   []float64
-	samples map[*request]*sample
-	order   []*sample
+	fleet       fleet.Fleet
+	meanWeights []float64
+	samples     map[*request]*sample
+	order       []*sample
 }
 
 func newTally(f fleet.Fleet) *tally {
 	t := &tally{fleet: f, samples: map[*request]*sample{}}
 	for _, k := range f.Kinds {
-		t.means = append(t.means, fleet.Weight(int(k.Prompt.Mean), int(k.Output.Mean*float64(f.Engines.Stride))))
+		t.meanWeights = append(t.meanWeights, fleet.Weight(int(k.Prompt.Mean), int(k.Output.Mean*float64(f.Engines.Stride))))
 	}
 	return t
 }
 
-func (t *tally) arrive(r *request) {
-	s := &sample{r: r, weight: fleet.Weight(r.prompt, r.output), out: outcomeLeft}
-	size := baseWeight + (1-baseWeight)*s.weight/t.means[r.kind]
-	s.owed = r.spec().Worth * min(size, mostWeight)
+func (t *tally) add(r *request) {
+	s := &sample{request: r, weight: fleet.Weight(r.prompt, r.output), outcome: outcomeLeft}
+	size := fixedWeight + (1-fixedWeight)*s.weight/t.meanWeights[r.kind]
+	s.worth = r.spec().Worth * min(size, maxRelativeWeight)
 	t.samples[r] = s
 	t.order = append(t.order, s)
 }
 
-func (t *tally) end(r *request, o outcome) {
+func (t *tally) finish(r *request, o outcome) {
 	s := t.samples[r]
-	s.out = o
+	s.outcome = o
 	switch o {
 	case outcomeInTime:
-		s.earned = s.owed
+		s.earned = s.worth
 	case outcomeLate:
-		s.earned = s.owed * r.spec().Late / r.spec().Worth
+		s.earned = s.worth * r.spec().Late / r.spec().Worth
 	default:
 	}
 }
 
-// part is the part of the worth owed that was earned.
-func part(samples []*sample) float64 {
-	owed, earned := 0.0, 0.0
+// earnedFraction returns the earned fraction of the samples' total worth.
+func earnedFraction(samples []*sample) float64 {
+	total, earned := 0.0, 0.0
 	for _, s := range samples {
-		owed += s.owed
+		total += s.worth
 		earned += s.earned
 	}
-	if owed == 0 {
+	if total == 0 {
 		return 1
 	}
-	return earned / owed
+	return earned / total
 }
 
 func (t *tally) result() Result {
-	res := Result{Whole: part(t.order), Class: 1}
-	owed, again := 0.0, 0.0
+	res := Result{Whole: earnedFraction(t.order), Class: 1}
+	total, repeated := 0.0, 0.0
 	for _, s := range t.order {
-		owed += s.owed
-		if s.out == outcomeRefused && s.r.refusals > 1 {
-			again += s.owed
+		total += s.worth
+		if s.outcome == outcomeRefused && s.request.refusals > 1 {
+			repeated += s.worth
 		}
 	}
-	if owed > 0 {
-		res.Again = againPrice * again / owed
+	if total > 0 {
+		res.Again = repeatedRefusalPenalty * repeated / total
 	}
 	for i := range int(load.Span / window) {
-		var in []*sample
+		var arrivals []*sample
 		for _, s := range t.order {
-			if at := s.r.arrived.Sub(loop.Epoch); at >= time.Duration(i)*window && at < time.Duration(i+1)*window {
-				in = append(in, s)
+			if at := s.request.arrivedAt.Sub(loop.Epoch); at >= time.Duration(i)*window && at < time.Duration(i+1)*window {
+				arrivals = append(arrivals, s)
 			}
 		}
-		res.Windows = append(res.Windows, part(in))
+		res.Windows = append(res.Windows, earnedFraction(arrivals))
 	}
 	worst := slices.Sorted(slices.Values(res.Windows))
 	res.Window = (worst[0] + worst[1]) / 2
 	for k := range t.fleet.Kinds {
-		kind, class := t.kind(k)
+		kind, class := t.summarizeKind(k)
 		res.Kinds = append(res.Kinds, kind)
 		res.Class = min(res.Class, class)
 	}
-	g := t.fleet.Goal
+	g := t.fleet.Weights
 	res.Worth = g.Mean*res.Whole + g.Window*res.Window + g.Class*res.Class - res.Again
 	return res
 }
 
-// kind sums one kind of work up; class is the least part that the whole kind, its
-// largest tenth or the fifth below that earned.
-func (t *tally) kind(k int) (Kind, float64) {
+// summarizeKind summarizes one kind of work. The second result is the smallest earned
+// fraction among the whole kind, its largest tenth and the next fifth by size.
+func (t *tally) summarizeKind(k int) (Kind, float64) {
 	out := Kind{Name: t.fleet.Kinds[k].Name}
-	var all []*sample
-	var waited, first []float64
+	var samples []*sample
+	var waited, firstEvents []float64
 	for _, s := range t.order {
-		if s.r.kind != k {
+		if s.request.kind != k {
 			continue
 		}
-		all = append(all, s)
+		samples = append(samples, s)
 		out.Sent++
-		switch s.out {
+		switch s.outcome {
 		case outcomeInTime:
 			out.InTime++
 		case outcomeLate:
 			out.Late++
 		case outcomeRefused:
 			out.Refused++
-			if s.r.refusals > 1 {
+			if s.request.refusals > 1 {
 				out.Again++
 			}
 		case outcomeFailed:
@@ -191,24 +194,24 @@
 		default:
 			out.Left++
 		}
-		if s.r.attempts == 1 && !s.r.first.IsZero() && !s.r.sent.IsZero() {
-			waited = append(waited, s.r.sent.Sub(s.r.arrived).Seconds())
-			first = append(first, s.r.first.Sub(s.r.sent).Seconds())
+		if s.request.attempts == 1 && !s.request.firstEventAt.IsZero() && !s.request.dispatchedAt.IsZero() {
+			waited = append(waited, s.request.dispatchedAt.Sub(s.request.arrivedAt).Seconds())
+			firstEvents = append(firstEvents, s.request.firstEventAt.Sub(s.request.dispatchedAt).Seconds())
 		}
 	}
-	out.Worth = part(all)
-	out.Waited, out.First = percentiles(waited), percentiles(first)
-	slices.SortStableFunc(all, func(a, b *sample) int {
+	out.Worth = earnedFraction(samples)
+	out.Waited, out.First = medianAndP90(waited), medianAndP90(firstEvents)
+	slices.SortStableFunc(samples, func(a, b *sample) int {
 		if a.weight > b.weight {
 			return -1
 		}
 		return 1
 	})
-	n := len(all)
-	return out, min(out.Worth, part(all[:n/10]), part(all[n/10:n/10+n/5]))
+	n := len(samples)
+	return out, min(out.Worth, earnedFraction(samples[:n/10]), earnedFraction(samples[n/10:n/10+n/5]))
 }
 
-func percentiles(v []float64) [2]float64 {
+func medianAndP90(v []float64) [2]float64 {
 	if len(v) == 0 {
 		return [2]float64{}
 	}
