--- a/internal/command/grammar.go
+++ b/internal/command/grammar.go
@@ -1,4 +1,5 @@
-// Package command parses and applies the language in which operators change the configuration and send orders to targets.
+// Package command parses and applies the language in which operators change the
+// configuration and send orders to targets.
 package command
 
 import "github.com/fireflypath/fireflypath/internal/syntax"
--- a/internal/command/key.go
+++ b/internal/command/key.go
@@ -62,7 +62,7 @@
 }
 
 // rotate adds a key and removes expired ones. If overlap is positive, older keys expire
-// after it.
+// after that time at the latest.
 func rotate(old []fireflypath.Key, added fireflypath.Key, overlap time.Duration, now time.Time) []fireflypath.Key {
 	var out []fireflypath.Key
 	for _, k := range old {
--- a/internal/operator/do.go
+++ b/internal/operator/do.go
@@ -66,8 +66,8 @@
 	return a.respond(c, a.execute(ctx, operator.Name, req, script))
 }
 
-// recentIDAge is the age up to which predatesAuditTrail accepts an ID without
-// reading the trail.
+// recentIDAge is the age up to which an ID is certainly within the searched part of the
+// audit trail, so that predatesAuditTrail does not need to read it.
 const recentIDAge = time.Minute
 
 // predatesAuditTrail reports whether an ID was created before the oldest audit line
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -27,12 +27,13 @@
 	keys    *keyring
 	client  *http.Client
 	rnd     *rand.Rand
-	// attempted counts all requests, succeeded those with a complete response. All
-	// callers share the counters.
+	// attempted counts requests, succeeded those with a complete response. The callers
+	// of a run share the counters.
 	attempted, succeeded *atomic.Int64
 	// sendsSharedBody makes some requests use sharedBody, and some repeat a failed one.
 	sendsSharedBody bool
-	// failedBody and failedPath are those of the last request if it failed.
+	// failedBody and failedPath are those of the last request if it failed. It may be
+	// sent again.
 	failedBody, failedPath string
 }
 
--- a/internal/soak/history_test.go
+++ b/internal/soak/history_test.go
@@ -9,7 +9,7 @@
 )
 
 // A soak test only proves something if the checks detect violations, so this test
-// violates each invariant on purpose.
+// violates the invariants that history checks.
 func TestHistoryDetectsViolations(t *testing.T) {
 	for inv, violate := range map[invariant]func(*history){
 		invariantAtMostOnce: func(h *history) {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,4 +1,5 @@
-// Package soak runs daemons as real processes between callers and targets, injects random faults, and checks that the invariants hold.
+// Package soak runs daemons as real processes between callers and targets, injects random
+// faults, and checks that the invariants hold.
 package soak
 
 import (
