--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -85,7 +85,7 @@
 // A watch that ends without a change confirms the view only if the store's revision is that
 // of the view. If any response confirmed it, the daemon would continue to accept revoked
 // keys.
-func TestWatchConfirmsViewOnlyAtStoreRevision(t *testing.T) {
+func TestWatchConfirmsViewOnlyAtCurrentRevision(t *testing.T) {
 	is := is.New(t)
 	f, d, clock := newDirectory(t, config(t, 1, 5), target("a", 6))
 	clock.Advance(time.Second)
