--- a/internal/certificate/certificate_test.go
+++ b/internal/certificate/certificate_test.go
@@ -29,21 +29,21 @@
 func TestCertificateReload(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	certFile, keyFile := testkit.Pair(t, dir, 1)
+	certFile, keyFile := testkit.WriteKeyPair(t, dir, 1)
 	clock := clockwork.NewFakeClock()
 	c, err := certificate.New(certFile, keyFile, clock, zap.NewNop())
 	is.NoErr(err)
 	cfg := c.TLSConfig()
 	is.Equal(serialNumber(t, cfg), int64(1))
-	testkit.Pair(t, dir, 2)
+	testkit.WriteKeyPair(t, dir, 2)
 	is.Equal(serialNumber(t, cfg), int64(1)) // not checked again yet
 	clock.Advance(10 * time.Second)
 	is.Equal(serialNumber(t, cfg), int64(2))
 
-	testkit.PutFile(t, certFile, []byte("half"), 3)
+	testkit.WriteFile(t, certFile, []byte("half"), 3)
 	clock.Advance(10 * time.Second)
 	is.Equal(serialNumber(t, cfg), int64(2))
-	testkit.Pair(t, dir, 4)
+	testkit.WriteKeyPair(t, dir, 4)
 	clock.Advance(10 * time.Second)
 	is.Equal(serialNumber(t, cfg), int64(4))
 }
--- a/internal/configuration/registry_test.go
+++ b/internal/configuration/registry_test.go
@@ -219,7 +219,7 @@
 	is.True(len(e.Value) < 2*maxTailBytes)
 }
 
-func TestMain(m *testing.M) { testkit.Seeded(m) }
+func TestMain(m *testing.M) { testkit.RunWithFixedSeed(m) }
 
 // A property test: three daemons commit, read the store and pull from each other at random.
 // One that is not drawn keeps an old generation, as if it was paused. The store loses
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -20,7 +20,7 @@
 func TestOperatorsOverTLS(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	cert, key := testkit.Pair(t, dir, 1)
+	cert, key := testkit.WriteKeyPair(t, dir, 1)
 	cfg := testkit.Settings(testkit.Config(nil, nil))
 	cfg.Listen.Operators = "127.0.0.1:0"
 	cfg.Listen.OperatorsTLS = &settings.TLS{Cert: cert, Key: key, CA: cert}
@@ -33,7 +33,7 @@
 
 	is.NoErr(ask(t, "https://"+d.OperatorAddr(), cert))
 	is.True(ask(t, "http://"+d.OperatorAddr(), cert) != nil)
-	testkit.Pair(t, dir, 2)
+	testkit.WriteKeyPair(t, dir, 2)
 	is.True(ask(t, "https://"+d.OperatorAddr(), cert) != nil) // the old certificate is still in use
 	clock.Advance(10 * time.Second)
 	is.NoErr(ask(t, "https://"+d.OperatorAddr(), cert))
--- a/internal/decide/share/share_test.go
+++ b/internal/decide/share/share_test.go
@@ -12,7 +12,7 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-func TestMain(m *testing.M) { testkit.Seeded(m) }
+func TestMain(m *testing.M) { testkit.RunWithFixedSeed(m) }
 
 func TestSplit(t *testing.T) {
 	demand := func(slots int, running, waiting []int) Demand {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -75,7 +75,7 @@
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	f := &fakeFeed{clock: clock, snapshot: fireflypath.Listing{Entries: all, Revision: 10}}
-	d := directory.New(f, testkit.Codec{}, clock, &testkit.Boot{Clock: clock}, tally.NoopScope, zap.NewNop())
+	d := directory.New(f, testkit.Codec{}, clock, &testkit.BootClock{Clock: clock}, tally.NoopScope, zap.NewNop())
 	if err := d.Step(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 func TestSuspendedTimeCountsTowardsAge(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	boot := &testkit.Boot{Clock: clock}
+	boot := &testkit.BootClock{Clock: clock}
 	f := &fakeFeed{clock: clock, snapshot: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5)}, Revision: 10}}
 	d := directory.New(f, testkit.Codec{}, clock, boot, tally.NoopScope, zap.NewNop())
 	is.NoErr(d.Step(t.Context()))
@@ -246,7 +246,7 @@
 	clock := clockwork.NewFakeClock()
 	f := &fakeFeed{clock: clock, snapshot: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5), target("a", 6), target("b", 7)}, Revision: 10}}
 	scope := tally.NewTestScope("", nil)
-	d := directory.New(f, testkit.Codec{}, clock, &testkit.Boot{Clock: clock}, scope, zap.New(core))
+	d := directory.New(f, testkit.Codec{}, clock, &testkit.BootClock{Clock: clock}, scope, zap.New(core))
 	is.NoErr(d.Step(t.Context()))
 	garbage := fireflypath.Entry{Key: "targets/a", Value: []byte("\xff"), Revision: 11}
 	applyChanges(t, f, d, garbage)
@@ -326,7 +326,7 @@
 	clock := clockwork.NewFakeClock()
 	f := &fakeFeed{clock: clock, snapshot: fireflypath.Listing{Entries: []fireflypath.Entry{config(t, 1, 5)}, Revision: 10}}
 	f.changes = fireflypath.Listing{Revision: 10}
-	d := directory.New(f, testkit.Codec{}, clock, &testkit.Boot{Clock: clock}, tally.NoopScope, zap.NewNop())
+	d := directory.New(f, testkit.Codec{}, clock, &testkit.BootClock{Clock: clock}, tally.NoopScope, zap.NewNop())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	done := make(chan error, 1)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -188,7 +188,7 @@
 		own := *shared
 		d := &daemon{name: m.Name, store: &own}
 		d.feed = follow.New(m.Name, m.Domain, propagationLimit, d.store, fakeEndpoint{n, m.Name}, ms, clock, tally.NoopScope, zap.NewNop())
-		d.view = directory.New(d.feed, testkit.Codec{}, clock, &testkit.Boot{Clock: clock}, tally.NoopScope, zap.NewNop())
+		d.view = directory.New(d.feed, testkit.Codec{}, clock, &testkit.BootClock{Clock: clock}, tally.NoopScope, zap.NewNop())
 		d.feed.Serve(d.view)
 		ds = append(ds, d)
 	}
--- a/internal/operator/api_test.go
+++ b/internal/operator/api_test.go
@@ -69,7 +69,7 @@
 	return o.err
 }
 
-func startDaemon(t *testing.T, name string, l *testkit.Ledger, clock clockwork.Clock, o fireflypath.Orderer) testDaemon {
+func startDaemon(t *testing.T, name string, l *testkit.FakeConfigs, clock clockwork.Clock, o fireflypath.Orderer) testDaemon {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -90,7 +90,7 @@
 	return d
 }
 
-func newAPI(name string, l *testkit.Ledger, clock clockwork.Clock, o fireflypath.Orderer, d *testDaemon) *operator.API {
+func newAPI(name string, l *testkit.FakeConfigs, clock clockwork.Clock, o fireflypath.Orderer, d *testDaemon) *operator.API {
 	return operator.New(operator.Deps{
 		Sources: eval.Sources{
 			Name: name, Configs: l, Committer: l, Members: d.peers, Recorder: d.ring, Clock: clock,
@@ -101,8 +101,8 @@
 	})
 }
 
-func newLedger(clock clockwork.Clock) *testkit.Ledger {
-	return testkit.NewLedger(&fireflypath.Config{Generation: 1}, clock.Now)
+func newLedger(clock clockwork.Clock) *testkit.FakeConfigs {
+	return testkit.NewFakeConfigs(&fireflypath.Config{Generation: 1}, clock.Now)
 }
 
 func execute(c *client.Client, text string) wire.CommandResult {
@@ -196,12 +196,12 @@
 	l := newLedger(clock)
 	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
 	unknown := fireflypath.ErrUnknown
-	l.After.Store(&unknown)
-	l.Down(fireflypath.ErrUnavailable, 1) // the first call still succeeds
+	l.ErrAfterCommit.Store(&unknown)
+	l.FailAfter(fireflypath.ErrUnavailable, 1) // the first call still succeeds
 	result := execute(c, setupCommands)
 	is.Equal(result.Outcome, wire.OutcomeUnknown)
 	is.True(strings.Contains(ask(t, c, "settle "+result.ID), "cannot be read now"))
-	l.Up()
+	l.StopFailing()
 	is.Equal(ask(t, c, "settle "+result.ID), "done: in force from generation 2")
 }
 
@@ -213,12 +213,12 @@
 	l := newLedger(clock)
 	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
 	execute(c, setupCommands)
-	l.Down(fireflypath.ErrUnavailable, 0)
+	l.FailAfter(fireflypath.ErrUnavailable, 0)
 	result := execute(c, "drain target e1")
 	is.Equal(result.Outcome, wire.OutcomeUnavailable)
 	is.True(strings.Contains(result.Detail, "nothing was changed"))
 	is.True(strings.Contains(ask(t, c, "targets"), "e1"))
-	l.Up()
+	l.StopFailing()
 	is.True(strings.HasPrefix(ask(t, c, "settle "+result.ID), "not done"))
 }
 
@@ -279,7 +279,7 @@
 
 	// An order that cannot be audited is not sent.
 	n := len(o.taken)
-	l.Down(fireflypath.ErrUnavailable, 0)
+	l.FailAfter(fireflypath.ErrUnavailable, 0)
 	is.Equal(execute(c, "load target e1 model m").Outcome, wire.OutcomeUnavailable)
 	is.Equal(len(o.taken), n)
 }
--- a/internal/order/issuer_test.go
+++ b/internal/order/issuer_test.go
@@ -21,7 +21,7 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-func TestMain(m *testing.M) { testkit.Seeded(m) }
+func TestMain(m *testing.M) { testkit.RunWithFixedSeed(m) }
 
 // fleet is a set of daemons that send orders to two targets: "fenced" checks fencing numbers,
 // "unfenced" ignores them. It implements the interfaces that the issuers need.
--- a/internal/query/eval/eval_test.go
+++ b/internal/query/eval/eval_test.go
@@ -28,9 +28,9 @@
 
 func (m staticMembers) Live() []fireflypath.Member { return m }
 
-func newEvaluator() (*eval.Evaluator, *testkit.Ledger) {
+func newEvaluator() (*eval.Evaluator, *testkit.FakeConfigs) {
 	clock := clockwork.NewFakeClockAt(start)
-	ledger := testkit.NewLedger(&fireflypath.Config{
+	ledger := testkit.NewFakeConfigs(&fireflypath.Config{
 		Generation: 4,
 		Tiers:      []fireflypath.Tier{{Name: "gold", Deadline: fireflypath.Duration(time.Second)}, {Name: "bronze", Rank: 2}},
 		Teams: []fireflypath.Team{
@@ -199,7 +199,7 @@
 func TestEvaluateWithoutService(t *testing.T) {
 	is := is.New(t)
 	e, ledger := newEvaluator()
-	ledger.Down(fireflypath.ErrUnavailable, 0)
+	ledger.FailAfter(fireflypath.ErrUnavailable, 0)
 	is.Equal(show(t, e, "count teams"), "COUNT\n3")
 	q, err := query.Parse("changes")
 	is.NoErr(err)
--- a/internal/relief/rounds_test.go
+++ b/internal/relief/rounds_test.go
@@ -20,7 +20,7 @@
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
-func TestMain(m *testing.M) { testkit.Seeded(m) }
+func TestMain(m *testing.M) { testkit.RunWithFixedSeed(m) }
 
 var errBroken = errors.New("connection broke")
 
--- a/internal/testkit/codec.go
+++ b/internal/testkit/codec.go
@@ -43,14 +43,14 @@
 	return t, json.Unmarshal(value, &t)
 }
 
-// Boot is the boot clock of a host whose other clock is given.
-type Boot struct {
+// BootClock is the boot clock of a host whose other clock is given.
+type BootClock struct {
 	Clock clockwork.Clock
 	// Suspended is time in which the other clock stood still.
 	Suspended time.Duration
 }
 
 // Elapsed is the time since the other clock's zero, and the time suspended.
-func (b *Boot) Elapsed() time.Duration {
+func (b *BootClock) Elapsed() time.Duration {
 	return b.Clock.Since(time.Unix(0, 0)) + b.Suspended
 }
--- a/internal/testkit/fifo/fifo.go
+++ b/internal/testkit/fifo/fifo.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// requests bounds the waiting requests if the pool names no bound: a few
+	// defaultQueueLimit bounds the waiting requests if the pool names no bound: a few
 	// seconds of a busy entry host's arrivals.
-	requests = 4096
-	// window is the number of requests in flight at one target; it stands for
+	defaultQueueLimit = 4096
+	// targetWindow is the number of requests in flight at one target; it stands for
 	// the batch of a middling engine.
-	window = 64
-	// retry is given to refused callers; the baseline learns no rates.
-	retry = time.Second
+	targetWindow = 64
+	// retryAfter is given to refused callers; the baseline learns no rates.
+	retryAfter = time.Second
 )
 
 // FIFO is a fireflypath.Scheduler.
@@ -24,28 +24,28 @@
 	pool     fireflypath.Pool
 	waiting  []*fireflypath.Work
 	targets  []target
-	inflight map[*fireflypath.Work]string
+	inFlight map[*fireflypath.Work]string
 }
 
 type target struct {
 	fireflypath.Target
-	held    int
-	leaving bool
+	inFlight int
+	leaving  bool
 }
 
 // New returns an empty scheduler for the pool.
 func New(pool fireflypath.Pool) *FIFO {
 	if pool.Requests == 0 {
-		pool.Requests = requests
+		pool.Requests = defaultQueueLimit
 	}
-	return &FIFO{pool: pool, inflight: map[*fireflypath.Work]string{}}
+	return &FIFO{pool: pool, inFlight: map[*fireflypath.Work]string{}}
 }
 
 // Offer appends the work, or gives it back if the queue is full.
 func (f *FIFO) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	if len(f.waiting) >= f.pool.Requests {
 		return append(out, fireflypath.Shed{
-			Work: w, Reason: fireflypath.ReasonFull, RetryAfter: retry, Detail: "the queue is full",
+			Work: w, Reason: fireflypath.ReasonFull, RetryAfter: retryAfter, Detail: "the queue is full",
 		})
 	}
 	f.waiting = append(f.waiting, w)
@@ -60,10 +60,10 @@
 	best := -1
 	for i := range f.targets {
 		t := &f.targets[i]
-		if t.leaving || t.Drained || t.held >= window {
+		if t.leaving || t.Drained || t.inFlight >= targetWindow {
 			continue
 		}
-		if best < 0 || t.held < f.targets[best].held {
+		if best < 0 || t.inFlight < f.targets[best].inFlight {
 			best = i
 		}
 	}
@@ -73,8 +73,8 @@
 	w := f.waiting[0]
 	f.waiting[0] = nil
 	f.waiting = f.waiting[1:]
-	f.targets[best].held++
-	f.inflight[w] = f.targets[best].Name
+	f.targets[best].inFlight++
+	f.inFlight[w] = f.targets[best].Name
 	*p = fireflypath.Placement{Work: w, Target: f.targets[best].Name, Waited: now.Sub(w.Arrived), Considered: p.Considered[:0]}
 	return true
 }
@@ -92,26 +92,26 @@
 // Expire gives up the work whose deadline has passed.
 func (f *FIFO) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	f.waiting = slices.DeleteFunc(f.waiting, func(w *fireflypath.Work) bool {
-		late := !w.Deadline.After(now)
-		if late {
+		expired := !w.Deadline.After(now)
+		if expired {
 			out = append(out, fireflypath.Shed{
 				Work: w, Reason: fireflypath.ReasonDeadline, Detail: "the deadline passed before the dispatch",
 			})
 		}
-		return late
+		return expired
 	})
 	return out
 }
 
 // Wake is the earliest deadline.
 func (f *FIFO) Wake(now time.Time) time.Time {
-	var first time.Time
+	var earliest time.Time
 	for _, w := range f.waiting {
-		if first.IsZero() || w.Deadline.Before(first) {
-			first = w.Deadline
+		if earliest.IsZero() || w.Deadline.Before(earliest) {
+			earliest = w.Deadline
 		}
 	}
-	return first
+	return earliest
 }
 
 // Observe frees the target's place.
@@ -125,24 +125,24 @@
 	case fireflypath.EventDone, fireflypath.EventFailed, fireflypath.EventRefused:
 		f.release(e.Work)
 	case fireflypath.EventLeaving, fireflypath.EventStaying:
-		if t := f.find(e.Target); t != nil {
+		if t := f.findTarget(e.Target); t != nil {
 			t.leaving = e.Kind == fireflypath.EventLeaving
 		}
 	}
 }
 
 func (f *FIFO) release(w *fireflypath.Work) {
-	name, ok := f.inflight[w]
+	name, ok := f.inFlight[w]
 	if !ok {
 		return
 	}
-	delete(f.inflight, w)
-	if t := f.find(name); t != nil {
-		t.held--
+	delete(f.inFlight, w)
+	if t := f.findTarget(name); t != nil {
+		t.inFlight--
 	}
 }
 
-func (f *FIFO) find(name string) *target {
+func (f *FIFO) findTarget(name string) *target {
 	for i := range f.targets {
 		if f.targets[i].Name == name {
 			return &f.targets[i]
@@ -156,8 +156,8 @@
 	next := make([]target, 0, len(targets))
 	for _, t := range targets {
 		n := target{Target: t}
-		if old := f.find(t.Name); old != nil {
-			n.held, n.leaving = old.held, old.leaving
+		if old := f.findTarget(t.Name); old != nil {
+			n.inFlight, n.leaving = old.inFlight, old.leaving
 		}
 		next = append(next, n)
 	}
@@ -171,16 +171,16 @@
 func (f *FIFO) Demand(now time.Time) fireflypath.Demand {
 	d := fireflypath.Demand{Pool: f.pool.Name}
 	for _, w := range f.waiting {
-		d.Waiting = add(d.Waiting, w.Rank, w.Cost.Tokens())
-		d.WaitingRequests = add(d.WaitingRequests, w.Rank, 1)
+		d.Waiting = addAt(d.Waiting, w.Rank, w.Cost.Tokens())
+		d.WaitingRequests = addAt(d.WaitingRequests, w.Rank, 1)
 	}
-	for w := range f.inflight {
-		d.Running = add(d.Running, w.Rank, w.Cost.Tokens())
+	for w := range f.inFlight {
+		d.Running = addAt(d.Running, w.Rank, w.Cost.Tokens())
 	}
 	return d
 }
 
-func add(s []int, i, n int) []int {
+func addAt(s []int, i, n int) []int {
 	for len(s) <= i {
 		s = append(s, 0)
 	}
@@ -198,7 +198,7 @@
 		tokens -= w.Cost.Tokens()
 		f.waiting = slices.Delete(f.waiting, i, i+1)
 		out = append(out, fireflypath.Shed{
-			Work: w, Reason: fireflypath.ReasonFull, RetryAfter: retry, Detail: "higher work took the place",
+			Work: w, Reason: fireflypath.ReasonFull, RetryAfter: retryAfter, Detail: "higher work took the place",
 		})
 	}
 	return out
@@ -207,7 +207,7 @@
 // Views lists the targets.
 func (f *FIFO) Views(now time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
 	for _, t := range f.targets {
-		v := fireflypath.TargetView{Target: t.Name, Pool: t.Pool, State: "ready", Requests: t.held, Share: 1}
+		v := fireflypath.TargetView{Target: t.Name, Pool: t.Pool, State: "ready", Requests: t.inFlight, Share: 1}
 		if t.leaving {
 			v.State = "leaving"
 		}
--- a/internal/testkit/ledger.go
+++ b/internal/testkit/ledger.go
@@ -13,147 +13,147 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Ledger is a fireflypath.Configs and Committer in memory, with the meaning of
+// FakeConfigs is a fireflypath.Configs and Committer in memory, with the meaning of
 // internal/configuration's and with faults.
-type Ledger struct {
+type FakeConfigs struct {
 	// Now stamps the trail.
 	Now func() time.Time
-	// After is returned once by a Commit that took effect, like a lost answer.
-	After atomic.Pointer[error]
+	// ErrAfterCommit is returned once by a Commit that took effect, like a lost answer.
+	ErrAfterCommit atomic.Pointer[error]
 
 	current atomic.Pointer[fireflypath.Config]
 	mu      sync.Mutex
-	lines   []fireflypath.AuditLine
+	trail   []fireflypath.AuditLine
 	changed chan struct{}
-	// down is returned by calls without an effect, once left has reached 0.
-	down error
-	left int
+	// failure is returned by calls without an effect, once left has reached 0.
+	failure           error
+	callsUntilFailure int
 }
 
-// NewLedger starts with a configuration.
-func NewLedger(cfg *fireflypath.Config, now func() time.Time) *Ledger {
-	l := &Ledger{Now: now, changed: make(chan struct{})}
+// NewFakeConfigs starts with a configuration.
+func NewFakeConfigs(cfg *fireflypath.Config, now func() time.Time) *FakeConfigs {
+	l := &FakeConfigs{Now: now, changed: make(chan struct{})}
 	l.current.Store(cfg)
 	return l
 }
 
 // Current implements fireflypath.Configs.
-func (l *Ledger) Current() *fireflypath.Config {
+func (l *FakeConfigs) Current() *fireflypath.Config {
 	return l.current.Load()
 }
 
 // Changed implements fireflypath.Configs.
-func (l *Ledger) Changed(uint64) <-chan struct{} {
+func (l *FakeConfigs) Changed(uint64) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-// Down lets n more calls of the service pass, then each fails without an effect.
-func (l *Ledger) Down(err error, n int) {
+// FailAfter lets n more calls of the service pass, then each fails without an effect.
+func (l *FakeConfigs) FailAfter(err error, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down, l.left = err, n
+	l.failure, l.callsUntilFailure = err, n
 }
 
-// Up ends Down.
-func (l *Ledger) Up() {
-	l.Down(nil, 0)
+// StopFailing ends Down.
+func (l *FakeConfigs) StopFailing() {
+	l.FailAfter(nil, 0)
 }
 
-func (l *Ledger) fault() error {
-	if l.left > 0 {
-		l.left--
+func (l *FakeConfigs) nextError() error {
+	if l.callsUntilFailure > 0 {
+		l.callsUntilFailure--
 		return nil
 	}
-	return l.down
+	return l.failure
 }
 
 // Commit implements fireflypath.Committer.
-func (l *Ledger) Commit(_ context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
+func (l *FakeConfigs) Commit(_ context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	done := fireflypath.Commit{ID: c.ID}
-	if err := l.fault(); err != nil {
-		return done, err
+	commit := fireflypath.Commit{ID: c.ID}
+	if err := l.nextError(); err != nil {
+		return commit, err
 	}
-	if line := l.find(c.ID); line != nil {
-		done.Repeated, done.Generation = true, line.To
-		return done, nil
+	if line := l.findLine(c.ID); line != nil {
+		commit.Repeated, commit.Generation = true, line.To
+		return commit, nil
 	}
 	old := l.current.Load()
 	if c.Base != 0 && c.Base != old.Generation {
-		done.ConflictingID = l.winner(c.Base)
-		return done, errors.Wrap(fireflypath.ErrConflict, "another change was committed first")
+		commit.ConflictingID = l.committedFrom(c.Base)
+		return commit, errors.Wrap(fireflypath.ErrConflict, "another change was committed first")
 	}
 	next, err := c.Apply(old)
 	if err != nil {
-		return done, errors.Wrap(err, "change is refused")
+		return commit, errors.Wrap(err, "change is refused")
 	}
-	l.lines = append(l.lines, fireflypath.AuditLine{
+	l.trail = append(l.trail, fireflypath.AuditLine{
 		ID: c.ID, At: l.Now(), Operator: c.Operator, Command: c.Command,
 		From: old.Generation, To: next.Generation, Result: "done",
 	})
 	l.current.Store(next)
 	close(l.changed)
 	l.changed = make(chan struct{})
-	done.Generation = next.Generation
-	if err := l.After.Swap(nil); err != nil {
-		return done, *err
+	commit.Generation = next.Generation
+	if err := l.ErrAfterCommit.Swap(nil); err != nil {
+		return commit, *err
 	}
-	return done, nil
+	return commit, nil
 }
 
 // FindCommit implements fireflypath.Committer.
-func (l *Ledger) FindCommit(_ context.Context, id string) (fireflypath.Commit, error) {
+func (l *FakeConfigs) FindCommit(_ context.Context, id string) (fireflypath.Commit, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	done := fireflypath.Commit{ID: id}
-	if err := l.fault(); err != nil {
-		return done, err
+	commit := fireflypath.Commit{ID: id}
+	if err := l.nextError(); err != nil {
+		return commit, err
 	}
-	line := l.find(id)
+	line := l.findLine(id)
 	if line == nil {
-		return done, fireflypath.ErrNotFound
+		return commit, fireflypath.ErrNotFound
 	}
-	done.Repeated, done.Generation = true, line.To
-	return done, nil
+	commit.Repeated, commit.Generation = true, line.To
+	return commit, nil
 }
 
 // Trail implements fireflypath.Committer.
-func (l *Ledger) Trail(_ context.Context, n int) ([]fireflypath.AuditLine, error) {
+func (l *FakeConfigs) Trail(_ context.Context, n int) ([]fireflypath.AuditLine, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := slices.Clone(l.lines)
+	out := slices.Clone(l.trail)
 	slices.Reverse(out)
-	return out[:min(n, len(out))], l.fault()
+	return out[:min(n, len(out))], l.nextError()
 }
 
 // AppendAudit implements fireflypath.Committer.
-func (l *Ledger) AppendAudit(_ context.Context, line fireflypath.AuditLine) error {
+func (l *FakeConfigs) AppendAudit(_ context.Context, line fireflypath.AuditLine) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if err := l.fault(); err != nil {
+	if err := l.nextError(); err != nil {
 		return err
 	}
-	if l.find(line.ID) == nil {
+	if l.findLine(line.ID) == nil {
 		line.From = l.current.Load().Generation
 		line.To = line.From
-		l.lines = append(l.lines, line)
+		l.trail = append(l.trail, line)
 	}
 	return nil
 }
 
-func (l *Ledger) find(id string) *fireflypath.AuditLine {
-	i := slices.IndexFunc(l.lines, func(line fireflypath.AuditLine) bool { return line.ID == id })
+func (l *FakeConfigs) findLine(id string) *fireflypath.AuditLine {
+	i := slices.IndexFunc(l.trail, func(line fireflypath.AuditLine) bool { return line.ID == id })
 	if i < 0 {
 		return nil
 	}
-	return &l.lines[i]
+	return &l.trail[i]
 }
 
-func (l *Ledger) winner(base uint64) string {
-	for _, line := range l.lines {
+func (l *FakeConfigs) committedFrom(base uint64) string {
+	for _, line := range l.trail {
 		if line.From == base && line.To == base+1 {
 			return line.ID
 		}
--- a/internal/testkit/mapstore.go
+++ b/internal/testkit/mapstore.go
@@ -29,20 +29,20 @@
 	fault    func(op, key string) Fault
 	calls    map[string]int
 	revision uint64
-	entries  map[string]stored
+	entries  map[string]storedEntry
 	leases   map[fireflypath.LeaseID]lease
 	nextID   fireflypath.LeaseID
 	changed  chan struct{}
 }
 
-type stored struct {
+type storedEntry struct {
 	fireflypath.Entry
 	lease fireflypath.LeaseID
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 var _ fireflypath.Store = (*MapStore)(nil)
@@ -50,7 +50,7 @@
 // NewMapStore makes an empty store whose leases run on the clock.
 func NewMapStore(clock clockwork.Clock) *MapStore {
 	return &MapStore{
-		clock: clock, calls: map[string]int{}, entries: map[string]stored{},
+		clock: clock, calls: map[string]int{}, entries: map[string]storedEntry{},
 		leases: map[fireflypath.LeaseID]lease{}, changed: make(chan struct{}),
 	}
 }
@@ -87,24 +87,24 @@
 func (s *MapStore) Restore(es []fireflypath.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries = map[string]stored{}
+	s.entries = map[string]storedEntry{}
 	for _, e := range es {
-		s.entries[e.Key] = stored{Entry: e}
+		s.entries[e.Key] = storedEntry{Entry: e}
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *MapStore) wake() {
+func (s *MapStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// begin counts the call, lets leases lapse and gives the fault.
-func (s *MapStore) begin(op, key string) Fault {
+// beginCall counts the call, lets leases lapse and gives the fault.
+func (s *MapStore) beginCall(op, key string) Fault {
 	s.mu.Lock()
 	f := s.fault
 	s.calls[op]++
-	s.lapse()
+	s.expireLeases()
 	s.mu.Unlock()
 	if f == nil {
 		return Fault{}
@@ -112,33 +112,33 @@
 	return f(op, key)
 }
 
-func (s *MapStore) lapse() {
+func (s *MapStore) expireLeases() {
 	now := s.clock.Now()
 	for id, l := range s.leases {
-		if !now.Before(l.until) {
-			s.end(id)
+		if !now.Before(l.expiresAt) {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *MapStore) end(id fireflypath.LeaseID) {
+func (s *MapStore) endLease(id fireflypath.LeaseID) {
 	delete(s.leases, id)
 	for k, e := range s.entries {
 		if e.lease == id {
-			s.remove(k)
+			s.deleteKey(k)
 		}
 	}
 }
 
-func (s *MapStore) remove(key string) {
+func (s *MapStore) deleteKey(key string) {
 	s.revision++
-	s.entries[key] = stored{Entry: fireflypath.Entry{Key: key, Revision: s.revision, Deleted: true}}
-	s.wake()
+	s.entries[key] = storedEntry{Entry: fireflypath.Entry{Key: key, Revision: s.revision, Deleted: true}}
+	s.notifyWatchers()
 }
 
 // Get reads one key.
 func (s *MapStore) Get(_ context.Context, key string) (fireflypath.Entry, error) {
-	f := s.begin("get", key)
+	f := s.beginCall("get", key)
 	if f.Before != nil {
 		return fireflypath.Entry{}, f.Before
 	}
@@ -153,34 +153,34 @@
 
 // Put writes by compare-and-swap.
 func (s *MapStore) Put(_ context.Context, key string, value []byte, revision uint64, id fireflypath.LeaseID) (uint64, error) {
-	f := s.begin("put", key)
+	f := s.beginCall("put", key)
 	if f.Before != nil {
 		return 0, f.Before
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.entries[key]
-	have := e.Revision
+	current := e.Revision
 	if !ok || e.Deleted {
-		have = 0
+		current = 0
 	}
-	if revision != fireflypath.AnyRevision && revision != have {
+	if revision != fireflypath.AnyRevision && revision != current {
 		return 0, fireflypath.ErrConflict
 	}
-	if _, held := s.leases[id]; id != 0 && !held {
+	if _, exists := s.leases[id]; id != 0 && !exists {
 		return 0, fireflypath.ErrLeaseExpired
 	}
 	s.revision++
-	e = stored{lease: id, Entry: fireflypath.Entry{Key: key, Revision: s.revision}}
+	e = storedEntry{lease: id, Entry: fireflypath.Entry{Key: key, Revision: s.revision}}
 	e.Value = append([]byte(nil), value...)
 	s.entries[key] = e
-	s.wake()
+	s.notifyWatchers()
 	return s.revision, f.After
 }
 
 // Delete removes a key by compare-and-swap.
 func (s *MapStore) Delete(_ context.Context, key string, revision uint64) error {
-	f := s.begin("delete", key)
+	f := s.beginCall("delete", key)
 	if f.Before != nil {
 		return f.Before
 	}
@@ -193,13 +193,13 @@
 	if revision != fireflypath.AnyRevision && revision != e.Revision {
 		return fireflypath.ErrConflict
 	}
-	s.remove(key)
+	s.deleteKey(key)
 	return f.After
 }
 
 // List reads the keys with a prefix.
 func (s *MapStore) List(_ context.Context, prefix string) ([]fireflypath.Entry, error) {
-	f := s.begin("list", prefix)
+	f := s.beginCall("list", prefix)
 	if f.Before != nil {
 		return nil, f.Before
 	}
@@ -221,7 +221,7 @@
 
 // Watch waits for changes above a revision.
 func (s *MapStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]fireflypath.Entry, error) {
-	f := s.begin("watch", prefix)
+	f := s.beginCall("watch", prefix)
 	if f.Before != nil {
 		return nil, f.Before
 	}
@@ -229,7 +229,7 @@
 	defer t.Stop()
 	for {
 		s.mu.Lock()
-		s.lapse()
+		s.expireLeases()
 		var out []fireflypath.Entry
 		for k, e := range s.entries {
 			if strings.HasPrefix(k, prefix) && e.Revision > after {
@@ -253,20 +253,20 @@
 
 // Grant makes a lease.
 func (s *MapStore) Grant(_ context.Context, ttl time.Duration) (fireflypath.LeaseID, error) {
-	f := s.begin("grant", "")
+	f := s.beginCall("grant", "")
 	if f.Before != nil {
 		return 0, f.Before
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextID++
-	s.leases[s.nextID] = lease{ttl: ttl, until: s.clock.Now().Add(ttl)}
+	s.leases[s.nextID] = lease{ttl: ttl, expiresAt: s.clock.Now().Add(ttl)}
 	return s.nextID, f.After
 }
 
 // Renew extends a lease.
 func (s *MapStore) Renew(_ context.Context, id fireflypath.LeaseID) error {
-	f := s.begin("renew", "")
+	f := s.beginCall("renew", "")
 	if f.Before != nil {
 		return f.Before
 	}
@@ -276,19 +276,19 @@
 	if !ok {
 		return fireflypath.ErrLeaseExpired
 	}
-	l.until = s.clock.Now().Add(l.ttl)
+	l.expiresAt = s.clock.Now().Add(l.ttl)
 	s.leases[id] = l
 	return f.After
 }
 
 // Revoke ends a lease.
 func (s *MapStore) Revoke(_ context.Context, id fireflypath.LeaseID) error {
-	f := s.begin("revoke", "")
+	f := s.beginCall("revoke", "")
 	if f.Before != nil {
 		return f.Before
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end(id)
+	s.endLease(id)
 	return f.After
 }
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -21,19 +21,19 @@
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	cut       map[direction]bool
+	cut       map[link]bool
 	conns     map[*conn]bool
 	paused    map[string]chan struct{}
 	// Bytes counts what all hosts wrote.
 	Bytes atomic.Int64
 }
 
-type direction struct{ from, to string }
+type link struct{ from, to string }
 
 // NewNetwork makes a network without hosts.
 func NewNetwork() *Network {
 	return &Network{
-		listeners: map[string]*listener{}, cut: map[direction]bool{},
+		listeners: map[string]*listener{}, cut: map[link]bool{},
 		conns: map[*conn]bool{}, paused: map[string]chan struct{}{},
 	}
 }
@@ -43,21 +43,21 @@
 
 // Cut loses all that goes from one host to another; what was lost on an open
 // connection is not sent again, so the connection stays silent that way.
-func (n *Network) Cut(from, to string) { n.set(from, to, true) }
+func (n *Network) Cut(from, to string) { n.setCut(from, to, true) }
 
 // CutBoth cuts both ways.
 func (n *Network) CutBoth(a, b string) { n.Cut(a, b); n.Cut(b, a) }
 
 // Heal undoes Cut for new connections.
-func (n *Network) Heal(from, to string) { n.set(from, to, false) }
+func (n *Network) Heal(from, to string) { n.setCut(from, to, false) }
 
 // HealBoth heals both ways.
 func (n *Network) HealBoth(a, b string) { n.Heal(a, b); n.Heal(b, a) }
 
-func (n *Network) set(from, to string, cut bool) {
+func (n *Network) setCut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[direction{from, to}] = cut
+	n.cut[link{from, to}] = cut
 }
 
 // Silence loses for good all that open connections carry from one host to
@@ -67,7 +67,7 @@
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if c.from == from && c.to == to {
-			c.lost.Store(true)
+			c.discardWrites.Store(true)
 		}
 	}
 }
@@ -110,8 +110,8 @@
 	delete(n.paused, name)
 }
 
-// awake waits while a host is paused.
-func (n *Network) awake(name string) {
+// waitWhilePaused waits while a host is paused.
+func (n *Network) waitWhilePaused(name string) {
 	n.mu.Lock()
 	ch := n.paused[name]
 	n.mu.Unlock()
@@ -123,7 +123,7 @@
 func (n *Network) isCut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[direction{from, to}]
+	return n.cut[link{from, to}]
 }
 
 type host struct {
@@ -132,12 +132,12 @@
 }
 
 type listener struct {
-	n    *Network
-	host string
-	addr addr
-	ch   chan net.Conn
-	done chan struct{}
-	once sync.Once
+	n        *Network
+	host     string
+	addr     addr
+	accepted chan net.Conn
+	done     chan struct{}
+	once     sync.Once
 }
 
 type addr string
@@ -152,7 +152,7 @@
 	if h.n.listeners[a] != nil {
 		return nil, errors.Newf("address %s in use", a)
 	}
-	l := &listener{n: h.n, host: h.name, addr: addr(a), ch: make(chan net.Conn), done: make(chan struct{})}
+	l := &listener{n: h.n, host: h.name, addr: addr(a), accepted: make(chan net.Conn), done: make(chan struct{})}
 	h.n.listeners[a] = l
 	return l, nil
 }
@@ -172,8 +172,8 @@
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.ch:
-		l.n.awake(l.host)
+	case c := <-l.accepted:
+		l.n.waitWhilePaused(l.host)
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
@@ -192,15 +192,15 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	up, down := newPipe(), newPipe()
-	mine := &conn{n: h.n, from: h.name, to: l.host, r: down, w: up, peer: addr(a)}
-	theirs := &conn{n: h.n, from: l.host, to: h.name, r: up, w: down, peer: addr(h.name)}
+	toListener, toDialer := newPipe(), newPipe()
+	dialed := &conn{n: h.n, from: h.name, to: l.host, r: toDialer, w: toListener, remote: addr(a)}
+	accepted := &conn{n: h.n, from: l.host, to: h.name, r: toListener, w: toDialer, remote: addr(h.name)}
 	h.n.mu.Lock()
-	h.n.conns[mine], h.n.conns[theirs] = true, true
+	h.n.conns[dialed], h.n.conns[accepted] = true, true
 	h.n.mu.Unlock()
 	select {
-	case l.ch <- theirs:
-		return mine, nil
+	case l.accepted <- accepted:
+		return dialed, nil
 	case <-l.done:
 		return nil, errRefused
 	case <-ctx.Done():
@@ -210,32 +210,32 @@
 
 // pipe is one direction of a connection, buffered like a kernel would.
 type pipe struct {
-	mu     sync.Mutex
-	buf    []byte
-	closed bool
-	wake   chan struct{}
+	mu      sync.Mutex
+	buf     []byte
+	closed  bool
+	changed chan struct{}
 }
 
-func newPipe() *pipe { return &pipe{wake: make(chan struct{})} }
+func newPipe() *pipe { return &pipe{changed: make(chan struct{})} }
 
-func (p *pipe) signal() {
-	close(p.wake)
-	p.wake = make(chan struct{})
+func (p *pipe) notify() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 type conn struct {
-	n        *Network
-	from, to string
-	r, w     *pipe
-	peer     addr
-	lost     atomic.Bool
-	mu       sync.Mutex
-	deadline time.Time
+	n             *Network
+	from, to      string
+	r, w          *pipe
+	remote        addr
+	discardWrites atomic.Bool
+	mu            sync.Mutex
+	deadline      time.Time
 }
 
 func (c *conn) Read(b []byte) (int, error) {
 	for {
-		c.n.awake(c.from)
+		c.n.waitWhilePaused(c.from)
 		c.r.mu.Lock()
 		if len(c.r.buf) > 0 {
 			n := copy(b, c.r.buf)
@@ -243,7 +243,7 @@
 			c.r.mu.Unlock()
 			return n, nil
 		}
-		closed, wake := c.r.closed, c.r.wake
+		closed, wake := c.r.closed, c.r.changed
 		c.r.mu.Unlock()
 		if closed {
 			return 0, io.EOF
@@ -267,7 +267,7 @@
 
 func (c *conn) Write(b []byte) (int, error) {
 	if c.n.isCut(c.from, c.to) {
-		c.lost.Store(true)
+		c.discardWrites.Store(true)
 	}
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -275,9 +275,9 @@
 		return 0, io.ErrClosedPipe
 	}
 	c.n.Bytes.Add(int64(len(b)))
-	if !c.lost.Load() {
+	if !c.discardWrites.Load() {
 		c.w.buf = append(c.w.buf, b...)
-		c.w.signal()
+		c.w.notify()
 	}
 	return len(b), nil
 }
@@ -286,23 +286,23 @@
 func (c *conn) Close() error {
 	c.n.mu.Lock()
 	delete(c.n.conns, c)
-	reached := !c.lost.Load() && !c.n.cut[direction{c.from, c.to}]
+	delivered := !c.discardWrites.Load() && !c.n.cut[link{c.from, c.to}]
 	c.n.mu.Unlock()
 	c.r.mu.Lock()
 	c.r.closed = true
-	c.r.signal()
+	c.r.notify()
 	c.r.mu.Unlock()
-	if reached {
+	if delivered {
 		c.w.mu.Lock()
 		c.w.closed = true
-		c.w.signal()
+		c.w.notify()
 		c.w.mu.Unlock()
 	}
 	return nil
 }
 
 func (c *conn) LocalAddr() net.Addr              { return addr(c.from) }
-func (c *conn) RemoteAddr() net.Addr             { return c.peer }
+func (c *conn) RemoteAddr() net.Addr             { return c.remote }
 func (c *conn) SetDeadline(t time.Time) error    { return c.SetReadDeadline(t) }
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
@@ -311,7 +311,7 @@
 	c.deadline = t
 	c.mu.Unlock()
 	c.r.mu.Lock()
-	c.r.signal()
+	c.r.notify()
 	c.r.mu.Unlock()
 	return nil
 }
--- a/internal/testkit/pair.go
+++ b/internal/testkit/pair.go
@@ -14,36 +14,36 @@
 	"time"
 )
 
-// Pair writes a self-signed certificate for 127.0.0.1 with the serial number,
+// WriteKeyPair writes a self-signed certificate for 127.0.0.1 with the serial number,
 // and its key. The files' time follows from the serial number, so that a later
 // pair is a newer one whatever the file system's clock says.
-func Pair(t *testing.T, dir string, serial int64) (certFile, keyFile string) {
+func WriteKeyPair(t *testing.T, dir string, serial int64) (certFile, keyFile string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	check(t, err)
+	failOnError(t, err)
 	template := x509.Certificate{
 		SerialNumber: big.NewInt(serial), NotAfter: time.Now().Add(time.Hour),
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, IsCA: true, BasicConstraintsValid: true,
 	}
 	der, err := x509.CreateCertificate(rand.Reader, &template, &template, &key.PublicKey, key)
-	check(t, err)
+	failOnError(t, err)
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
-	check(t, err)
+	failOnError(t, err)
 	certFile, keyFile = filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem")
-	PutFile(t, certFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), serial)
-	PutFile(t, keyFile, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}), serial)
+	WriteFile(t, certFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), serial)
+	WriteFile(t, keyFile, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}), serial)
 	return certFile, keyFile
 }
 
-// PutFile writes a file whose time follows from the serial number.
-func PutFile(t *testing.T, file string, data []byte, serial int64) {
+// WriteFile writes a file whose time follows from the serial number.
+func WriteFile(t *testing.T, file string, data []byte, serial int64) {
 	t.Helper()
-	check(t, os.WriteFile(file, data, 0o600))
+	failOnError(t, os.WriteFile(file, data, 0o600))
 	at := time.Unix(1_000_000+serial, 0)
-	check(t, os.Chtimes(file, at, at))
+	failOnError(t, os.Chtimes(file, at, at))
 }
 
-func check(t *testing.T, err error) {
+func failOnError(t *testing.T, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/seed.go
+++ b/internal/testkit/seed.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// Seed is the seed of rapid's checks; the flag -rapid.seed sets another.
-const Seed = "20261202"
+// RapidSeed is the seed of rapid's checks; the flag -rapid.seed sets another.
+const RapidSeed = "20261202"
 
-// Seeded runs a package's tests with rapid's seed fixed, so that a verdict is
+// RunWithFixedSeed runs a package's tests with rapid's seed fixed, so that a verdict is
 // the same every time. Call it from TestMain.
-func Seeded(m *testing.M) {
+func RunWithFixedSeed(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == f.DefValue {
-		if err := f.Value.Set(Seed); err != nil {
+		if err := f.Value.Set(RapidSeed); err != nil {
 			panic(err)
 		}
 	}
