--- a/internal/testkit/codec.go
+++ b/internal/testkit/codec.go
@@ -10,47 +10,48 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Codec keeps configurations and targets as the product's own JSON, under the
-// keys "config" and "targets/NAME". It has no headers.
+// Codec stores the configuration and the targets as the JSON encoding of the
+// fireflypath types, under the keys "config" and "targets/NAME". It defines no headers.
 type Codec struct{}
 
 var _ fireflypath.Codec = Codec{}
 
-// Headers are none.
+// Headers returns no header names.
 func (Codec) Headers() fireflypath.Headers { return fireflypath.Headers{} }
 
-// ConfigKey is "config".
+// ConfigKey returns "config".
 func (Codec) ConfigKey() string { return "config" }
 
-// TargetPrefix is "targets/".
+// TargetPrefix returns "targets/".
 func (Codec) TargetPrefix() string { return "targets/" }
 
-// Load decodes nothing.
+// Load never finds a load report.
 func (Codec) Load(string) (l fireflypath.Load, ok bool) { return l, ok }
 
-// Cost decodes nothing.
+// Cost never finds a cost.
 func (Codec) Cost(string) (c fireflypath.Cost, ok bool) { return c, ok }
 
-// Config decodes a configuration.
+// Config decodes a configuration from JSON.
 func (Codec) Config(value []byte) (*fireflypath.Config, error) {
 	var cfg fireflypath.Config
 	return &cfg, json.Unmarshal(value, &cfg)
 }
 
-// Target decodes a target.
+// Target decodes a target from JSON and takes its name from the key.
 func (Codec) Target(key string, value []byte) (fireflypath.Target, error) {
 	t := fireflypath.Target{Name: strings.TrimPrefix(key, "targets/")}
 	return t, json.Unmarshal(value, &t)
 }
 
-// BootClock is the boot clock of a host whose other clock is given.
+// BootClock simulates a host's boot-time clock, which keeps running while the host is suspended.
 type BootClock struct {
+	// Clock is the host's monotonic clock, which stops during a suspend.
 	Clock clockwork.Clock
-	// Suspended is time in which the other clock stood still.
+	// Suspended is the total time during which Clock was stopped.
 	Suspended time.Duration
 }
 
-// Elapsed is the time since the other clock's zero, and the time suspended.
+// Elapsed returns the time since the Unix epoch on Clock plus the suspended time.
 func (b *BootClock) Elapsed() time.Duration {
 	return b.Clock.Since(time.Unix(0, 0)) + b.Suspended
 }
--- a/internal/testkit/ledger.go
+++ b/internal/testkit/configs.go
@@ -1,4 +1,3 @@
-// Package testkit holds helpers that several packages' tests share.
 package testkit
 
 import (
@@ -13,24 +12,26 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// FakeConfigs is a fireflypath.Configs and Committer in memory, with the meaning of
-// internal/configuration's and with faults.
+// FakeConfigs implements fireflypath.Configs and fireflypath.Committer in memory. It
+// behaves like internal/configuration and can be made to fail.
 type FakeConfigs struct {
-	// Now stamps the trail.
+	// Now returns the timestamps of the audit lines.
 	Now func() time.Time
-	// ErrAfterCommit is returned once by a Commit that took effect, like a lost answer.
+	// ErrAfterCommit is returned by the next Commit after it took effect, as if the
+	// store's response was lost.
 	ErrAfterCommit atomic.Pointer[error]
 
 	current atomic.Pointer[fireflypath.Config]
 	mu      sync.Mutex
 	trail   []fireflypath.AuditLine
 	changed chan struct{}
-	// failure is returned by calls without an effect, once left has reached 0.
+	// failure is returned by calls, which then have no effect, once
+	// callsUntilFailure has reached 0.
 	failure           error
 	callsUntilFailure int
 }
 
-// NewFakeConfigs starts with a configuration.
+// NewFakeConfigs returns a FakeConfigs with an initial configuration.
 func NewFakeConfigs(cfg *fireflypath.Config, now func() time.Time) *FakeConfigs {
 	l := &FakeConfigs{Now: now, changed: make(chan struct{})}
 	l.current.Store(cfg)
@@ -49,14 +50,14 @@
 	return l.changed
 }
 
-// FailAfter lets n more calls of the service pass, then each fails without an effect.
+// FailAfter lets n more calls succeed; each later call returns err and has no effect.
 func (l *FakeConfigs) FailAfter(err error, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failure, l.callsUntilFailure = err, n
 }
 
-// StopFailing ends Down.
+// StopFailing reverts FailAfter.
 func (l *FakeConfigs) StopFailing() {
 	l.FailAfter(nil, 0)
 }
--- a/internal/testkit/daemon.go
+++ b/internal/testkit/daemon.go
@@ -1,4 +1,4 @@
-// Package testkit holds what tests of several packages share.
+// Package testkit provides fakes and helpers shared by the tests of several packages.
 package testkit
 
 import (
@@ -11,14 +11,15 @@
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
-// Token is the key of the team of Config.
+// Token is the bearer token of the team in Config.
 const Token = "token-of-team-a"
 
-// Model is served by the engine pool of Config.
+// Model is the model that the engine pool in Config serves.
 const Model = "m"
 
-// Config has one team, three tiers, the engine pool "engines" with targets e0,
-// e1, ... and the service pool "packets" with targets s0, s1, ....
+// Config returns a configuration with one team, three tiers, the engine pool
+// "engines" with targets e0, e1, ..., and the service pool "packets" with targets
+// s0, s1, .... The arguments are the addresses of the targets.
 func Config(engines, services []string) *fireflypath.Config {
 	sum := sha256.Sum256([]byte(Token))
 	cfg := &fireflypath.Config{
@@ -51,7 +52,7 @@
 	return out
 }
 
-// Settings are those of a daemon alone on free ports.
+// Settings returns the settings of a single daemon without peers that listens on free ports.
 func Settings(cfg *fireflypath.Config) settings.Settings {
 	return settings.Settings{
 		Name: "d0", Domain: "d0", Initial: cfg,
--- a/internal/testkit/fifo/fifo.go
+++ b/internal/testkit/fifo/fifo.go
@@ -1,4 +1,5 @@
-// Package fifo is the simplest scheduler: first in, first out, without tiers or fairness; tests and trials take it as the baseline.
+// Package fifo implements a first-in, first-out scheduler without tiers or
+// fairness, which tests and trials use as the baseline.
 package fifo
 
 import (
@@ -9,17 +10,17 @@
 )
 
 const (
-	// defaultQueueLimit bounds the waiting requests if the pool names no bound: a few
-	// seconds of a busy entry host's arrivals.
+	// defaultQueueLimit is the limit of waiting requests for a pool that sets none: a
+	// few seconds of arrivals at a busy entry host.
 	defaultQueueLimit = 4096
-	// targetWindow is the number of requests in flight at one target; it stands for
-	// the batch of a middling engine.
+	// targetWindow is the limit of requests in flight at one target, like the batch
+	// size of a medium engine.
 	targetWindow = 64
-	// retryAfter is given to refused callers; the baseline learns no rates.
+	// retryAfter is a constant because the baseline does not measure service rates.
 	retryAfter = time.Second
 )
 
-// FIFO is a fireflypath.Scheduler.
+// FIFO is a fireflypath.Scheduler that serves requests in the order of arrival.
 type FIFO struct {
 	pool     fireflypath.Pool
 	waiting  []*fireflypath.Work
@@ -41,7 +42,7 @@
 	return &FIFO{pool: pool, inFlight: map[*fireflypath.Work]string{}}
 }
 
-// Offer appends the work, or gives it back if the queue is full.
+// Offer queues the work, or sheds it if the queue is full.
 func (f *FIFO) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	if len(f.waiting) >= f.pool.Requests {
 		return append(out, fireflypath.Shed{
@@ -52,7 +53,7 @@
 	return out
 }
 
-// Next sends the oldest work to the target with the least in flight.
+// Next places the oldest work on the target with the fewest requests in flight.
 func (f *FIFO) Next(now time.Time, p *fireflypath.Placement) bool {
 	for len(f.waiting) > 0 && f.waiting[0].Lifecycle.State() != fireflypath.StateWaiting {
 		f.waiting = f.waiting[1:]
@@ -79,7 +80,7 @@
 	return true
 }
 
-// Withdraw removes waiting work.
+// Withdraw removes work from the queue and reports whether it was there.
 func (f *FIFO) Withdraw(now time.Time, w *fireflypath.Work) bool {
 	i := slices.Index(f.waiting, w)
 	if i < 0 {
@@ -89,7 +90,7 @@
 	return true
 }
 
-// Expire gives up the work whose deadline has passed.
+// Expire sheds queued work whose deadline has passed.
 func (f *FIFO) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	f.waiting = slices.DeleteFunc(f.waiting, func(w *fireflypath.Work) bool {
 		expired := !w.Deadline.After(now)
@@ -103,7 +104,7 @@
 	return out
 }
 
-// Wake is the earliest deadline.
+// Wake returns the earliest deadline of the queue.
 func (f *FIFO) Wake(now time.Time) time.Time {
 	var earliest time.Time
 	for _, w := range f.waiting {
@@ -114,7 +115,8 @@
 	return earliest
 }
 
-// Observe frees the target's place.
+// Observe updates the requests in flight and the leaving targets. Work that was not
+// sent returns to the head of the queue.
 func (f *FIFO) Observe(now time.Time, e fireflypath.Event) {
 	switch e.Kind {
 	case fireflypath.EventUnsent:
@@ -151,7 +153,7 @@
 	return nil
 }
 
-// SetTargets replaces the targets and keeps the counts of those that stay.
+// SetTargets replaces the targets and keeps the state of those that stay.
 func (f *FIFO) SetTargets(now time.Time, targets []fireflypath.Target) {
 	next := make([]target, 0, len(targets))
 	for _, t := range targets {
@@ -164,10 +166,10 @@
 	f.targets = next
 }
 
-// SetShare does nothing: the baseline has windows of its own.
+// SetShare does nothing because the baseline has a fixed window for each target.
 func (f *FIFO) SetShare(now time.Time, s fireflypath.Share) {}
 
-// Demand counts what waits and runs.
+// Demand returns the waiting and running work by rank.
 func (f *FIFO) Demand(now time.Time) fireflypath.Demand {
 	d := fireflypath.Demand{Pool: f.pool.Name}
 	for _, w := range f.waiting {
@@ -188,7 +190,7 @@
 	return s
 }
 
-// Relieve gives up waiting work of lower tiers, newest first.
+// Relieve sheds queued work of lower tiers, newest first, until enough tokens are freed.
 func (f *FIFO) Relieve(now time.Time, rank, tokens int, out []fireflypath.Shed) []fireflypath.Shed {
 	for i := len(f.waiting) - 1; i >= 0 && tokens > 0; i-- {
 		w := f.waiting[i]
@@ -204,7 +206,7 @@
 	return out
 }
 
-// Views lists the targets.
+// Views appends the state of each target.
 func (f *FIFO) Views(now time.Time, out []fireflypath.TargetView) []fireflypath.TargetView {
 	for _, t := range f.targets {
 		v := fireflypath.TargetView{Target: t.Name, Pool: t.Pool, State: "ready", Requests: t.inFlight, Share: 1}
--- a/internal/testkit/pair.go
+++ b/internal/testkit/keypair.go
@@ -14,9 +14,10 @@
 	"time"
 )
 
-// WriteKeyPair writes a self-signed certificate for 127.0.0.1 with the serial number,
-// and its key. The files' time follows from the serial number, so that a later
-// pair is a newer one whatever the file system's clock says.
+// WriteKeyPair writes a self-signed certificate for 127.0.0.1 with the serial
+// number, and its private key. The modification times are derived from the serial
+// number, so that a higher one always looks newer, whatever the resolution of the
+// file system's timestamps.
 func WriteKeyPair(t *testing.T, dir string, serial int64) (certFile, keyFile string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -35,7 +36,7 @@
 	return certFile, keyFile
 }
 
-// WriteFile writes a file whose time follows from the serial number.
+// WriteFile writes a file with a modification time derived from the serial number.
 func WriteFile(t *testing.T, file string, data []byte, serial int64) {
 	t.Helper()
 	failOnError(t, os.WriteFile(file, data, 0o600))
--- a/internal/testkit/mapstore.go
+++ b/internal/testkit/mapstore.go
@@ -1,4 +1,3 @@
-// Package testkit holds helpers that several packages' tests share.
 package testkit
 
 import (
@@ -13,15 +12,15 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Fault is what a MapStore does with one call.
+// Fault lists the errors that a MapStore injects into one call.
 type Fault struct {
-	// Before is returned without an effect.
+	// Before is returned before the call takes effect.
 	Before error
-	// After is returned although the call took effect, like a lost answer.
+	// After is returned once the call has taken effect, as if its response was lost.
 	After error
 }
 
-// MapStore is the platform's key-value service in memory, with faults.
+// MapStore is an in-memory fireflypath.Store with fault injection.
 type MapStore struct {
 	clock clockwork.Clock
 
@@ -47,7 +46,7 @@
 
 var _ fireflypath.Store = (*MapStore)(nil)
 
-// NewMapStore makes an empty store whose leases run on the clock.
+// NewMapStore returns an empty store whose leases expire by the clock.
 func NewMapStore(clock clockwork.Clock) *MapStore {
 	return &MapStore{
 		clock: clock, calls: map[string]int{}, entries: map[string]storedEntry{},
@@ -55,14 +54,14 @@
 	}
 }
 
-// SetFault decides the fate of each later call by operation and key.
+// SetFault sets the function that chooses the faults of each later call by operation and key.
 func (s *MapStore) SetFault(f func(op, key string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls is the number of calls of an operation, of all if it is empty.
+// Calls returns the number of calls of an operation, or of all operations if op is empty.
 func (s *MapStore) Calls(op string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,15 +74,15 @@
 	return n
 }
 
-// Snapshot copies the values; Restore puts such a copy back, like a service
-// that comes back with older data.
+// Snapshot copies the values. Restoring the copy later simulates a service that
+// was recovered from an old backup.
 func (s *MapStore) Snapshot() []fireflypath.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list("")
 }
 
-// Restore replaces all values by a snapshot's.
+// Restore replaces all values with those of a snapshot.
 func (s *MapStore) Restore(es []fireflypath.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +98,7 @@
 	s.changed = make(chan struct{})
 }
 
-// beginCall counts the call, lets leases lapse and gives the fault.
+// beginCall counts the call, expires leases and returns the faults to inject.
 func (s *MapStore) beginCall(op, key string) Fault {
 	s.mu.Lock()
 	f := s.fault
@@ -136,7 +135,7 @@
 	s.notifyWatchers()
 }
 
-// Get reads one key.
+// Get returns the entry of one key.
 func (s *MapStore) Get(_ context.Context, key string) (fireflypath.Entry, error) {
 	f := s.beginCall("get", key)
 	if f.Before != nil {
@@ -151,7 +150,7 @@
 	return e.Entry, f.After
 }
 
-// Put writes by compare-and-swap.
+// Put writes a key if its revision is the given one.
 func (s *MapStore) Put(_ context.Context, key string, value []byte, revision uint64, id fireflypath.LeaseID) (uint64, error) {
 	f := s.beginCall("put", key)
 	if f.Before != nil {
@@ -178,7 +177,7 @@
 	return s.revision, f.After
 }
 
-// Delete removes a key by compare-and-swap.
+// Delete removes a key if its revision is the given one.
 func (s *MapStore) Delete(_ context.Context, key string, revision uint64) error {
 	f := s.beginCall("delete", key)
 	if f.Before != nil {
@@ -197,7 +196,7 @@
 	return f.After
 }
 
-// List reads the keys with a prefix.
+// List returns the entries whose keys have the prefix, sorted by key.
 func (s *MapStore) List(_ context.Context, prefix string) ([]fireflypath.Entry, error) {
 	f := s.beginCall("list", prefix)
 	if f.Before != nil {
@@ -219,7 +218,7 @@
 	return out
 }
 
-// Watch waits for changes above a revision.
+// Watch waits for changes with a revision above after.
 func (s *MapStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]fireflypath.Entry, error) {
 	f := s.beginCall("watch", prefix)
 	if f.Before != nil {
@@ -251,7 +250,7 @@
 	}
 }
 
-// Grant makes a lease.
+// Grant creates a lease.
 func (s *MapStore) Grant(_ context.Context, ttl time.Duration) (fireflypath.LeaseID, error) {
 	f := s.beginCall("grant", "")
 	if f.Before != nil {
@@ -264,7 +263,7 @@
 	return s.nextID, f.After
 }
 
-// Renew extends a lease.
+// Renew extends a lease by its original TTL.
 func (s *MapStore) Renew(_ context.Context, id fireflypath.LeaseID) error {
 	f := s.beginCall("renew", "")
 	if f.Before != nil {
@@ -281,7 +280,7 @@
 	return f.After
 }
 
-// Revoke ends a lease.
+// Revoke ends a lease and deletes its keys.
 func (s *MapStore) Revoke(_ context.Context, id fireflypath.LeaseID) error {
 	f := s.beginCall("revoke", "")
 	if f.Before != nil {
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -16,21 +16,21 @@
 
 var errRefused = errors.New("connection refused")
 
-// Network joins daemons in memory. Links between two hosts can be cut one way
-// or both ways, and single connections can fall silent for good.
+// Network connects daemons in memory. The link between two hosts can be cut in one
+// or both directions, and open connections can be made to lose all further data.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	cut       map[link]bool
 	conns     map[*conn]bool
 	paused    map[string]chan struct{}
-	// Bytes counts what all hosts wrote.
+	// Bytes is the number of bytes written by all hosts.
 	Bytes atomic.Int64
 }
 
 type link struct{ from, to string }
 
-// NewNetwork makes a network without hosts.
+// NewNetwork returns a network without hosts.
 func NewNetwork() *Network {
 	return &Network{
 		listeners: map[string]*listener{}, cut: map[link]bool{},
@@ -38,20 +38,20 @@
 	}
 }
 
-// Host is one host's view of the network; addresses are "host:port".
+// Host returns the network as seen by one host; addresses are "host:port".
 func (n *Network) Host(name string) fireflypath.Network { return &host{n: n, name: name} }
 
-// Cut loses all that goes from one host to another; what was lost on an open
-// connection is not sent again, so the connection stays silent that way.
+// Cut drops everything sent from one host to another. A connection that lost data
+// stays unusable in that direction, also after Heal, because nothing is sent again.
 func (n *Network) Cut(from, to string) { n.setCut(from, to, true) }
 
-// CutBoth cuts both ways.
+// CutBoth cuts the link in both directions.
 func (n *Network) CutBoth(a, b string) { n.Cut(a, b); n.Cut(b, a) }
 
-// Heal undoes Cut for new connections.
+// Heal reverts Cut. Connections that lost data meanwhile stay unusable.
 func (n *Network) Heal(from, to string) { n.setCut(from, to, false) }
 
-// HealBoth heals both ways.
+// HealBoth reverts CutBoth.
 func (n *Network) HealBoth(a, b string) { n.Heal(a, b); n.Heal(b, a) }
 
 func (n *Network) setCut(from, to string, cut bool) {
@@ -60,8 +60,8 @@
 	n.cut[link{from, to}] = cut
 }
 
-// Silence loses for good all that open connections carry from one host to
-// another. Connections opened later work.
+// Silence permanently drops what the open connections carry from one host to
+// another. Connections opened later are not affected.
 func (n *Network) Silence(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +72,8 @@
 	}
 }
 
-// Kill ends a host's process: its connections break and dials are refused.
+// Kill simulates the end of a host's process: its connections are closed and dials
+// to it are refused.
 func (n *Network) Kill(name string) {
 	n.mu.Lock()
 	var broken []*conn
@@ -93,16 +94,16 @@
 	}
 }
 
-// Pause stops a host from taking anything in, like a stopped process whose
-// kernel still acknowledges; Resume lets it read what came meanwhile. Stop the
-// host's clock as well.
+// Pause stops a host from reading and accepting, like a process stopped by SIGSTOP
+// whose kernel still acknowledges data. After Resume the host reads what arrived
+// meanwhile. The caller has to stop the host's clock as well.
 func (n *Network) Pause(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.paused[name] = make(chan struct{})
 }
 
-// Resume undoes Pause.
+// Resume reverts Pause.
 func (n *Network) Resume(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,7 +111,7 @@
 	delete(n.paused, name)
 }
 
-// waitWhilePaused waits while a host is paused.
+// waitWhilePaused blocks while a host is paused.
 func (n *Network) waitWhilePaused(name string) {
 	n.mu.Lock()
 	ch := n.paused[name]
@@ -145,7 +146,7 @@
 func (a addr) Network() string { return "mem" }
 func (a addr) String() string  { return string(a) }
 
-// Listen takes an address of any form; the host is the one that asked.
+// Listen accepts an address of any form; connections to it belong to this host.
 func (h *host) Listen(a string) (net.Listener, error) {
 	h.n.mu.Lock()
 	defer h.n.mu.Unlock()
@@ -180,7 +181,8 @@
 	}
 }
 
-// Dial connects, is refused if nobody listens, or waits for ctx across a cut.
+// Dial connects to an address. It fails if nothing listens there, and blocks until
+// ctx is done if the link is cut.
 func (h *host) Dial(ctx context.Context, a string) (net.Conn, error) {
 	h.n.mu.Lock()
 	l := h.n.listeners[a]
@@ -208,7 +210,8 @@
 	}
 }
 
-// pipe is one direction of a connection, buffered like a kernel would.
+// pipe is one direction of a connection with an unbounded buffer, so that writes
+// return at once, as with a kernel's socket buffer.
 type pipe struct {
 	mu      sync.Mutex
 	buf     []byte
@@ -243,7 +246,7 @@
 			c.r.mu.Unlock()
 			return n, nil
 		}
-		closed, wake := c.r.closed, c.r.changed
+		closed, changed := c.r.closed, c.r.changed
 		c.r.mu.Unlock()
 		if closed {
 			return 0, io.EOF
@@ -252,12 +255,12 @@
 		d := c.deadline
 		c.mu.Unlock()
 		if d.IsZero() {
-			<-wake
+			<-changed
 			continue
 		}
 		t := time.NewTimer(time.Until(d))
 		select {
-		case <-wake:
+		case <-changed:
 			t.Stop()
 		case <-t.C:
 			return 0, os.ErrDeadlineExceeded
@@ -282,7 +285,7 @@
 	return len(b), nil
 }
 
-// Close ends this side; the other hears of it unless the way there is lost.
+// Close closes this end. The other end sees it unless the direction to it is cut or silenced.
 func (c *conn) Close() error {
 	c.n.mu.Lock()
 	delete(c.n.conns, c)
--- a/internal/testkit/seed.go
+++ b/internal/testkit/seed.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// RapidSeed is the seed of rapid's checks; the flag -rapid.seed sets another.
+// RapidSeed is the default seed of rapid's property checks; the flag -rapid.seed overrides it.
 const RapidSeed = "20261202"
 
-// RunWithFixedSeed runs a package's tests with rapid's seed fixed, so that a verdict is
-// the same every time. Call it from TestMain.
+// RunWithFixedSeed runs a package's tests with a fixed rapid seed, so that their
+// results are reproducible, and exits. Call it from TestMain.
 func RunWithFixedSeed(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == f.DefValue {
