--- a/cmd/fireflypath/stand.go
+++ b/cmd/fireflypath/stand.go
@@ -55,15 +55,15 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			e, err := engine.New(engine.Config{
-				Addr:      c.String("listen"),
-				Batch:     c.Int("batch"),
-				Prefill:   c.Float("prefill"),
-				Decode:    c.Float("decode"),
-				Cache:     c.Int("cache"),
-				Lag:       c.Duration("lag"),
-				Gap:       c.Int("gap"),
-				Unfenced:  c.Bool("unfenced"),
-				Uncounted: c.Bool("uncounted"),
+				Addr:          c.String("listen"),
+				Batch:         c.Int("batch"),
+				Prefill:       c.Float("prefill"),
+				Decode:        c.Float("decode"),
+				Cache:         c.Int("cache"),
+				Lag:           c.Duration("lag"),
+				DropEvery:     c.Int("gap"),
+				IgnoreFences:  c.Bool("unfenced"),
+				WithoutCounts: c.Bool("uncounted"),
 			}, clockwork.NewRealClock())
 			if err != nil {
 				return err
--- a/internal/daemon/bench_test.go
+++ b/internal/daemon/bench_test.go
@@ -20,7 +20,7 @@
 // in the same run: first at 1,000 requests per second, then as many as eight callers can send.
 func BenchmarkOverhead(b *testing.B) {
 	is := is.New(b)
-	e, err := engine.New(engine.Config{Addr: loopback.ListenAddr(), Batch: 512, Uncounted: true}, clockwork.NewRealClock())
+	e, err := engine.New(engine.Config{Addr: loopback.ListenAddr(), Batch: 512, WithoutCounts: true}, clockwork.NewRealClock())
 	is.NoErr(err)
 	b.Cleanup(func() { _ = e.Close() })
 	d, err := daemon.New(testkit.Settings(testkit.Config([]string{e.Addr()}, nil)), daemon.Deps{})
--- a/internal/daemon/fault_test.go
+++ b/internal/daemon/fault_test.go
@@ -189,7 +189,7 @@
 	for _, f := range []fault.Fault{
 		{Name: fault.Break, After: 2, Count: 1},
 		{Name: fault.Truncate, After: 2, Count: 1},
-		{Name: fault.Crossed, Count: 1},
+		{Name: fault.WrongID, Count: 1},
 	} {
 		t.Run(string(f.Name), func(t *testing.T) {
 			is := is.New(t)
@@ -338,7 +338,7 @@
 		Choices []struct{ Message struct{ Content string } }
 	}
 	is.NoErr(json.Unmarshal([]byte(got.text), &m))
-	is.Equal(m.Choices[0].Message.Content, engine.Text("hello", 5))
+	is.Equal(m.Choices[0].Message.Content, engine.ExpectedText("hello", 5))
 }
 
 // A target needs longer than the caller's deadline. After the dispatch the work is done in any case,
--- a/internal/daemon/records_test.go
+++ b/internal/daemon/records_test.go
@@ -20,7 +20,7 @@
 	is := is.New(b)
 	clock := clockwork.NewRealClock()
 	for range 12 {
-		e, err := fakeengine.New(fakeengine.Config{Uncounted: true}, clock)
+		e, err := fakeengine.New(fakeengine.Config{WithoutCounts: true}, clock)
 		is.NoErr(err)
 		b.Cleanup(func() { _ = e.Close() })
 		s, err := fakeservice.New(fakeservice.Config{}, clock)
--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -91,7 +91,7 @@
 	switch {
 	case got.Refusal != nil, err != nil:
 		return err
-	case a.Pool == mix.Models && got.Text != engine.Text(a.Prompt(), a.Cost.MaxOutput):
+	case a.Pool == mix.Models && got.Text != engine.ExpectedText(a.Prompt(), a.Cost.MaxOutput):
 		return errors.Wrapf(errWrong, "%s: %d tokens of %d", got.ID, got.Tokens, a.Cost.MaxOutput)
 	case a.Pool == mix.Models:
 		return nil
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -60,12 +60,12 @@
 		// Streams of others break or end too early, and can be resumed.
 		{0.20, show(d.engines[2], fault.Fault{Name: fault.Break, Count: 3, After: 2})},
 		{0.20, show(d.engines[3], fault.Fault{Name: fault.Truncate, Count: 3, After: 2})},
-		{0.25, show(d.engines[4], fault.Fault{Name: fault.Crossed, Count: 2})},
+		{0.25, show(d.engines[4], fault.Fault{Name: fault.WrongID, Count: 2})},
 		// A service reads a delivery and closes: nobody can tell whether it ran.
 		{0.25, show(d.services[0], fault.Fault{Name: fault.ReadClose, Count: 1})},
 		{0.30, show(d.services[1], fault.Fault{Name: fault.Break, Count: 1})},
 		// A claim is written and its answer is lost; then the platform is down.
-		{0.10, show(d.platform, fault.Fault{Name: fault.Lost, Count: 2})},
+		{0.10, show(d.platform, fault.Fault{Name: fault.LoseAnswer, Count: 2})},
 		{0.60, show(d.platform, fault.Fault{Name: fault.Outage})},
 		{0.75, show(d.platform, fault.Fault{Name: fault.Outage, Off: true})},
 		{0.35, show(d.engines[0], fault.Fault{Name: fault.Die})},
--- a/internal/demo/overhead_test.go
+++ b/internal/demo/overhead_test.go
@@ -25,7 +25,7 @@
 
 func newPair(b *testing.B) pair {
 	is := is.New(b)
-	e, err := engine.New(engine.Config{Batch: 256, Uncounted: true}, clockwork.NewRealClock())
+	e, err := engine.New(engine.Config{Batch: 256, WithoutCounts: true}, clockwork.NewRealClock())
 	is.NoErr(err)
 	b.Cleanup(func() { e.Close() })
 	d, err := daemon.New(testkit.Settings(testkit.Config([]string{e.Addr()}, nil)), daemon.Deps{})
--- a/internal/demo/start.go
+++ b/internal/demo/start.go
@@ -47,7 +47,7 @@
 func (d *Demo) startTargets(context.Context) error {
 	for i := range engineTargets {
 		cfg := models[i%len(models)]
-		cfg.Lag, cfg.Gap = reportLag, loseCacheEvents
+		cfg.Lag, cfg.DropEvery = reportLag, loseCacheEvents
 		e, err := engine.New(cfg, d.clock)
 		if err != nil {
 			return err
--- a/internal/fake/engine/answer.go
+++ b/internal/fake/engine/answer.go
@@ -11,9 +11,9 @@
 	"github.com/fireflypath/fireflypath/internal/fake/wire"
 )
 
-// Text is the answer that every engine gives to a prompt, for callers that
+// ExpectedText is the answer that every engine gives to a prompt, for callers that
 // check that they got their own, and all of it.
-func Text(prompt string, output int) string {
+func ExpectedText(prompt string, output int) string {
 	seed := xxhash.Sum64String(prompt)
 	var b []byte
 	for n := range output {
@@ -22,27 +22,27 @@
 	return string(b)
 }
 
-// answer streams events from behind an offset.
-func (e *Engine) answer(r *fasthttp.RequestCtx, s *stream, offset int) {
-	if _, _, err := e.events(s, -1); err != nil {
-		wire.Hangup(r)
+// streamAnswer streams events from behind an offset.
+func (e *Engine) streamAnswer(r *fasthttp.RequestCtx, s *stream, offset int) {
+	if _, _, err := e.countEvents(s, -1); err != nil {
+		wire.CloseConnection(r)
 		return
 	}
-	b := buffers.Get().(*[]byte)
-	body := &reader{e: e, s: s, id: s.id, at: offset, buf: *b}
-	if _, ok := e.faults.Strike(fault.Crossed); ok {
-		body.id = e.other(s.id)
+	b := bufferPool.Get().(*[]byte)
+	body := &eventReader{engine: e, stream: s, id: s.id, sent: offset, buf: *b}
+	if _, ok := e.faults.Trigger(fault.WrongID); ok {
+		body.id = e.otherID(s.id)
 	}
-	if f, ok := e.faults.Strike(fault.Truncate); ok {
-		body.end, body.cut = max(1, offset+f.After), io.EOF
+	if f, ok := e.faults.Trigger(fault.Truncate); ok {
+		body.cutAfter, body.cutErr = max(1, offset+f.After), io.EOF
 	}
-	if f, ok := e.faults.Strike(fault.Break); ok {
-		body.end, body.cut = max(1, offset+f.After), errBroken
+	if f, ok := e.faults.Trigger(fault.Break); ok {
+		body.cutAfter, body.cutErr = max(1, offset+f.After), errBroken
 	}
 	// The header waits for the first event: only then the cache was looked up.
 	if offset <= s.output {
 		if err := body.fill(); err != nil {
-			wire.Hangup(r)
+			wire.CloseConnection(r)
 			return
 		}
 	}
@@ -58,8 +58,8 @@
 	return s.cached
 }
 
-// other is another stream's id, or one that nobody asked for.
-func (e *Engine) other(id string) string {
+// otherID is another stream's id, or one that nobody asked for.
+func (e *Engine) otherID(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for o := range e.streams {
@@ -72,16 +72,16 @@
 
 // answerWhole waits for the end and sends one JSON object.
 func (e *Engine) answerWhole(r *fasthttp.RequestCtx, s *stream) {
-	w := &reader{e: e, s: s}
-	for w.at <= s.output {
-		n, err := w.ready()
+	er := &eventReader{engine: e, stream: s}
+	for er.sent <= s.output {
+		n, err := er.waitForEvents()
 		if err != nil {
-			wire.Hangup(r)
+			wire.CloseConnection(r)
 			return
 		}
-		w.at = n
+		er.sent = n
 	}
-	e.delivered(s)
+	e.markDelivered(s)
 	var text []byte
 	for n := range s.output {
 		text = appendToken(text, s.seed, n+1)
--- a/internal/fake/engine/batch.go
+++ b/internal/fake/engine/batch.go
@@ -7,12 +7,12 @@
 	"github.com/fireflypath/fireflypath/internal/fake/fault"
 )
 
-// keep is the number of ended streams that can at least be resumed.
-const keep = 4096
+// minRetainedStreams is the number of ended streams that can at least be resumed.
+const minRetainedStreams = 4096
 
-// loop steps the batch while there is work, and waits while there is none.
-func (e *Engine) loop() {
-	t := e.clock.NewTimer(tick)
+// run steps the batch while there is work, and waits while there is none.
+func (e *Engine) run() {
+	t := e.clock.NewTimer(stepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -22,7 +22,7 @@
 		case <-t.Chan():
 		}
 		if e.step() {
-			t.Reset(tick)
+			t.Reset(stepInterval)
 		}
 	}
 }
@@ -33,20 +33,20 @@
 	defer e.mu.Unlock()
 	if old, ok := e.streams[s.id]; ok {
 		// Run again: what the first run read was for nothing if nobody had it.
-		e.forget(old)
+		e.dropStream(old)
 	}
 	e.streams[s.id] = s
 	if len(e.waiting)+len(e.running) == 0 {
-		e.last = e.clock.Now()
+		e.lastStep = e.clock.Now()
 	}
 	e.waiting = append(e.waiting, s)
 	e.advance(0)
 	if len(e.running) > 0 {
-		e.poke()
+		e.wakeLoop()
 	}
 }
 
-func (e *Engine) poke() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -58,9 +58,9 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	dt := now.Sub(e.last)
-	e.last = now
-	if f, ok := e.faults.Strike(fault.Slow); ok && f.Factor > 0 {
+	dt := now.Sub(e.lastStep)
+	e.lastStep = now
+	if f, ok := e.faults.Trigger(fault.Slow); ok && f.Factor > 0 {
 		dt = time.Duration(float64(dt) / f.Factor)
 	}
 	e.advance(dt)
@@ -72,7 +72,7 @@
 	e.admit()
 	budget := e.cfg.Prefill * dt.Seconds()
 	for _, s := range e.running {
-		if s.todo() == 0 {
+		if s.remainingPrompt() == 0 {
 			s.decode(e.cfg.Decode, dt)
 			continue
 		}
@@ -85,7 +85,7 @@
 		return s.finished()
 	})
 	e.admit()
-	e.load.add(e.clock.Now(), e.report(), e.cfg.Lag)
+	e.loadHistory.add(e.clock.Now(), e.report(), e.cfg.Lag)
 }
 
 // admit fills the batch in the order of arrival.
@@ -93,16 +93,16 @@
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.Batch {
 		s := e.waiting[0]
 		e.waiting = slices.Delete(e.waiting, 0, 1)
-		s.cached = e.cache.hit(s.blocks, s.prompt)
+		s.cached = e.cache.lookup(s.blocks, s.prompt)
 		e.counts.Cached += s.cached
-		if !e.cfg.Uncounted {
+		if !e.cfg.WithoutCounts {
 			e.counts.Runs[s.id]++
 		}
 		e.running = append(e.running, s)
 		if e.cfg.Prefill == 0 {
 			e.prefill(s, 0)
 		}
-		if e.cfg.Decode == 0 && s.todo() == 0 {
+		if e.cfg.Decode == 0 && s.remainingPrompt() == 0 {
 			s.decode(0, 0)
 		}
 		if s.finished() {
@@ -115,13 +115,13 @@
 // prefill reads on in a prompt and returns what is left of the budget.
 func (e *Engine) prefill(s *stream, budget float64) float64 {
 	s.credit += budget
-	n := min(s.todo(), int(s.credit))
+	n := min(s.remainingPrompt(), int(s.credit))
 	if e.cfg.Prefill == 0 {
-		n = s.todo()
+		n = s.remainingPrompt()
 	}
 	s.prefilled += n
 	e.counts.Prefill += n
-	if s.todo() > 0 {
+	if s.remainingPrompt() > 0 {
 		s.credit -= float64(n)
 		return 0
 	}
@@ -136,26 +136,26 @@
 
 // retire keeps a finished stream for a while, so that it can be resumed.
 func (e *Engine) retire(s *stream) {
-	if e.cfg.Uncounted && s.read {
+	if e.cfg.WithoutCounts && s.delivered {
 		delete(e.streams, s.id)
 		return
 	}
-	e.ended = append(e.ended, s)
-	if len(e.ended) < 2*keep {
+	e.finished = append(e.finished, s)
+	if len(e.finished) < 2*minRetainedStreams {
 		return
 	}
-	for _, old := range e.ended[:keep] {
+	for _, old := range e.finished[:minRetainedStreams] {
 		if e.streams[old.id] == old {
-			e.forget(old)
+			e.dropStream(old)
 		}
 	}
-	e.ended = slices.Delete(e.ended, 0, keep)
+	e.finished = slices.Delete(e.finished, 0, minRetainedStreams)
 }
 
-// forget drops a stream; e.mu is held.
-func (e *Engine) forget(s *stream) {
-	if !s.read && !s.cancelled && !e.cfg.Uncounted {
-		e.counts.waste(s)
+// dropStream drops a stream; e.mu is held.
+func (e *Engine) dropStream(s *stream) {
+	if !s.delivered && !s.cancelled && !e.cfg.WithoutCounts {
+		e.counts.addWasted(s)
 	}
 	delete(e.streams, s.id)
 }
@@ -169,11 +169,11 @@
 		return false
 	}
 	e.counts.Cancels++
-	if !s.read {
-		e.counts.waste(s)
+	if !s.delivered {
+		e.counts.addWasted(s)
 	}
 	s.cancelled = true
-	s.tell()
+	s.notify()
 	same := func(o *stream) bool { return o == s }
 	e.waiting = slices.DeleteFunc(e.waiting, same)
 	e.running = slices.DeleteFunc(e.running, same)
@@ -185,10 +185,10 @@
 func (e *Engine) report() Load {
 	l := Load{Running: len(e.running), Waiting: len(e.waiting), Batch: e.cfg.Batch}
 	for _, s := range e.running {
-		l.Tokens += s.left()
+		l.Tokens += s.remainingTokens()
 	}
 	for _, s := range e.waiting {
-		l.Tokens += s.left()
+		l.Tokens += s.remainingTokens()
 	}
 	return l
 }
--- a/internal/fake/engine/cache.go
+++ b/internal/fake/engine/cache.go
@@ -17,12 +17,12 @@
 // cache holds prompt prefixes by the hashes of their blocks, the longest unused
 // ones dropped first.
 type cache struct {
-	limit  int // in blocks
-	gap    int
-	uses   *list.List // of uint64, least recent first
-	blocks map[uint64]*list.Element
-	seq    int
-	events []cacheEvent
+	maxBlocks int // in blocks
+	dropEvery int
+	lru       *list.List // of uint64, least recent first
+	blocks    map[uint64]*list.Element
+	seq       int
+	events    []cacheEvent
 }
 
 type cacheEvent struct {
@@ -34,23 +34,23 @@
 
 func newCache(cfg Config) *cache {
 	return &cache{
-		limit:  cfg.Cache / blockTokens,
-		gap:    cfg.Gap,
-		uses:   list.New(),
-		blocks: make(map[uint64]*list.Element),
+		maxBlocks: cfg.Cache / blockTokens,
+		dropEvery: cfg.DropEvery,
+		lru:       list.New(),
+		blocks:    make(map[uint64]*list.Element),
 	}
 }
 
-// hit counts the tokens of the prompt found, at least one less than the prompt:
+// lookup counts the tokens of the prompt found, at least one less than the prompt:
 // an engine has to read something to begin.
-func (c *cache) hit(blocks []uint64, prompt int) int {
+func (c *cache) lookup(blocks []uint64, prompt int) int {
 	n := 0
 	for _, b := range blocks {
 		el, ok := c.blocks[b]
 		if !ok {
 			break
 		}
-		c.uses.MoveToBack(el)
+		c.lru.MoveToBack(el)
 		n += blockTokens
 	}
 	return max(0, min(n, prompt-1))
@@ -59,33 +59,33 @@
 // store keeps a prompt's blocks and drops what is over the limit.
 func (c *cache) store(now time.Time, blocks []uint64) {
 	var stored, dropped []string
-	for _, b := range blocks[:min(len(blocks), c.limit)] {
+	for _, b := range blocks[:min(len(blocks), c.maxBlocks)] {
 		if el, ok := c.blocks[b]; ok {
-			c.uses.MoveToBack(el)
+			c.lru.MoveToBack(el)
 			continue
 		}
-		c.blocks[b] = c.uses.PushBack(b)
+		c.blocks[b] = c.lru.PushBack(b)
 		stored = append(stored, hexBlock(b))
 	}
-	for c.uses.Len() > c.limit {
-		b := c.uses.Remove(c.uses.Front()).(uint64)
+	for c.lru.Len() > c.maxBlocks {
+		b := c.lru.Remove(c.lru.Front()).(uint64)
 		delete(c.blocks, b)
 		dropped = append(dropped, hexBlock(b))
 	}
-	c.tell(now, "stored", stored)
-	c.tell(now, "dropped", dropped)
+	c.appendEvent(now, "stored", stored)
+	c.appendEvent(now, "dropped", dropped)
 }
 
 func hexBlock(b uint64) string {
 	return fmt.Sprintf("%016x", b)
 }
 
-func (c *cache) tell(now time.Time, op string, blocks []string) {
+func (c *cache) appendEvent(now time.Time, op string, blocks []string) {
 	if len(blocks) == 0 {
 		return
 	}
 	c.seq++
-	if c.gap > 0 && c.seq%c.gap == 0 {
+	if c.dropEvery > 0 && c.seq%c.dropEvery == 0 {
 		return
 	}
 	c.events = append(c.events, cacheEvent{Seq: c.seq, Op: op, Blocks: blocks, at: now})
@@ -94,8 +94,8 @@
 	}
 }
 
-// after returns the events behind a number that happened before a time.
-func (c *cache) after(seq int, until time.Time) []cacheEvent {
+// eventsAfter returns the events behind a number that happened before a time.
+func (c *cache) eventsAfter(seq int, until time.Time) []cacheEvent {
 	out := []cacheEvent{}
 	for _, e := range c.events {
 		if e.Seq > seq && !e.at.After(until) {
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -31,22 +31,22 @@
 	Cache int
 	// Lag is how late load reports and cache events are.
 	Lag time.Duration
-	// Gap loses each Gap-th cache event; 0 loses none.
-	Gap int
-	// Unfenced makes the engine ignore the fencing numbers of orders.
-	Unfenced bool
-	// Uncounted keeps no counts by request id, whose memory grows, and no
+	// DropEvery loses each Gap-th cache event; 0 loses none.
+	DropEvery int
+	// IgnoreFences makes the engine ignore the fencing numbers of orders.
+	IgnoreFences bool
+	// WithoutCounts keeps no counts by request id, whose memory grows, and no
 	// streams that have ended; for benchmarks.
-	Uncounted bool
+	WithoutCounts bool
 }
 
 // defaultBatch is used where none is set.
 const defaultBatch = 8
 
-// tick is the time between steps of the batch. It is below the time between
+// stepInterval is the time between steps of the batch. It is below the time between
 // tokens that the stand-ins are asked for (20 ms at 50 tokens a second), so
 // that tokens do not come in lumps.
-const tick = 4 * time.Millisecond
+const stepInterval = 4 * time.Millisecond
 
 // Counts are what the engine saw, for tests and the demo.
 type Counts struct {
@@ -71,8 +71,8 @@
 	Stale  int                 `json:"stale"`
 }
 
-// waste counts a stream's prefill as done for nothing.
-func (c *Counts) waste(s *stream) {
+// addWasted counts a stream's prefill as done for nothing.
+func (c *Counts) addWasted(s *stream) {
 	if s.prefilled > 0 {
 		c.Wasted += s.prefilled
 		c.Waste[s.id] += s.prefilled
@@ -87,18 +87,18 @@
 	ln     *wire.Listener
 	server *fasthttp.Server
 
-	mu      sync.Mutex
-	closed  bool
-	streams map[string]*stream
-	ended   []*stream // oldest first
-	waiting []*stream
-	running []*stream
-	last    time.Time
-	cache   *cache
-	load    history
-	fence   uint64
-	orders  map[string]bool
-	counts  Counts
+	mu             sync.Mutex
+	closed         bool
+	streams        map[string]*stream
+	finished       []*stream // oldest first
+	waiting        []*stream
+	running        []*stream
+	lastStep       time.Time
+	cache          *cache
+	loadHistory    loadSamples
+	highestFence   uint64
+	executedOrders map[string]bool
+	counts         Counts
 
 	wake chan struct{}
 	done chan struct{}
@@ -118,28 +118,28 @@
 		return nil, err
 	}
 	e := &Engine{
-		cfg:     cfg,
-		clock:   clock,
-		ln:      ln,
-		streams: make(map[string]*stream),
-		cache:   newCache(cfg),
-		orders:  make(map[string]bool),
-		counts:  Counts{Dispatches: make(map[string]int), Runs: make(map[string]int), Waste: make(map[string]int)},
-		wake:    make(chan struct{}, 1),
-		done:    make(chan struct{}),
+		cfg:            cfg,
+		clock:          clock,
+		ln:             ln,
+		streams:        make(map[string]*stream),
+		cache:          newCache(cfg),
+		executedOrders: make(map[string]bool),
+		counts:         Counts{Dispatches: make(map[string]int), Runs: make(map[string]int), Waste: make(map[string]int)},
+		wake:           make(chan struct{}, 1),
+		done:           make(chan struct{}),
 	}
 	e.server = &fasthttp.Server{
 		Handler:               e.handle,
 		MaxRequestBodySize:    maxBody,
 		NoDefaultServerHeader: true,
-		Logger:                wire.NoLog{},
+		Logger:                wire.DiscardLogger{},
 		NoDefaultDate:         true,
 	}
 	e.wg.Go(func() {
 		// The only error is the listener's end.
 		_ = e.server.Serve(ln)
 	})
-	e.wg.Go(e.loop)
+	e.wg.Go(e.run)
 	return e, nil
 }
 
@@ -159,7 +159,7 @@
 	e.closed = true
 	close(e.done)
 	for _, s := range e.streams {
-		s.tell()
+		s.notify()
 	}
 	return e.ln.Close()
 }
@@ -184,11 +184,11 @@
 	case fault.Clear:
 		e.faults.Apply(f)
 		return e.ln.Resume()
-	case fault.Deadly, fault.ReadClose, fault.Crossed, fault.Truncate, fault.Break, fault.Forget,
+	case fault.DieOnText, fault.ReadClose, fault.WrongID, fault.Truncate, fault.Break, fault.Forget,
 		fault.Slow, fault.Draining, fault.NotRun:
 		e.faults.Apply(f)
 	default:
-		return errors.Wrapf(fault.ErrName, "%q", f.Name)
+		return errors.Wrapf(fault.ErrUnknownName, "%q", f.Name)
 	}
 	return nil
 }
@@ -203,8 +203,8 @@
 	c.Waste = maps.Clone(c.Waste)
 	c.Orders = append([]fireflypath.Order(nil), c.Orders...)
 	for _, s := range e.streams {
-		if !s.read && !s.cancelled && (s.finished() || e.closed) {
-			c.waste(s)
+		if !s.delivered && !s.cancelled && (s.finished() || e.closed) {
+			c.addWasted(s)
 		}
 	}
 	return c
--- a/internal/fake/engine/engine_test.go
+++ b/internal/fake/engine/engine_test.go
@@ -29,13 +29,13 @@
 	return e, clock
 }
 
-func (e *Engine) second() {
+func (e *Engine) advanceSecond() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.advance(time.Second)
 }
 
-func work(id string, prompt, output int) *stream {
+func newTestStream(id string, prompt, output int) *stream {
 	return newStream(id, false, &completion{Prompt: strings.Repeat(id, prompt*tokenBytes/len(id)), MaxTokens: &output})
 }
 
@@ -47,40 +47,40 @@
 	return s.prefilled, s.emitted
 }
 
-func TestBatchIsBoundedAndFirstInFirstOut(t *testing.T) {
+func TestBatchIsBoundedAndFIFO(t *testing.T) {
 	is := is.New(t)
 	e, _ := start(t, Config{Batch: 2, Prefill: 1000, Decode: 10})
-	long, short, last := work("aaaa", 2000, 10), work("bbbb", 100, 10), work("cccc", 100, 10)
+	long, short, last := newTestStream("aaaa", 2000, 10), newTestStream("bbbb", 100, 10), newTestStream("cccc", 100, 10)
 	for _, s := range []*stream{long, short, last} {
 		e.submit(s)
 	}
 	prefilled := func(s *stream) int { n, _ := e.progress(s); return n }
 	emitted := func(s *stream) int { _, n := e.progress(s); return n }
-	e.second()
+	e.advanceSecond()
 	is.Equal([]int{prefilled(long), prefilled(short), prefilled(last)}, []int{1000, 0, 0}) // read one after the other
-	e.second()
-	e.second()
+	e.advanceSecond()
+	e.advanceSecond()
 	is.Equal([]int{emitted(long), prefilled(short), prefilled(last)}, []int{10, 100, 0}) // the third waits for a place
-	e.second()
+	e.advanceSecond()
 	is.Equal([]int{emitted(short), prefilled(last)}, []int{10, 100})
 	is.Equal(e.Counts().Prefill, 2200)
 	is.Equal(e.Counts().Wasted, 2100) // two ended and nobody read them
 }
 
-func TestCacheIsLimitedAndTellsLate(t *testing.T) {
+func TestCacheEvictsAndReportsWithLag(t *testing.T) {
 	is := is.New(t)
 	e, clock := start(t, Config{Cache: 4 * blockTokens, Lag: time.Second})
-	e.submit(work("aaaa", 2*blockTokens, 1))
-	again := work("aaaa", 3*blockTokens, 1)
+	e.submit(newTestStream("aaaa", 2*blockTokens, 1))
+	again := newTestStream("aaaa", 3*blockTokens, 1)
 	e.submit(again)
 	is.Equal(again.cached, 2*blockTokens)
-	e.submit(work("bbbb", 4*blockTokens, 1))
-	gone := work("aaaa", 2*blockTokens, 1)
-	e.submit(gone)
-	is.Equal(gone.cached, 0)
-	is.Equal(len(e.cache.after(0, clock.Now().Add(-time.Second))), 0)
+	e.submit(newTestStream("bbbb", 4*blockTokens, 1))
+	evicted := newTestStream("aaaa", 2*blockTokens, 1)
+	e.submit(evicted)
+	is.Equal(evicted.cached, 0)
+	is.Equal(len(e.cache.eventsAfter(0, clock.Now().Add(-time.Second))), 0)
 	clock.Advance(time.Second)
-	events := e.cache.after(0, clock.Now().Add(-time.Second))
+	events := e.cache.eventsAfter(0, clock.Now().Add(-time.Second))
 	is.Equal(events[0].Op, "stored")
 	is.Equal(events[0].Blocks, []string{hexBlock(again.blocks[0]), hexBlock(again.blocks[1])})
 }
@@ -88,19 +88,19 @@
 func TestCancelCountsWaste(t *testing.T) {
 	is := is.New(t)
 	e, _ := start(t, Config{Batch: 1, Prefill: 1000, Decode: 10})
-	first, second := work("aaaa", 2000, 10), work("bbbb", 100, 10)
+	first, second := newTestStream("aaaa", 2000, 10), newTestStream("bbbb", 100, 10)
 	e.submit(first)
 	e.submit(second)
-	e.second()
+	e.advanceSecond()
 	is.True(e.cancel("aaaa"))
 	is.Equal(e.Counts().Wasted, 1000)
-	e.second()
+	e.advanceSecond()
 	prefilled, _ := e.progress(second)
 	is.Equal(prefilled, 100)
 }
 
-// post sends a completion and reads what comes.
-func post(t *testing.T, e *Engine, id string) (answered, error) {
+// postCompletion sends a completion and reads what comes.
+func postCompletion(t *testing.T, e *Engine, id string) (response, error) {
 	t.Helper()
 	body := strings.NewReader(`{"prompt":"hello","max_tokens":3,"stream":true}`)
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+e.Addr()+"/v1/completions", body)
@@ -108,35 +108,35 @@
 		t.Fatal(err)
 	}
 	r.Header.Set(headerID, id)
-	return do(r)
+	return send(r)
 }
 
-// answered is what a caller received; the status is 0 without an answer.
-type answered struct {
+// response is what a caller received; the status is 0 without an answer.
+type response struct {
 	status int
 	id     string
 	text   string
 }
 
-func do(r *http.Request) (answered, error) {
+func send(r *http.Request) (response, error) {
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return answered{}, err
+		return response{}, err
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return answered{resp.StatusCode, resp.Header.Get(headerID), string(text)}, err
+	return response{resp.StatusCode, resp.Header.Get(headerID), string(text)}, err
 }
 
-func event(id string, n int, finish string) string {
-	token := Text("hello", n)[(n-1)*5:]
+func eventText(id string, n int, finish string) string {
+	token := ExpectedText("hello", n)[(n-1)*5:]
 	return fmt.Sprintf("id: %d\ndata: {\"id\":%q,\"object\":\"text_completion\",\"choices\":"+
 		"[{\"index\":0,\"text\":%q%s}]}\n\n", n, id, token, finish)
 }
 
-func whole(id string, from int) string {
+func eventsFrom(id string, from int) string {
 	events := []string{
-		event(id, 1, ""), event(id, 2, ""), event(id, 3, `,"finish_reason":"length"`), "id: 4\ndata: [DONE]\n\n",
+		eventText(id, 1, ""), eventText(id, 2, ""), eventText(id, 3, `,"finish_reason":"length"`), "id: 4\ndata: [DONE]\n\n",
 	}
 	return strings.Join(events[from:], "")
 }
@@ -144,20 +144,20 @@
 func TestAnswerAndResume(t *testing.T) {
 	is := is.New(t)
 	e, _ := start(t, Config{})
-	a, err := post(t, e, "d.1")
+	a, err := postCompletion(t, e, "d.1")
 	is.NoErr(err)
-	is.Equal(a, answered{200, "d.1", whole("d.1", 0)})
+	is.Equal(a, response{200, "d.1", eventsFrom("d.1", 0)})
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+e.Addr()+"/v1/streams/d.1", nil)
 	is.NoErr(err)
 	r.Header.Set(headerLast, "2")
-	a, err = do(r)
+	a, err = send(r)
 	is.NoErr(err)
-	is.Equal(a.text, whole("d.1", 2))
+	is.Equal(a.text, eventsFrom("d.1", 2))
 	c := e.Counts()
 	is.Equal([]int{c.Dispatches["d.1"], c.Runs["d.1"], c.Resumes, c.Wasted}, []int{1, 1, 1, 0})
 }
 
-func TestFaults(t *testing.T) {
+func TestCompletionFaults(t *testing.T) {
 	tests := []struct {
 		fault  fault.Fault
 		want   string // the body, or empty
@@ -168,34 +168,34 @@
 		{fault: fault.Fault{Name: fault.ReadClose}},
 		{fault: fault.Fault{Name: fault.Draining}, want: `{"error":{"code":"draining"}}`, status: 503},
 		{fault: fault.Fault{Name: fault.NotRun}, want: `{"error":{"code":"not_run"}}`, status: 503},
-		{fault: fault.Fault{Name: fault.Crossed}, want: whole("other-d.1", 0), status: 200, runs: 1},
-		{fault: fault.Fault{Name: fault.Truncate, After: 2}, want: event("d.1", 1, "") + event("d.1", 2, ""), status: 200, runs: 1},
-		{fault: fault.Fault{Name: fault.Break, After: 1}, want: event("d.1", 1, ""), status: 200, broken: true, runs: 1},
+		{fault: fault.Fault{Name: fault.WrongID}, want: eventsFrom("other-d.1", 0), status: 200, runs: 1},
+		{fault: fault.Fault{Name: fault.Truncate, After: 2}, want: eventText("d.1", 1, "") + eventText("d.1", 2, ""), status: 200, runs: 1},
+		{fault: fault.Fault{Name: fault.Break, After: 1}, want: eventText("d.1", 1, ""), status: 200, broken: true, runs: 1},
 	}
 	for _, tt := range tests {
 		t.Run(string(tt.fault.Name), func(t *testing.T) {
 			is := is.New(t)
 			e, _ := start(t, Config{})
 			is.NoErr(e.Fault(tt.fault))
-			a, err := post(t, e, "d.1")
+			a, err := postCompletion(t, e, "d.1")
 			is.Equal(err != nil, tt.status == 0 || tt.broken)
 			is.Equal(a.text, tt.want)
 			is.Equal(a.status, tt.status)
 			c := e.Counts()
 			is.Equal([]int{c.Dispatches["d.1"], c.Runs["d.1"]}, []int{1, tt.runs})
 			is.NoErr(e.Fault(fault.Fault{Name: fault.Clear}))
-			a, err = post(t, e, "d.2")
+			a, err = postCompletion(t, e, "d.2")
 			is.NoErr(err)
-			is.Equal(a.text, whole("d.2", 0))
+			is.Equal(a.text, eventsFrom("d.2", 0))
 		})
 	}
 }
 
-func TestOrders(t *testing.T) {
+func TestOrderFencing(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
 		t.Run(fmt.Sprintf("unfenced=%v", unfenced), func(t *testing.T) {
 			is := is.New(t)
-			e, _ := start(t, Config{Unfenced: unfenced})
+			e, _ := start(t, Config{IgnoreFences: unfenced})
 			var statuses []int
 			for i, fence := range []uint64{2, 1, 3, 3} {
 				body, err := json.Marshal(fireflypath.Order{ID: fmt.Sprint(min(i, 2)), Fence: fence})
@@ -220,7 +220,7 @@
 // A test kills the stand-in and sends a request at once. If the stand-in still
 // took it, the request's outcome would be unknown, and the daemon that sent it
 // would be blamed.
-func TestDeadEngineTakesNothing(t *testing.T) {
+func TestStoppedEngineRefusesConnections(t *testing.T) {
 	is := is.New(t)
 	for range 50 {
 		e, _ := start(t, Config{})
@@ -231,14 +231,14 @@
 }
 
 // One request ends the stand-in, as some end a model engine; others are served before.
-func TestDeadlyRequestEndsTheEngine(t *testing.T) {
+func TestMatchingRequestStopsEngine(t *testing.T) {
 	is := is.New(t)
 	e, _ := start(t, Config{})
-	is.NoErr(e.Fault(fault.Fault{Name: fault.Deadly, Text: "not in any prompt"}))
-	_, err := post(t, e, "d.1")
+	is.NoErr(e.Fault(fault.Fault{Name: fault.DieOnText, Text: "not in any prompt"}))
+	_, err := postCompletion(t, e, "d.1")
 	is.NoErr(err)
-	is.NoErr(e.Fault(fault.Fault{Name: fault.Deadly, Text: "prompt"}))
-	_, err = post(t, e, "d.2")
+	is.NoErr(e.Fault(fault.Fault{Name: fault.DieOnText, Text: "prompt"}))
+	_, err = postCompletion(t, e, "d.2")
 	is.True(err != nil)
 	is.Equal(e.Counts().Runs["d.2"], 0)
 	_, err = net.Dial("tcp", e.Addr())
--- a/internal/fake/engine/http.go
+++ b/internal/fake/engine/http.go
@@ -56,31 +56,31 @@
 	case isStream:
 		e.serveResume(r, id)
 	default:
-		e.serveRest(r, path)
+		e.serveOther(r, path)
 	}
 }
 
 func (e *Engine) serveCompletion(r *fasthttp.RequestCtx, chat bool) {
 	id := string(r.Request.Header.Peek(headerID))
-	if !e.cfg.Uncounted {
+	if !e.cfg.WithoutCounts {
 		e.mu.Lock()
 		e.counts.Dispatches[id]++
 		e.mu.Unlock()
 	}
-	if _, ok := e.faults.Strike(fault.ReadClose); ok {
-		wire.Hangup(r)
+	if _, ok := e.faults.Trigger(fault.ReadClose); ok {
+		wire.CloseConnection(r)
 		return
 	}
 	for _, name := range []fault.Name{fault.Draining, fault.NotRun} {
-		if _, ok := e.faults.Strike(name); ok {
-			NotRun(r, name)
+		if _, ok := e.faults.Trigger(name); ok {
+			WriteNotRun(r, name)
 			return
 		}
 	}
-	if e.faults.Dies(r.PostBody()) {
+	if e.faults.TriggerDieOnText(r.PostBody()) {
 		// It ends with all that it runs, so the error has no reader.
 		_ = e.Fault(fault.Fault{Name: fault.Die})
-		wire.Hangup(r)
+		wire.CloseConnection(r)
 		return
 	}
 	var c completion
@@ -91,16 +91,16 @@
 	s := newStream(id, chat, &c)
 	e.submit(s)
 	if c.Stream {
-		e.answer(r, s, 0)
+		e.streamAnswer(r, s, 0)
 		return
 	}
 	e.answerWhole(r, s)
 }
 
-// NotRun writes the refusal of a target that is leaving, or will not run the request.
-func NotRun(r *fasthttp.RequestCtx, why fault.Name) {
+// WriteNotRun writes the refusal of a target that is leaving, or will not run the request.
+func WriteNotRun(r *fasthttp.RequestCtx, name fault.Name) {
 	code := "not_run"
-	if why == fault.Draining {
+	if name == fault.Draining {
 		code = "draining"
 	}
 	r.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -137,23 +137,23 @@
 		r.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	e.answer(r, s, offset)
+	e.streamAnswer(r, s, offset)
 }
 
 // resumable returns a kept stream, or nil.
 func (e *Engine) resumable(id string) *stream {
-	_, forgot := e.faults.Strike(fault.Forget)
+	_, dropped := e.faults.Trigger(fault.Forget)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.streams[id]
-	if s == nil || s.cancelled || forgot {
+	if s == nil || s.cancelled || dropped {
 		return nil
 	}
 	e.counts.Resumes++
 	return s
 }
 
-func (e *Engine) serveRest(r *fasthttp.RequestCtx, path string) {
+func (e *Engine) serveOther(r *fasthttp.RequestCtx, path string) {
 	switch path {
 	case "/load":
 		answer.JSON(r, e.loadReport())
@@ -171,10 +171,10 @@
 }
 
 func (e *Engine) loadReport() Load {
-	_, draining := e.faults.Strike(fault.Draining)
+	_, draining := e.faults.Trigger(fault.Draining)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.load.at(e.clock.Now().Add(-e.cfg.Lag))
+	l := e.loadHistory.at(e.clock.Now().Add(-e.cfg.Lag))
 	l.Batch = e.cfg.Batch
 	l.Draining = draining
 	return l
@@ -186,7 +186,7 @@
 		after = 0
 	}
 	e.mu.Lock()
-	events := e.cache.after(after, e.clock.Now().Add(-e.cfg.Lag))
+	events := e.cache.eventsAfter(after, e.clock.Now().Add(-e.cfg.Lag))
 	e.mu.Unlock()
 	answer.JSON(r, struct {
 		Events []cacheEvent `json:"events"`
--- a/internal/fake/engine/load.go
+++ b/internal/fake/engine/load.go
@@ -12,8 +12,8 @@
 	Draining bool  `json:"draining"`
 }
 
-// history holds the loads of the last while, so that reports can lag.
-type history struct {
+// loadSamples holds the loads of the last while, so that reports can lag.
+type loadSamples struct {
 	samples []sample
 }
 
@@ -23,21 +23,21 @@
 }
 
 // add appends a load and drops those that no report needs any more.
-func (h *history) add(now time.Time, l Load, lag time.Duration) {
-	if n := len(h.samples); n > 0 && now.Sub(h.samples[n-1].at) < tick {
+func (h *loadSamples) add(now time.Time, l Load, lag time.Duration) {
+	if n := len(h.samples); n > 0 && now.Sub(h.samples[n-1].at) < stepInterval {
 		h.samples[n-1].load = l
 		return
 	}
 	h.samples = append(h.samples, sample{now, l})
-	old := 0
-	for old+1 < len(h.samples) && !h.samples[old+1].at.After(now.Add(-lag)) {
-		old++
+	obsolete := 0
+	for obsolete+1 < len(h.samples) && !h.samples[obsolete+1].at.After(now.Add(-lag)) {
+		obsolete++
 	}
-	h.samples = append(h.samples[:0], h.samples[old:]...)
+	h.samples = append(h.samples[:0], h.samples[obsolete:]...)
 }
 
 // at is the load as it was at a time.
-func (h *history) at(t time.Time) Load {
+func (h *loadSamples) at(t time.Time) Load {
 	var l Load
 	for _, s := range h.samples {
 		if s.at.After(t) {
--- a/internal/fake/engine/orders.go
+++ b/internal/fake/engine/orders.go
@@ -10,8 +10,8 @@
 	"github.com/fireflypath/fireflypath/internal/fake/answer"
 )
 
-// refusedOrder is the answer to an order with an old fencing number.
-type refusedOrder struct {
+// staleOrder is the answer to an order with an old fencing number.
+type staleOrder struct {
 	Fence uint64 `json:"fence"`
 }
 
@@ -23,19 +23,19 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	old := o.Fence < e.fence
-	if old && !e.cfg.Unfenced {
-		answer.JSON(r, refusedOrder{e.fence})
+	stale := o.Fence < e.highestFence
+	if stale && !e.cfg.IgnoreFences {
+		answer.JSON(r, staleOrder{e.highestFence})
 		r.SetStatusCode(fasthttp.StatusConflict)
 		return
 	}
-	e.fence = max(e.fence, o.Fence)
-	if e.orders[o.ID] {
+	e.highestFence = max(e.highestFence, o.Fence)
+	if e.executedOrders[o.ID] {
 		return
 	}
-	e.orders[o.ID] = true
+	e.executedOrders[o.ID] = true
 	e.counts.Orders = append(e.counts.Orders, o)
-	if old {
+	if stale {
 		e.counts.Stale++
 	}
 }
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -26,28 +26,28 @@
 	prefilled int
 	emitted   int
 	credit    float64
-	// read is true once somebody was sent the whole answer.
-	read      bool
+	// delivered is true once somebody was sent the whole answer.
+	delivered bool
 	cancelled bool
 	changed   chan struct{} // nil while nobody waits
 }
 
-// todo is the part of the prompt still to be read.
-func (s *stream) todo() int {
+// remainingPrompt is the part of the prompt still to be read.
+func (s *stream) remainingPrompt() int {
 	return s.prompt - s.cached - s.prefilled
 }
 
-func (s *stream) left() int {
-	return s.todo() + s.output - s.emitted
+func (s *stream) remainingTokens() int {
+	return s.remainingPrompt() + s.output - s.emitted
 }
 
 func (s *stream) finished() bool {
-	return s.todo() == 0 && s.emitted == s.output
+	return s.remainingPrompt() == 0 && s.emitted == s.output
 }
 
 // decode generates dt's tokens; a rate of 0 generates all.
 func (s *stream) decode(rate float64, dt time.Duration) {
-	before := s.emitted
+	previous := s.emitted
 	if rate == 0 {
 		s.emitted = s.output
 	} else {
@@ -56,49 +56,49 @@
 		s.credit -= float64(n)
 		s.emitted += n
 	}
-	if s.emitted > before || s.finished() {
-		s.tell()
+	if s.emitted > previous || s.finished() {
+		s.notify()
 	}
 }
 
-// tell wakes those who wait for the stream.
-func (s *stream) tell() {
+// notify wakes those who wait for the stream.
+func (s *stream) notify() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-// wait returns a channel that is closed at the next change.
-func (s *stream) wait() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change.
+func (s *stream) nextChange() <-chan struct{} {
 	if s.changed == nil {
 		s.changed = make(chan struct{})
 	}
 	return s.changed
 }
 
-// reader is the body of an answer: events from an offset on, as they come.
-type reader struct {
-	e  *Engine
-	s  *stream
-	id string // the id that the events carry
-	at int    // events sent so far, those before the offset among them
-	// end is the event after which a fault strikes; 0 if none does.
-	end int
-	cut error
-	buf []byte
+// eventReader is the body of an answer: events from an offset on, as they come.
+type eventReader struct {
+	engine *Engine
+	stream *stream
+	id     string // the id that the events carry
+	sent   int    // events sent so far, those before the offset among them
+	// cutAfter is the event after which a fault strikes; 0 if none does.
+	cutAfter int
+	cutErr   error
+	buf      []byte
 }
 
-// buffers spare a kilobyte of garbage for each answer.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
+// bufferPool spare a kilobyte of garbage for each answer.
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
 // Read waits for events and returns as many as have come.
-func (r *reader) Read(p []byte) (int, error) {
+func (r *eventReader) Read(p []byte) (int, error) {
 	for len(r.buf) == 0 {
-		if r.end > 0 && r.at >= r.end {
-			return 0, r.cut
+		if r.cutAfter > 0 && r.sent >= r.cutAfter {
+			return 0, r.cutErr
 		}
-		if r.at > r.s.output {
+		if r.sent > r.stream.output {
 			return 0, io.EOF
 		}
 		if err := r.fill(); err != nil {
@@ -111,48 +111,48 @@
 }
 
 // Close gives the buffer back.
-func (r *reader) Close() error {
+func (r *eventReader) Close() error {
 	b := r.buf[:0]
 	r.buf = nil
-	buffers.Put(&b)
+	bufferPool.Put(&b)
 	return nil
 }
 
 // fill waits until there is an event to send and writes what there is.
-func (r *reader) fill() error {
-	emitted, err := r.ready()
+func (r *eventReader) fill() error {
+	emitted, err := r.waitForEvents()
 	if err != nil {
 		return err
 	}
-	if r.end > 0 {
-		emitted = min(emitted, r.end)
+	if r.cutAfter > 0 {
+		emitted = min(emitted, r.cutAfter)
 	}
-	for r.at < min(emitted, r.s.output) {
-		r.at++
-		r.event(r.at)
+	for r.sent < min(emitted, r.stream.output) {
+		r.sent++
+		r.appendEvent(r.sent)
 	}
-	if r.at == r.s.output && emitted > r.s.output {
-		r.at++
-		r.buf = appendDone(r.buf, r.at)
-		r.e.delivered(r.s)
+	if r.sent == r.stream.output && emitted > r.stream.output {
+		r.sent++
+		r.buf = appendDone(r.buf, r.sent)
+		r.engine.markDelivered(r.stream)
 	}
 	return nil
 }
 
-// ready returns how many events there are, the end mark among them.
-func (r *reader) ready() (int, error) {
+// waitForEvents returns how many events there are, the end mark among them.
+func (r *eventReader) waitForEvents() (int, error) {
 	for {
-		n, changed, err := r.e.events(r.s, r.at)
-		if err != nil || n > r.at {
+		n, changed, err := r.engine.countEvents(r.stream, r.sent)
+		if err != nil || n > r.sent {
 			return n, err
 		}
 		<-changed
 	}
 }
 
-// events counts the events of a stream, or returns a channel to wait on if
+// countEvents counts the events of a stream, or returns a channel to wait on if
 // there are none after the offset.
-func (e *Engine) events(s *stream, after int) (int, <-chan struct{}, error) {
+func (e *Engine) countEvents(s *stream, after int) (int, <-chan struct{}, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.cancelled || e.closed {
@@ -165,34 +165,34 @@
 	if n > after {
 		return n, nil, nil
 	}
-	return n, s.wait(), nil
+	return n, s.nextChange(), nil
 }
 
-func (e *Engine) delivered(s *stream) {
+func (e *Engine) markDelivered(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s.read = true
-	if e.cfg.Uncounted {
+	s.delivered = true
+	if e.cfg.WithoutCounts {
 		delete(e.streams, s.id)
 	}
 }
 
-// event appends token n as a server-sent event.
-func (r *reader) event(n int) {
+// appendEvent appends token n as a server-sent event.
+func (r *eventReader) appendEvent(n int) {
 	b := append(r.buf, "id: "...)
 	b = strconv.AppendInt(b, int64(n), 10)
 	b = append(b, "\ndata: {\"id\":\""...)
 	b = append(b, r.id...)
-	if r.s.chat {
+	if r.stream.chat {
 		b = append(b, `","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":"`...)
-		b = appendToken(b, r.s.seed, n)
+		b = appendToken(b, r.stream.seed, n)
 		b = append(b, `"}`...)
 	} else {
 		b = append(b, `","object":"text_completion","choices":[{"index":0,"text":"`...)
-		b = appendToken(b, r.s.seed, n)
+		b = appendToken(b, r.stream.seed, n)
 		b = append(b, '"')
 	}
-	if n == r.s.output {
+	if n == r.stream.output {
 		b = append(b, `,"finish_reason":"length"`...)
 	}
 	r.buf = append(b, "}]}\n\n"...)
--- a/internal/fake/fault/fault.go
+++ b/internal/fake/fault/fault.go
@@ -20,16 +20,16 @@
 	Clear Name = "clear"
 	// Die closes the listener and all connections for good.
 	Die Name = "die"
-	// Deadly dies of each request whose body holds Text, when it would begin to run it.
-	Deadly Name = "deadly"
+	// DieOnText dies of each request whose body holds Text, when it would begin to run it.
+	DieOnText Name = "deadly"
 	// Refuse closes the listener until it is taken back; open connections stay.
 	Refuse Name = "refuse"
 	// ReadClose reads a request and closes its connection without an answer.
 	ReadClose Name = "read-close"
 	// Silent stops all traffic on the connections open now, for good.
 	Silent Name = "silent"
-	// Crossed gives answers another request's id.
-	Crossed Name = "crossed"
+	// WrongID gives answers another request's id.
+	WrongID Name = "crossed"
 	// Truncate ends an answer cleanly after After events, without its end mark.
 	Truncate Name = "truncate"
 	// Break closes an answer's connection after After events.
@@ -44,12 +44,12 @@
 	NotRun Name = "not-run"
 	// Outage refuses each call to the platform.
 	Outage Name = "outage"
-	// Lost lets a write take effect and closes its connection without an answer.
-	Lost Name = "lost"
-	// Snapshot remembers the platform's data for Older.
-	Snapshot Name = "snapshot"
-	// Older brings the platform's data back to the snapshot.
-	Older Name = "older"
+	// LoseAnswer lets a write take effect and closes its connection without an answer.
+	LoseAnswer Name = "lost"
+	// TakeSnapshot remembers the platform's data for Older.
+	TakeSnapshot Name = "snapshot"
+	// RestoreSnapshot brings the platform's data back to the snapshot.
+	RestoreSnapshot Name = "older"
 )
 
 // Fault is a fault to show.
@@ -69,8 +69,8 @@
 	Delay fireflypath.Duration `json:"delay,omitempty"`
 }
 
-// ErrName means that a stand-in does not know a fault's name.
-var ErrName = errors.New("stand-in does not know the fault")
+// ErrUnknownName means that a stand-in does not know a fault's name.
+var ErrUnknownName = errors.New("stand-in does not know the fault")
 
 // Set holds the faults in force. The zero value holds none.
 type Set struct {
@@ -95,26 +95,26 @@
 	}
 }
 
-// Strike reports whether a fault is in force and uses up one of its count.
-func (s *Set) Strike(name Name) (Fault, bool) {
+// Trigger reports whether a fault is in force and uses up one of its count.
+func (s *Set) Trigger(name Name) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.faults[name]
 	if !ok || f.Count == 0 {
 		return f, ok
 	}
-	left := f
-	left.Count--
-	s.faults[name] = left
-	if left.Count == 0 {
+	remaining := f
+	remaining.Count--
+	s.faults[name] = remaining
+	if remaining.Count == 0 {
 		delete(s.faults, name)
 	}
 	return f, true
 }
 
-// Dies is true if a body is deadly.
-func (s *Set) Dies(body []byte) bool {
-	f, ok := s.Strike(Deadly)
+// TriggerDieOnText is true if a body is deadly.
+func (s *Set) TriggerDieOnText(body []byte) bool {
+	f, ok := s.Trigger(DieOnText)
 	return ok && bytes.Contains(body, []byte(f.Text))
 }
 
--- a/internal/fake/platform/http.go
+++ b/internal/fake/platform/http.go
@@ -32,7 +32,7 @@
 		Handler:               f.handle,
 		MaxRequestBodySize:    maxBody,
 		NoDefaultServerHeader: true,
-		Logger:                wire.NoLog{},
+		Logger:                wire.DiscardLogger{},
 	}
 	go func() {
 		defer close(f.served)
@@ -72,17 +72,17 @@
 	case isLease:
 		err = f.serveLease(r, lease)
 	default:
-		err = f.serveRest(r, path)
+		err = f.serveOther(r, path)
 	}
 	if err != nil {
-		fail(r, err)
+		writeError(r, err)
 	}
 }
 
-// fail turns an error into a status, or into no answer at all.
-func fail(r *fasthttp.RequestCtx, err error) {
+// writeError turns an error into a status, or into no answer at all.
+func writeError(r *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fireflypath.ErrUnknown) {
-		wire.Hangup(r)
+		wire.CloseConnection(r)
 		return
 	}
 	statuses := []struct {
@@ -94,7 +94,7 @@
 		{fireflypath.ErrLeaseExpired, fasthttp.StatusGone},
 		{fireflypath.ErrLimited, fasthttp.StatusTooManyRequests},
 		{fireflypath.ErrUnavailable, fasthttp.StatusServiceUnavailable},
-		{errTooLarge, fasthttp.StatusRequestEntityTooLarge},
+		{errValueTooLarge, fasthttp.StatusRequestEntityTooLarge},
 	}
 	for _, s := range statuses {
 		if errors.Is(err, s.err) {
@@ -106,7 +106,7 @@
 }
 
 func (f *Fake) serveKey(r *fasthttp.RequestCtx, key string) error {
-	revision, err := number(r, "revision", fireflypath.AnyRevision)
+	revision, err := uintArg(r, "revision", fireflypath.AnyRevision)
 	if err != nil {
 		return err
 	}
@@ -119,15 +119,15 @@
 		r.Response.Header.Set("Revision", strconv.FormatUint(e.Revision, 10))
 		r.SetBody(e.Value)
 	case r.IsPut():
-		lease, err := number(r, "lease", 0)
+		lease, err := uintArg(r, "lease", 0)
 		if err != nil {
 			return err
 		}
-		got, err := f.Store().Put(r, key, r.PostBody(), revision, fireflypath.LeaseID(lease))
+		written, err := f.Store().Put(r, key, r.PostBody(), revision, fireflypath.LeaseID(lease))
 		if err != nil {
 			return err
 		}
-		r.Response.Header.Set("Revision", strconv.FormatUint(got, 10))
+		r.Response.Header.Set("Revision", strconv.FormatUint(written, 10))
 	case r.IsDelete():
 		return f.Store().Delete(r, key, revision)
 	default:
@@ -156,55 +156,55 @@
 	return err
 }
 
-func (f *Fake) serveRest(r *fasthttp.RequestCtx, path string) error {
+func (f *Fake) serveOther(r *fasthttp.RequestCtx, path string) error {
 	switch path {
 	case "/kv":
-		found, err := f.Store().List(r, string(r.QueryArgs().Peek("prefix")))
-		return reply(r, found, err)
+		entries, err := f.Store().List(r, string(r.QueryArgs().Peek("prefix")))
+		return writeJSON(r, entries, err)
 	case "/watch":
 		return f.serveWatch(r)
 	case "/leases":
-		ttl, err := duration(r, "ttl")
+		ttl, err := durationArg(r, "ttl")
 		if err != nil {
 			return err
 		}
 		id, err := f.Store().Grant(r, ttl)
-		return reply(r, struct {
+		return writeJSON(r, struct {
 			ID fireflypath.LeaseID `json:"id"`
 		}{id}, err)
 	case "/hosts":
 		hosts, err := f.HostList().Hosts(r)
-		return reply(r, hosts, err)
+		return writeJSON(r, hosts, err)
 	case "/counts":
-		return reply(r, f.Counts(), nil)
+		return writeJSON(r, f.Counts(), nil)
 	case "/fault":
-		x, err := fault.Parse(r.PostBody())
+		flt, err := fault.Parse(r.PostBody())
 		if err != nil {
 			return err
 		}
-		return f.Fault(x)
+		return f.Fault(flt)
 	}
 	r.Error("no such path", fasthttp.StatusNotFound)
 	return nil
 }
 
 func (f *Fake) serveWatch(r *fasthttp.RequestCtx) error {
-	after, err := number(r, "after", 0)
+	after, err := uintArg(r, "after", 0)
 	if err != nil {
 		return err
 	}
-	wait, err := duration(r, "wait")
+	wait, err := durationArg(r, "wait")
 	if err != nil {
 		return err
 	}
-	found, err := f.Store().Watch(f.ctx, string(r.QueryArgs().Peek("prefix")), after, wait)
-	if found == nil {
-		found = []fireflypath.Entry{}
+	entries, err := f.Store().Watch(f.ctx, string(r.QueryArgs().Peek("prefix")), after, wait)
+	if entries == nil {
+		entries = []fireflypath.Entry{}
 	}
-	return reply(r, found, err)
+	return writeJSON(r, entries, err)
 }
 
-func reply(r *fasthttp.RequestCtx, v any, err error) error {
+func writeJSON(r *fasthttp.RequestCtx, v any, err error) error {
 	if err != nil {
 		return err
 	}
@@ -212,16 +212,16 @@
 	return json.NewEncoder(r).Encode(v)
 }
 
-func number(r *fasthttp.RequestCtx, name string, absent uint64) (uint64, error) {
+func uintArg(r *fasthttp.RequestCtx, name string, defaultValue uint64) (uint64, error) {
 	text := r.QueryArgs().Peek(name)
 	if text == nil {
-		return absent, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.ParseUint(string(text), 10, 64)
 	return n, errors.Wrapf(err, "parse %s", name)
 }
 
-func duration(r *fasthttp.RequestCtx, name string) (time.Duration, error) {
+func durationArg(r *fasthttp.RequestCtx, name string) (time.Duration, error) {
 	d, err := time.ParseDuration(string(r.QueryArgs().Peek(name)))
 	return d, errors.Wrapf(err, "parse %s", name)
 }
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -66,7 +66,7 @@
 }
 
 type hostList struct {
-	since time.Time
+	setAt time.Time
 	hosts []fireflypath.Host
 }
 
@@ -81,19 +81,19 @@
 
 // Store is the service without HTTP between.
 func (f *Fake) Store() fireflypath.Store {
-	return &store{f: f}
+	return &store{fake: f}
 }
 
 // HostList is the list of hosts without HTTP between.
 func (f *Fake) HostList() fireflypath.Hosts {
-	return &store{f: f}
+	return &store{fake: f}
 }
 
 // SetHosts changes the list; readers see it after the lag.
 func (f *Fake) SetHosts(hosts ...fireflypath.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts = append(f.hosts, hostList{since: f.clock.Now(), hosts: hosts})
+	f.hosts = append(f.hosts, hostList{setAt: f.clock.Now(), hosts: hosts})
 }
 
 // Counts reads the calls taken so far.
@@ -104,52 +104,52 @@
 }
 
 // Fault shows a fault: outage, slow, lost, snapshot, older, silent, refuse, die or clear.
-func (f *Fake) Fault(x fault.Fault) error {
-	switch x.Name {
-	case fault.Snapshot:
+func (f *Fake) Fault(flt fault.Fault) error {
+	switch flt.Name {
+	case fault.TakeSnapshot:
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.snapshot = f.state.clone()
-	case fault.Older:
-		return f.restore()
+	case fault.RestoreSnapshot:
+		return f.restoreSnapshot()
 	case fault.Silent, fault.Refuse, fault.Die:
-		return f.network(x)
+		return f.applyNetworkFault(flt)
 	case fault.Clear:
-		f.faults.Apply(x)
+		f.faults.Apply(flt)
 		if f.ln != nil {
 			return f.ln.Resume()
 		}
-	case fault.Outage, fault.Slow, fault.Lost:
-		f.faults.Apply(x)
+	case fault.Outage, fault.Slow, fault.LoseAnswer:
+		f.faults.Apply(flt)
 	default:
-		return errors.Wrapf(fault.ErrName, "%q", x.Name)
+		return errors.Wrapf(fault.ErrUnknownName, "%q", flt.Name)
 	}
 	return nil
 }
 
-func (f *Fake) restore() error {
+func (f *Fake) restoreSnapshot() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.snapshot == nil {
 		return errors.New("no snapshot was taken")
 	}
-	last := f.state.lastLease
+	lastLease := f.state.lastLease
 	f.state = f.snapshot.clone()
-	f.state.lastLease = last
-	f.wake()
+	f.state.lastLease = lastLease
+	f.notifyWatchers()
 	return nil
 }
 
-func (f *Fake) network(x fault.Fault) error {
+func (f *Fake) applyNetworkFault(flt fault.Fault) error {
 	if f.ln == nil {
 		return errors.New("stand-in does not listen")
 	}
 	switch {
-	case x.Name == fault.Silent:
+	case flt.Name == fault.Silent:
 		f.ln.Silence()
-	case x.Name == fault.Die:
+	case flt.Name == fault.Die:
 		return f.ln.Close()
-	case x.Off:
+	case flt.Off:
 		return f.ln.Resume()
 	default:
 		f.ln.Refuse()
@@ -157,8 +157,8 @@
 	return nil
 }
 
-// wake tells the waiting watches that something changed; f.mu is held.
-func (f *Fake) wake() {
+// notifyWatchers tells the waiting watches that something changed; f.mu is held.
+func (f *Fake) notifyWatchers() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
@@ -168,28 +168,28 @@
 	f.mu.Lock()
 	count(&f.counts)
 	f.mu.Unlock()
-	if x, ok := f.faults.Strike(fault.Slow); ok {
-		if err := f.pause(ctx, x.Delay.Std()); err != nil {
+	if flt, ok := f.faults.Trigger(fault.Slow); ok {
+		if err := f.delay(ctx, flt.Delay.Std()); err != nil {
 			return err
 		}
 	}
-	if _, ok := f.faults.Strike(fault.Outage); ok {
-		return f.refused(fireflypath.ErrUnavailable)
+	if _, ok := f.faults.Trigger(fault.Outage); ok {
+		return f.countRefusal(fireflypath.ErrUnavailable)
 	}
 	if f.limiter != nil && !f.limiter.AllowN(f.clock.Now(), 1) {
-		return f.refused(fireflypath.ErrLimited)
+		return f.countRefusal(fireflypath.ErrLimited)
 	}
 	return nil
 }
 
-func (f *Fake) refused(err error) error {
+func (f *Fake) countRefusal(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts.Refused++
 	return err
 }
 
-func (f *Fake) pause(ctx context.Context, d time.Duration) error {
+func (f *Fake) delay(ctx context.Context, d time.Duration) error {
 	t := f.clock.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -200,9 +200,9 @@
 	}
 }
 
-// lapse removes the leases that have run out; f.mu is held.
-func (f *Fake) lapse() {
-	if f.state.lapse(f.clock.Now()) {
-		f.wake()
+// expireLeases removes the leases that have run out; f.mu is held.
+func (f *Fake) expireLeases() {
+	if f.state.expireLeases(f.clock.Now()) {
+		f.notifyWatchers()
 	}
 }
--- a/internal/fake/platform/state.go
+++ b/internal/fake/platform/state.go
@@ -17,9 +17,9 @@
 type state struct {
 	revision uint64
 	keys     map[string]value
-	// removed maps a removed key to the revision of its removal.
-	removed map[string]uint64
-	leases  map[fireflypath.LeaseID]lease
+	// tombstones maps a removed key to the revision of its removal.
+	tombstones map[string]uint64
+	leases     map[fireflypath.LeaseID]lease
 	// lastLease is kept over a restore: lease ids are never used twice.
 	lastLease fireflypath.LeaseID
 }
@@ -31,15 +31,15 @@
 }
 
 type lease struct {
-	ttl time.Duration
-	end time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 func newState() *state {
 	return &state{
-		keys:    make(map[string]value),
-		removed: make(map[string]uint64),
-		leases:  make(map[fireflypath.LeaseID]lease),
+		keys:       make(map[string]value),
+		tombstones: make(map[string]uint64),
+		leases:     make(map[fireflypath.LeaseID]lease),
 	}
 }
 
@@ -47,7 +47,7 @@
 func (s *state) clone() *state {
 	c := *s
 	c.keys = maps.Clone(s.keys)
-	c.removed = maps.Clone(s.removed)
+	c.tombstones = maps.Clone(s.tombstones)
 	c.leases = maps.Clone(s.leases)
 	return &c
 }
@@ -69,7 +69,7 @@
 	}
 	s.revision++
 	s.keys[key] = value{data: slices.Clone(data), revision: s.revision, lease: id}
-	delete(s.removed, key)
+	delete(s.tombstones, key)
 	return s.revision, nil
 }
 
@@ -81,30 +81,30 @@
 	if revision != fireflypath.AnyRevision && v.revision != revision {
 		return fireflypath.ErrConflict
 	}
-	s.drop(key)
+	s.deleteKey(key)
 	return nil
 }
 
-func (s *state) drop(key string) {
+func (s *state) deleteKey(key string) {
 	s.revision++
 	delete(s.keys, key)
-	if len(s.removed) >= maxTombstones {
-		clear(s.removed)
+	if len(s.tombstones) >= maxTombstones {
+		clear(s.tombstones)
 	}
-	s.removed[key] = s.revision
+	s.tombstones[key] = s.revision
 }
 
 // list returns the keys with a prefix that changed above a revision, in order
 // of the key; removed keys are among them if removed is true.
-func (s *state) list(prefix string, above uint64, removed bool) []fireflypath.Entry {
+func (s *state) list(prefix string, after uint64, withDeleted bool) []fireflypath.Entry {
 	out := []fireflypath.Entry{}
 	for k, v := range s.keys {
-		if strings.HasPrefix(k, prefix) && v.revision > above {
+		if strings.HasPrefix(k, prefix) && v.revision > after {
 			out = append(out, fireflypath.Entry{Key: k, Value: slices.Clone(v.data), Revision: v.revision})
 		}
 	}
-	for k, r := range s.removed {
-		if removed && strings.HasPrefix(k, prefix) && r > above {
+	for k, r := range s.tombstones {
+		if withDeleted && strings.HasPrefix(k, prefix) && r > after {
 			out = append(out, fireflypath.Entry{Key: k, Revision: r, Deleted: true})
 		}
 	}
@@ -112,23 +112,23 @@
 	return out
 }
 
-// lapse drops what leases that ended held and reports whether there was any.
-func (s *state) lapse(now time.Time) bool {
-	ended := false
+// expireLeases drops what leases that ended held and reports whether there was any.
+func (s *state) expireLeases(now time.Time) bool {
+	expired := false
 	for id, l := range s.leases {
-		if !now.Before(l.end) {
+		if !now.Before(l.expiresAt) {
 			s.revoke(id)
-			ended = true
+			expired = true
 		}
 	}
-	return ended
+	return expired
 }
 
 func (s *state) revoke(id fireflypath.LeaseID) {
 	delete(s.leases, id)
 	for k, v := range s.keys {
 		if v.lease == id {
-			s.drop(k)
+			s.deleteKey(k)
 		}
 	}
 }
--- a/internal/fake/platform/store.go
+++ b/internal/fake/platform/store.go
@@ -11,96 +11,96 @@
 	"github.com/fireflypath/fireflypath/internal/fake/fault"
 )
 
-// errTooLarge is a value above fireflypath.MaxValue.
-var errTooLarge = errors.New("value is larger than the service takes")
+// errValueTooLarge is a value above fireflypath.MaxValue.
+var errValueTooLarge = errors.New("value is larger than the service takes")
 
 // store implements fireflypath.Store and fireflypath.Hosts on a Fake.
 type store struct {
-	f *Fake
+	fake *Fake
 }
 
 func (s *store) Get(ctx context.Context, key string) (fireflypath.Entry, error) {
-	if err := s.f.admit(ctx, func(c *Counts) { c.Get++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.Get++ }); err != nil {
 		return fireflypath.Entry{}, err
 	}
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	s.f.lapse()
-	return s.f.state.get(key)
+	s.fake.mu.Lock()
+	defer s.fake.mu.Unlock()
+	s.fake.expireLeases()
+	return s.fake.state.get(key)
 }
 
 func (s *store) Put(
 	ctx context.Context, key string, value []byte, revision uint64, lease fireflypath.LeaseID,
 ) (uint64, error) {
-	if err := s.f.admit(ctx, func(c *Counts) { c.Put++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.Put++ }); err != nil {
 		return 0, err
 	}
 	if len(value) > fireflypath.MaxValue {
-		return 0, errors.Wrapf(errTooLarge, "%d bytes for %s", len(value), key)
+		return 0, errors.Wrapf(errValueTooLarge, "%d bytes for %s", len(value), key)
 	}
-	var got uint64
+	var written uint64
 	err := s.write(func(st *state) (err error) {
-		got, err = st.put(key, value, revision, lease)
+		written, err = st.put(key, value, revision, lease)
 		return err
 	})
 	if err != nil {
 		return 0, err
 	}
-	return got, s.lost()
+	return written, s.answerError()
 }
 
 func (s *store) Delete(ctx context.Context, key string, revision uint64) error {
-	if err := s.f.admit(ctx, func(c *Counts) { c.Delete++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.Delete++ }); err != nil {
 		return err
 	}
 	if err := s.write(func(st *state) error { return st.delete(key, revision) }); err != nil {
 		return err
 	}
-	return s.lost()
+	return s.answerError()
 }
 
 // write changes the state and wakes the watches if it did.
 func (s *store) write(change func(*state) error) error {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	s.f.lapse()
-	if err := change(s.f.state); err != nil {
+	s.fake.mu.Lock()
+	defer s.fake.mu.Unlock()
+	s.fake.expireLeases()
+	if err := change(s.fake.state); err != nil {
 		return err
 	}
-	s.f.wake()
+	s.fake.notifyWatchers()
 	return nil
 }
 
-// lost turns the answer of a write that took effect into none.
-func (s *store) lost() error {
-	if _, ok := s.f.faults.Strike(fault.Lost); ok {
+// answerError turns the answer of a write that took effect into none.
+func (s *store) answerError() error {
+	if _, ok := s.fake.faults.Trigger(fault.LoseAnswer); ok {
 		return fireflypath.ErrUnknown
 	}
 	return nil
 }
 
 func (s *store) List(ctx context.Context, prefix string) ([]fireflypath.Entry, error) {
-	if err := s.f.admit(ctx, func(c *Counts) { c.List++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.List++ }); err != nil {
 		return nil, err
 	}
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	s.f.lapse()
-	return s.f.state.list(prefix, 0, false), nil
+	s.fake.mu.Lock()
+	defer s.fake.mu.Unlock()
+	s.fake.expireLeases()
+	return s.fake.state.list(prefix, 0, false), nil
 }
 
 func (s *store) Watch(
 	ctx context.Context, prefix string, after uint64, wait time.Duration,
 ) ([]fireflypath.Entry, error) {
-	if err := s.f.admit(ctx, func(c *Counts) { c.Watch++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.Watch++ }); err != nil {
 		return nil, err
 	}
-	t := s.f.clock.NewTimer(wait)
+	t := s.fake.clock.NewTimer(wait)
 	defer t.Stop()
 	for {
-		found, changed := s.above(prefix, after)
-		if len(found) > 0 {
-			return found, nil
+		entries, changed := s.changesAfter(prefix, after)
+		if len(entries) > 0 {
+			return entries, nil
 		}
 		select {
 		case <-changed:
@@ -112,54 +112,54 @@
 	}
 }
 
-func (s *store) above(prefix string, after uint64) ([]fireflypath.Entry, <-chan struct{}) {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	s.f.lapse()
-	return s.f.state.list(prefix, after, true), s.f.changed
+func (s *store) changesAfter(prefix string, after uint64) ([]fireflypath.Entry, <-chan struct{}) {
+	s.fake.mu.Lock()
+	defer s.fake.mu.Unlock()
+	s.fake.expireLeases()
+	return s.fake.state.list(prefix, after, true), s.fake.changed
 }
 
 func (s *store) Grant(ctx context.Context, ttl time.Duration) (fireflypath.LeaseID, error) {
-	if err := s.f.admit(ctx, func(c *Counts) { c.Lease++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.Lease++ }); err != nil {
 		return 0, err
 	}
-	s.f.mu.Lock()
-	s.f.state.lastLease++
-	id := s.f.state.lastLease
-	s.f.mu.Unlock()
+	s.fake.mu.Lock()
+	s.fake.state.lastLease++
+	id := s.fake.state.lastLease
+	s.fake.mu.Unlock()
 	s.extend(id, ttl)
-	return id, s.lost()
+	return id, s.answerError()
 }
 
 func (s *store) Renew(ctx context.Context, id fireflypath.LeaseID) error {
-	if err := s.f.admit(ctx, func(c *Counts) { c.Lease++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.Lease++ }); err != nil {
 		return err
 	}
-	s.f.mu.Lock()
-	s.f.lapse()
-	l, ok := s.f.state.leases[id]
-	s.f.mu.Unlock()
+	s.fake.mu.Lock()
+	s.fake.expireLeases()
+	l, ok := s.fake.state.leases[id]
+	s.fake.mu.Unlock()
 	if !ok {
 		return fireflypath.ErrLeaseExpired
 	}
 	s.extend(id, l.ttl)
-	return s.lost()
+	return s.answerError()
 }
 
 // extend sets a lease's end and a timer that wakes the watches at it.
 func (s *store) extend(id fireflypath.LeaseID, ttl time.Duration) {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	s.f.state.leases[id] = lease{ttl: ttl, end: s.f.clock.Now().Add(ttl)}
-	s.f.clock.AfterFunc(ttl, func() {
-		s.f.mu.Lock()
-		defer s.f.mu.Unlock()
-		s.f.lapse()
+	s.fake.mu.Lock()
+	defer s.fake.mu.Unlock()
+	s.fake.state.leases[id] = lease{ttl: ttl, expiresAt: s.fake.clock.Now().Add(ttl)}
+	s.fake.clock.AfterFunc(ttl, func() {
+		s.fake.mu.Lock()
+		defer s.fake.mu.Unlock()
+		s.fake.expireLeases()
 	})
 }
 
 func (s *store) Revoke(ctx context.Context, id fireflypath.LeaseID) error {
-	if err := s.f.admit(ctx, func(c *Counts) { c.Lease++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.Lease++ }); err != nil {
 		return err
 	}
 	err := s.write(func(st *state) error {
@@ -172,18 +172,18 @@
 	if err != nil {
 		return err
 	}
-	return s.lost()
+	return s.answerError()
 }
 
 func (s *store) Hosts(ctx context.Context) ([]fireflypath.Host, error) {
-	if err := s.f.admit(ctx, func(c *Counts) { c.Hosts++ }); err != nil {
+	if err := s.fake.admit(ctx, func(c *Counts) { c.Hosts++ }); err != nil {
 		return nil, err
 	}
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	seen := s.f.clock.Now().Add(-s.f.cfg.Lag)
-	for _, l := range slices.Backward(s.f.hosts) {
-		if !l.since.After(seen) {
+	s.fake.mu.Lock()
+	defer s.fake.mu.Unlock()
+	visibleAt := s.fake.clock.Now().Add(-s.fake.cfg.Lag)
+	for _, l := range slices.Backward(s.fake.hosts) {
+		if !l.setAt.After(visibleAt) {
 			return slices.Clone(l.hosts), nil
 		}
 	}
--- a/internal/fake/service/service.go
+++ b/internal/fake/service/service.go
@@ -75,7 +75,7 @@
 	}
 	s := &Service{cfg: cfg, clock: clock, ln: ln, served: make(chan struct{})}
 	s.counts = Counts{Dispatches: make(map[string]int), Runs: make(map[string]int), Keys: make(map[string]int)}
-	server := &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, Logger: wire.NoLog{}}
+	server := &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, Logger: wire.DiscardLogger{}}
 	go func() {
 		defer close(s.served)
 		// The only error is the listener's end.
@@ -111,10 +111,10 @@
 	case fault.Clear:
 		s.faults.Apply(f)
 		return s.ln.Resume()
-	case fault.Deadly, fault.ReadClose, fault.Crossed, fault.Break, fault.Slow, fault.Draining, fault.NotRun:
+	case fault.DieOnText, fault.ReadClose, fault.WrongID, fault.Break, fault.Slow, fault.Draining, fault.NotRun:
 		s.faults.Apply(f)
 	default:
-		return errors.Wrapf(fault.ErrName, "%q", f.Name)
+		return errors.Wrapf(fault.ErrUnknownName, "%q", f.Name)
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 }
 
 func (s *Service) serveLoad(r *fasthttp.RequestCtx) {
-	_, draining := s.faults.Strike(fault.Draining)
+	_, draining := s.faults.Trigger(fault.Draining)
 	n := s.running.Load()
 	answer.JSON(r, engine.Load{
 		At: s.clock.Now().UnixMilli(), Running: int(n), Tokens: int(n), Batch: s.cfg.Batch, Draining: draining,
@@ -155,42 +155,42 @@
 	s.running.Add(1)
 	defer s.running.Add(-1)
 	id := string(r.Request.Header.Peek("X-Request-Id"))
-	s.count(s.counts.Dispatches, id)
-	if _, ok := s.faults.Strike(fault.ReadClose); ok {
-		wire.Hangup(r)
+	s.increment(s.counts.Dispatches, id)
+	if _, ok := s.faults.Trigger(fault.ReadClose); ok {
+		wire.CloseConnection(r)
 		return
 	}
 	for _, name := range []fault.Name{fault.Draining, fault.NotRun} {
-		if _, ok := s.faults.Strike(name); ok {
-			engine.NotRun(r, name)
+		if _, ok := s.faults.Trigger(name); ok {
+			engine.WriteNotRun(r, name)
 			return
 		}
 	}
-	if s.faults.Dies(r.PostBody()) {
+	if s.faults.TriggerDieOnText(r.PostBody()) {
 		// It ends with all that it runs, so the error has no reader.
 		_ = s.Fault(fault.Fault{Name: fault.Die})
-		wire.Hangup(r)
+		wire.CloseConnection(r)
 		return
 	}
-	e := s.run(r, id)
+	e := s.execute(r, id)
 	s.delay()
-	if _, ok := s.faults.Strike(fault.Break); ok {
-		wire.Hangup(r)
+	if _, ok := s.faults.Trigger(fault.Break); ok {
+		wire.CloseConnection(r)
 		return
 	}
-	if _, ok := s.faults.Strike(fault.Crossed); ok {
+	if _, ok := s.faults.Trigger(fault.WrongID); ok {
 		id = "other-" + id
 	}
 	r.Response.Header.Set("X-Request-Id", id)
 	answer.JSON(r, e)
 }
 
-// run lets the call take effect.
-func (s *Service) run(r *fasthttp.RequestCtx, id string) Echo {
+// execute lets the call take effect.
+func (s *Service) execute(r *fasthttp.RequestCtx, id string) Echo {
 	key := string(r.Request.Header.Peek("Idempotency-Key"))
-	s.count(s.counts.Runs, id)
+	s.increment(s.counts.Runs, id)
 	if key != "" {
-		s.count(s.counts.Keys, key)
+		s.increment(s.counts.Keys, key)
 	}
 	return Echo{
 		Method: string(r.Method()),
@@ -202,7 +202,7 @@
 	}
 }
 
-func (s *Service) count(m map[string]int, name string) {
+func (s *Service) increment(m map[string]int, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m[name]++
@@ -210,7 +210,7 @@
 
 func (s *Service) delay() {
 	d := s.cfg.Delay
-	if f, ok := s.faults.Strike(fault.Slow); ok {
+	if f, ok := s.faults.Trigger(fault.Slow); ok {
 		d += f.Delay.Std() + time.Duration(float64(d)*max(0, f.Factor-1))
 	}
 	if d > 0 {
--- a/internal/fake/service/service_test.go
+++ b/internal/fake/service/service_test.go
@@ -14,7 +14,7 @@
 	"github.com/fireflypath/fireflypath/internal/fake/service"
 )
 
-func TestCalls(t *testing.T) {
+func TestCallFaults(t *testing.T) {
 	tests := []struct {
 		fault  fault.Name
 		status int // 0: no answer
@@ -23,11 +23,11 @@
 	}{
 		{fault: fault.Clear, status: 200, id: "d.1", runs: 1},
 		{fault: fault.ReadClose},
-		{fault: fault.Deadly},
+		{fault: fault.DieOnText},
 		{fault: fault.Draining, status: 503, id: "d.1"},
 		{fault: fault.NotRun, status: 503, id: "d.1"},
 		{fault: fault.Break, runs: 1},
-		{fault: fault.Crossed, status: 200, id: "other-d.1", runs: 1},
+		{fault: fault.WrongID, status: 200, id: "other-d.1", runs: 1},
 	}
 	for _, tt := range tests {
 		t.Run(string(tt.fault), func(t *testing.T) {
--- a/internal/fake/wire/wire.go
+++ b/internal/fake/wire/wire.go
@@ -15,11 +15,11 @@
 type Listener struct {
 	addr net.Addr
 
-	mu     sync.Mutex
-	inner  net.Listener
-	back   chan struct{} // closed when inner is usable again, or for good
-	closed bool
-	conns  map[*conn]struct{}
+	mu       sync.Mutex
+	listener net.Listener
+	resumed  chan struct{} // closed when inner is usable again, or for good
+	closed   bool
+	conns    map[*conn]struct{}
 }
 
 // Listen opens the address; port 0 takes a free one and keeps it.
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", addr)
 	}
-	return &Listener{addr: ln.Addr(), inner: ln, conns: make(map[*conn]struct{})}, nil
+	return &Listener{addr: ln.Addr(), listener: ln, conns: make(map[*conn]struct{})}, nil
 }
 
 // Addr is the address, also while it refuses.
@@ -39,7 +39,7 @@
 // Accept waits while the listener refuses and fails only after Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		ln, back, closed := l.current()
+		ln, back, closed := l.state()
 		if closed {
 			return nil, net.ErrClosed
 		}
@@ -51,26 +51,26 @@
 		if err == nil {
 			return l.track(c), nil
 		}
-		if l.serving(ln) {
+		if l.isServing(ln) {
 			return nil, err
 		}
 	}
 }
 
-func (l *Listener) current() (net.Listener, chan struct{}, bool) {
+func (l *Listener) state() (net.Listener, chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.inner, l.back, l.closed
+	return l.listener, l.resumed, l.closed
 }
 
-func (l *Listener) serving(ln net.Listener) bool {
+func (l *Listener) isServing(ln net.Listener) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.inner == ln && !l.closed
+	return l.listener == ln && !l.closed
 }
 
 func (l *Listener) track(c net.Conn) net.Conn {
-	t := &conn{Conn: c, owner: l}
+	t := &conn{Conn: c, tracker: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -84,27 +84,27 @@
 func (l *Listener) Refuse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.inner == nil || l.closed {
+	if l.listener == nil || l.closed {
 		return
 	}
-	l.inner.Close()
-	l.inner = nil
-	l.back = make(chan struct{})
+	l.listener.Close()
+	l.listener = nil
+	l.resumed = make(chan struct{})
 }
 
 // Resume takes Refuse back.
 func (l *Listener) Resume() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.inner != nil || l.closed {
+	if l.listener != nil || l.closed {
 		return nil
 	}
 	ln, err := net.Listen("tcp", l.addr.String())
 	if err != nil {
 		return errors.Wrapf(err, "listen again on %s", l.addr)
 	}
-	l.inner = ln
-	close(l.back)
+	l.listener = ln
+	close(l.resumed)
 	return nil
 }
 
@@ -118,8 +118,8 @@
 	}
 }
 
-// Drop closes the connections open now.
-func (l *Listener) Drop() {
+// CloseConnections closes the connections open now.
+func (l *Listener) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -135,21 +135,21 @@
 		return nil
 	}
 	l.closed = true
-	if l.inner != nil {
-		l.inner.Close()
+	if l.listener != nil {
+		l.listener.Close()
 	} else {
-		close(l.back)
+		close(l.resumed)
 	}
 	l.mu.Unlock()
-	l.Drop()
+	l.CloseConnections()
 	return nil
 }
 
 // conn is an accepted connection.
 type conn struct {
 	net.Conn
-	owner  *Listener
-	silent atomic.Bool
+	tracker *Listener
+	silent  atomic.Bool
 }
 
 // Read throws away what arrives on a silent connection.
@@ -176,20 +176,20 @@
 	if c.silent.Load() {
 		return nil
 	}
-	c.owner.mu.Lock()
-	delete(c.owner.conns, c)
-	c.owner.mu.Unlock()
+	c.tracker.mu.Lock()
+	delete(c.tracker.conns, c)
+	c.tracker.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Hangup closes a request's connection without an answer.
-func Hangup(r *fasthttp.RequestCtx) {
+// CloseConnection closes a request's connection without an answer.
+func CloseConnection(r *fasthttp.RequestCtx) {
 	r.HijackSetNoResponse(true)
 	r.Hijack(func(c net.Conn) { c.Close() })
 }
 
-// NoLog drops what a server logs: broken connections are what stand-ins are for.
-type NoLog struct{}
+// DiscardLogger drops what a server logs: broken connections are what stand-ins are for.
+type DiscardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (NoLog) Printf(string, ...any) {}
+func (DiscardLogger) Printf(string, ...any) {}
--- a/internal/platform/client_test.go
+++ b/internal/platform/client_test.go
@@ -134,7 +134,7 @@
 func TestStoreLostResponse(t *testing.T) {
 	testBothStores(t, fake.Config{}, func(is *is.I, f *fake.Fake, s fireflypath.Store, _ *clockwork.FakeClock) {
 		ctx := t.Context()
-		is.NoErr(f.Fault(fault.Fault{Name: fault.Lost, Count: 1}))
+		is.NoErr(f.Fault(fault.Fault{Name: fault.LoseAnswer, Count: 1}))
 		_, err := s.Put(ctx, "k", []byte("v"), 0, 0)
 		is.True(errors.Is(err, fireflypath.ErrUnknown))
 		e, err := s.Get(ctx, "k")
@@ -154,7 +154,7 @@
 		_, err := s.Put(ctx, "k", nil, 0, 0)
 		is.True(errors.Is(err, fireflypath.ErrUnavailable))
 		is.NoErr(f.Fault(fault.Fault{Name: fault.Clear}))
-		is.NoErr(f.Fault(fault.Fault{Name: fault.Snapshot}))
+		is.NoErr(f.Fault(fault.Fault{Name: fault.TakeSnapshot}))
 		for range 4 {
 			_, err = s.Put(ctx, "k", nil, fireflypath.AnyRevision, 0)
 			is.NoErr(err)
@@ -162,7 +162,7 @@
 		_, err = s.Put(ctx, "k", nil, fireflypath.AnyRevision, 0)
 		is.True(errors.Is(err, fireflypath.ErrLimited))
 		clock.Advance(time.Second)
-		is.NoErr(f.Fault(fault.Fault{Name: fault.Older}))
+		is.NoErr(f.Fault(fault.Fault{Name: fault.RestoreSnapshot}))
 		_, err = s.Get(ctx, "k")
 		is.True(errors.Is(err, fireflypath.ErrNotFound))
 	})
