--- a/internal/fake/answer/answer.go
+++ b/internal/fake/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer writes the stand-ins' answers that are alike.
+// Package answer writes the HTTP responses that several fakes share.
 package answer
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/fireflypath/fireflypath/internal/fake/fault"
 )
 
-// JSON answers with a value.
+// JSON responds with the JSON encoding of a value.
 func JSON(r *fasthttp.RequestCtx, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
@@ -20,7 +20,7 @@
 	r.SetBody(body)
 }
 
-// Fault answers POST /fault: apply switches the fault that the body names.
+// Fault handles POST /fault: it passes the fault in the body to apply.
 func Fault(r *fasthttp.RequestCtx, apply func(fault.Fault) error) {
 	f, err := fault.Parse(r.PostBody())
 	if err == nil {
--- a/internal/fake/engine/answer.go
+++ b/internal/fake/engine/answer.go
@@ -11,8 +11,8 @@
 	"github.com/fireflypath/fireflypath/internal/fake/wire"
 )
 
-// ExpectedText is the answer that every engine gives to a prompt, for callers that
-// check that they got their own, and all of it.
+// ExpectedText returns the answer of every engine to a prompt. Callers compare it
+// with what they receive, to detect wrong and incomplete answers.
 func ExpectedText(prompt string, output int) string {
 	seed := xxhash.Sum64String(prompt)
 	var b []byte
@@ -22,7 +22,7 @@
 	return string(b)
 }
 
-// streamAnswer streams events from behind an offset.
+// streamAnswer streams the events after an offset.
 func (e *Engine) streamAnswer(r *fasthttp.RequestCtx, s *stream, offset int) {
 	if _, _, err := e.countEvents(s, -1); err != nil {
 		wire.CloseConnection(r)
@@ -39,7 +39,8 @@
 	if f, ok := e.faults.Trigger(fault.Break); ok {
 		body.cutAfter, body.cutErr = max(1, offset+f.After), errBroken
 	}
-	// The header waits for the first event: only then the cache was looked up.
+	// The response header is written with the first event because the cached tokens
+	// are only known after the cache lookup.
 	if offset <= s.output {
 		if err := body.fill(); err != nil {
 			wire.CloseConnection(r)
@@ -58,7 +59,7 @@
 	return s.cached
 }
 
-// otherID is another stream's id, or one that nobody asked for.
+// otherID returns the id of another stream, or a made-up id if there is none.
 func (e *Engine) otherID(id string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,7 +71,7 @@
 	return "other-" + id
 }
 
-// answerWhole waits for the end and sends one JSON object.
+// answerWhole waits until the answer is complete and sends it as one JSON object.
 func (e *Engine) answerWhole(r *fasthttp.RequestCtx, s *stream) {
 	er := &eventReader{engine: e, stream: s}
 	for er.sent <= s.output {
--- a/internal/fake/engine/batch.go
+++ b/internal/fake/engine/batch.go
@@ -7,10 +7,10 @@
 	"github.com/fireflypath/fireflypath/internal/fake/fault"
 )
 
-// minRetainedStreams is the number of ended streams that can at least be resumed.
+// minRetainedStreams is the minimum number of finished streams that can be resumed.
 const minRetainedStreams = 4096
 
-// run steps the batch while there is work, and waits while there is none.
+// run steps the batch periodically while it has work, and otherwise waits for a request.
 func (e *Engine) run() {
 	t := e.clock.NewTimer(stepInterval)
 	defer t.Stop()
@@ -27,12 +27,13 @@
 	}
 }
 
-// submit takes a request in: it runs now, or waits behind those before it.
+// submit adds a request, which starts at once or waits for a place in the batch.
 func (e *Engine) submit(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if old, ok := e.streams[s.id]; ok {
-		// Run again: what the first run read was for nothing if nobody had it.
+		// The request is run again. The prefill of its first run was wasted if nobody
+		// received the answer.
 		e.dropStream(old)
 	}
 	e.streams[s.id] = s
@@ -53,7 +54,7 @@
 	}
 }
 
-// step brings the batch up to the clock and reports whether work is left.
+// step advances the batch to the current time and reports whether it still has work.
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,7 +68,7 @@
 	return len(e.running) > 0
 }
 
-// advance does dt's work; e.mu is held.
+// advance performs the work of a duration; e.mu must be held.
 func (e *Engine) advance(dt time.Duration) {
 	e.admit()
 	budget := e.cfg.Prefill * dt.Seconds()
@@ -88,7 +89,7 @@
 	e.loadHistory.add(e.clock.Now(), e.report(), e.cfg.Lag)
 }
 
-// admit fills the batch in the order of arrival.
+// admit moves waiting requests to the batch in the order of arrival.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.Batch {
 		s := e.waiting[0]
@@ -112,7 +113,7 @@
 	}
 }
 
-// prefill reads on in a prompt and returns what is left of the budget.
+// prefill processes more of a prompt and returns the budget that is left over.
 func (e *Engine) prefill(s *stream, budget float64) float64 {
 	s.credit += budget
 	n := min(s.remainingPrompt(), int(s.credit))
@@ -134,7 +135,7 @@
 	return left
 }
 
-// retire keeps a finished stream for a while, so that it can be resumed.
+// retire retains a finished stream so that it can be resumed, and drops the oldest ones.
 func (e *Engine) retire(s *stream) {
 	if e.cfg.WithoutCounts && s.delivered {
 		delete(e.streams, s.id)
@@ -152,7 +153,7 @@
 	e.finished = slices.Delete(e.finished, 0, minRetainedStreams)
 }
 
-// dropStream drops a stream; e.mu is held.
+// dropStream removes a stream; e.mu must be held.
 func (e *Engine) dropStream(s *stream) {
 	if !s.delivered && !s.cancelled && !e.cfg.WithoutCounts {
 		e.counts.addWasted(s)
@@ -160,7 +161,7 @@
 	delete(e.streams, s.id)
 }
 
-// cancel stops a stream's work.
+// cancel stops a stream and reports whether it was active.
 func (e *Engine) cancel(id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,7 +182,7 @@
 	return true
 }
 
-// report is the load of the moment; e.mu is held.
+// report returns the current load; e.mu must be held.
 func (e *Engine) report() Load {
 	l := Load{Running: len(e.running), Waiting: len(e.waiting), Batch: e.cfg.Batch}
 	for _, s := range e.running {
--- a/internal/fake/engine/cache.go
+++ b/internal/fake/engine/cache.go
@@ -10,16 +10,16 @@
 	blockTokens = 64
 	tokenBytes  = 4
 	blockBytes  = blockTokens * tokenBytes
-	// maxEvents bounds the memory of cache events; a reader further behind meets a gap.
+	// maxEvents limits the memory of cache events; a reader that is further behind sees
+	// a gap in the sequence.
 	maxEvents = 8192
 )
 
-// cache holds prompt prefixes by the hashes of their blocks, the longest unused
-// ones dropped first.
+// cache holds the block hashes of prompt prefixes and evicts the least recently used.
 type cache struct {
-	maxBlocks int // in blocks
+	maxBlocks int
 	dropEvery int
-	lru       *list.List // of uint64, least recent first
+	lru       *list.List // of block hashes, least recently used first
 	blocks    map[uint64]*list.Element
 	seq       int
 	events    []cacheEvent
@@ -41,8 +41,8 @@
 	}
 }
 
-// lookup counts the tokens of the prompt found, at least one less than the prompt:
-// an engine has to read something to begin.
+// lookup returns the number of cached prompt tokens, at most the prompt's length minus
+// one: an engine has to process at least one token to start.
 func (c *cache) lookup(blocks []uint64, prompt int) int {
 	n := 0
 	for _, b := range blocks {
@@ -56,7 +56,7 @@
 	return max(0, min(n, prompt-1))
 }
 
-// store keeps a prompt's blocks and drops what is over the limit.
+// store adds a prompt's blocks and evicts blocks above the limit.
 func (c *cache) store(now time.Time, blocks []uint64) {
 	var stored, dropped []string
 	for _, b := range blocks[:min(len(blocks), c.maxBlocks)] {
@@ -94,7 +94,7 @@
 	}
 }
 
-// eventsAfter returns the events behind a number that happened before a time.
+// eventsAfter returns the events after a sequence number that are not newer than until.
 func (c *cache) eventsAfter(seq int, until time.Time) []cacheEvent {
 	out := []cacheEvent{}
 	for _, e := range c.events {
--- a/internal/fake/engine/engine.go
+++ b/internal/fake/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine is a small stand-in for a model engine with continuous batching.
+// Package engine implements a fake model engine with continuous batching.
 package engine
 
 import (
@@ -16,62 +16,63 @@
 	"github.com/fireflypath/fireflypath/internal/loopback"
 )
 
-// Config sets an engine's speeds and habits.
+// Config configures an engine.
 type Config struct {
-	// Addr is an IP number and a port; empty takes a free one of this process's own.
+	// Addr is the IP address and port to listen on; if empty, a free port of this
+	// process's loopback address is used.
 	Addr string
-	// Batch is the largest number of requests that run at once; 0 takes 8.
+	// Batch is the maximum number of concurrent requests; 0 means 8.
 	Batch int
-	// Prefill is the engine's speed over all prompts, which it reads one after
-	// the other, in tokens a second; 0 takes no time.
+	// Prefill is the number of prompt tokens processed per second. Prompts are
+	// processed one after the other; 0 means instantly.
 	Prefill float64
-	// Decode is the speed of each running request in tokens a second; 0 takes no time.
+	// Decode is the number of output tokens per second of each request; 0 means instantly.
 	Decode float64
-	// Cache is the memory for prompt prefixes in tokens; 0 keeps none.
+	// Cache is the size of the prefix cache in tokens; 0 disables it.
 	Cache int
-	// Lag is how late load reports and cache events are.
+	// Lag is the delay of load reports and cache events.
 	Lag time.Duration
-	// DropEvery loses each Gap-th cache event; 0 loses none.
+	// DropEvery drops every n-th cache event; 0 drops none.
 	DropEvery int
-	// IgnoreFences makes the engine ignore the fencing numbers of orders.
+	// IgnoreFences makes the engine execute orders with outdated fencing numbers.
 	IgnoreFences bool
-	// WithoutCounts keeps no counts by request id, whose memory grows, and no
-	// streams that have ended; for benchmarks.
+	// WithoutCounts disables the counts by request id and the retention of finished
+	// streams, whose memory grows with the number of requests; for benchmarks.
 	WithoutCounts bool
 }
 
-// defaultBatch is used where none is set.
+// defaultBatch applies if Config.Batch is 0.
 const defaultBatch = 8
 
-// stepInterval is the time between steps of the batch. It is below the time between
-// tokens that the stand-ins are asked for (20 ms at 50 tokens a second), so
-// that tokens do not come in lumps.
+// stepInterval is the time between two steps of the batch. It is shorter than the
+// interval between tokens at typical speeds (20 ms at 50 tokens per second), so that
+// tokens are not emitted in bursts.
 const stepInterval = 4 * time.Millisecond
 
-// Counts are what the engine saw, for tests and the demo.
+// Counts holds the engine's counters, for tests and the demo.
 type Counts struct {
-	// Dispatches counts the requests read, by id, refused ones among them.
+	// Dispatches counts the requests received by id, including refused ones.
 	Dispatches map[string]int `json:"dispatches"`
-	// Runs counts the requests taken in to run, by id.
+	// Runs counts the requests started by id.
 	Runs map[string]int `json:"runs"`
-	// Prefill is the number of prompt tokens computed, cache hits left out.
+	// Prefill is the number of prompt tokens processed, without cache hits.
 	Prefill int `json:"prefill"`
-	// Wasted is the part of Prefill whose answers were cancelled or never read to the end.
+	// Wasted is the part of Prefill whose answers were cancelled or not fully delivered.
 	Wasted int `json:"wasted"`
 	// Waste is Wasted by request id.
 	Waste map[string]int `json:"waste"`
 	// Cached is the number of prompt tokens found in the cache.
 	Cached int `json:"cached"`
-	// Resumes and Cancels count the calls that met a kept stream.
+	// Resumes and Cancels count the calls that found a retained stream.
 	Resumes int `json:"resumes"`
 	Cancels int `json:"cancels"`
-	// Orders were obeyed, in this sequence; Stale counts those of them that
-	// carried an older fencing number than one before.
+	// Orders are the executed orders in sequence. Stale counts those with a lower
+	// fencing number than an earlier order.
 	Orders []fireflypath.Order `json:"orders"`
 	Stale  int                 `json:"stale"`
 }
 
-// addWasted counts a stream's prefill as done for nothing.
+// addWasted counts the prefill of a stream as wasted.
 func (c *Counts) addWasted(s *stream) {
 	if s.prefilled > 0 {
 		c.Wasted += s.prefilled
@@ -79,7 +80,7 @@
 	}
 }
 
-// Engine is a running stand-in.
+// Engine is a running fake engine.
 type Engine struct {
 	cfg    Config
 	clock  clockwork.Clock
@@ -136,19 +137,19 @@
 		NoDefaultDate:         true,
 	}
 	e.wg.Go(func() {
-		// The only error is the listener's end.
+		// Serve only fails when the listener is closed.
 		_ = e.server.Serve(ln)
 	})
 	e.wg.Go(e.run)
 	return e, nil
 }
 
-// Addr is the IP number and port.
+// Addr returns the IP address and port.
 func (e *Engine) Addr() string {
 	return e.ln.Addr().String()
 }
 
-// Close ends the engine; work under way is never answered.
+// Close stops the engine. Requests in progress get no complete answer.
 func (e *Engine) Close() error {
 	e.mu.Lock()
 	defer e.wg.Wait()
@@ -164,13 +165,13 @@
 	return e.ln.Close()
 }
 
-// Fault shows a fault, or takes it back.
+// Fault applies or removes a fault.
 func (e *Engine) Fault(f fault.Fault) error {
 	switch f.Name {
 	case fault.Die:
-		// Nothing is accepted any more once Fault returns: a request sent then must
-		// not meet a target that is half dead. The rest is not waited for, as the
-		// caller may be a handler of the server that Close waits for.
+		// Close the listener before Fault returns: a request sent afterwards must not
+		// reach a target that is half stopped. The rest happens in the background because
+		// the caller may be a handler of the server that Close waits for.
 		err := e.ln.Close()
 		go func() { _ = e.Close() }()
 		return err
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// Counts reads the counts so far.
+// Counts returns the counters so far.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/engine/engine_test.go
+++ b/internal/fake/engine/engine_test.go
@@ -39,8 +39,8 @@
 	return newStream(id, false, &completion{Prompt: strings.Repeat(id, prompt*tokenBytes/len(id)), MaxTokens: &output})
 }
 
-// progress reads a stream under the engine's lock: the engine's own goroutine
-// steps the batch whenever work comes in, also while the clock stands still.
+// progress reads a stream under the engine's lock, because the engine's goroutine
+// steps the batch on each new request, even if the fake clock stands still.
 func (e *Engine) progress(s *stream) (prefilled, emitted int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,14 +57,14 @@
 	prefilled := func(s *stream) int { n, _ := e.progress(s); return n }
 	emitted := func(s *stream) int { _, n := e.progress(s); return n }
 	e.advanceSecond()
-	is.Equal([]int{prefilled(long), prefilled(short), prefilled(last)}, []int{1000, 0, 0}) // read one after the other
+	is.Equal([]int{prefilled(long), prefilled(short), prefilled(last)}, []int{1000, 0, 0}) // prompts are processed one after the other
 	e.advanceSecond()
 	e.advanceSecond()
-	is.Equal([]int{emitted(long), prefilled(short), prefilled(last)}, []int{10, 100, 0}) // the third waits for a place
+	is.Equal([]int{emitted(long), prefilled(short), prefilled(last)}, []int{10, 100, 0}) // the third waits for a place in the batch
 	e.advanceSecond()
 	is.Equal([]int{emitted(short), prefilled(last)}, []int{10, 100})
 	is.Equal(e.Counts().Prefill, 2200)
-	is.Equal(e.Counts().Wasted, 2100) // two ended and nobody read them
+	is.Equal(e.Counts().Wasted, 2100) // two finished and were never delivered
 }
 
 func TestCacheEvictsAndReportsWithLag(t *testing.T) {
@@ -99,7 +99,7 @@
 	is.Equal(prefilled, 100)
 }
 
-// postCompletion sends a completion and reads what comes.
+// postCompletion sends a completion request and reads the response.
 func postCompletion(t *testing.T, e *Engine, id string) (response, error) {
 	t.Helper()
 	body := strings.NewReader(`{"prompt":"hello","max_tokens":3,"stream":true}`)
@@ -111,7 +111,7 @@
 	return send(r)
 }
 
-// response is what a caller received; the status is 0 without an answer.
+// response is what a caller received; the status is 0 if there was no response.
 type response struct {
 	status int
 	id     string
@@ -160,8 +160,8 @@
 func TestCompletionFaults(t *testing.T) {
 	tests := []struct {
 		fault  fault.Fault
-		want   string // the body, or empty
-		status int    // 0: no answer
+		want   string // response body
+		status int    // 0: no response
 		broken bool
 		runs   int
 	}{
@@ -217,9 +217,8 @@
 	}
 }
 
-// A test kills the stand-in and sends a request at once. If the stand-in still
-// took it, the request's outcome would be unknown, and the daemon that sent it
-// would be blamed.
+// A request sent directly after the fake was stopped must not be accepted. Its outcome
+// would be unknown, and a test would blame the daemon that sent it.
 func TestStoppedEngineRefusesConnections(t *testing.T) {
 	is := is.New(t)
 	for range 50 {
@@ -230,7 +229,8 @@
 	}
 }
 
-// One request ends the stand-in, as some end a model engine; others are served before.
+// A matching request stops the fake before it runs, like a request that crashes a model
+// engine. Requests that do not match are served.
 func TestMatchingRequestStopsEngine(t *testing.T) {
 	is := is.New(t)
 	e, _ := start(t, Config{})
--- a/internal/fake/engine/http.go
+++ b/internal/fake/engine/http.go
@@ -21,7 +21,7 @@
 	headerLast    = "Last-Event-ID"
 )
 
-// completion is the part of a request that the stand-in reads.
+// completion holds the request fields that the fake uses.
 type completion struct {
 	Prompt   string `json:"prompt"`
 	Messages []struct {
@@ -31,7 +31,7 @@
 	Stream    bool `json:"stream"`
 }
 
-// text is the prompt: a chat's contents one after the other.
+// text returns the prompt; the messages of a chat are concatenated.
 func (c *completion) text() string {
 	if len(c.Messages) == 0 {
 		return c.Prompt
@@ -78,7 +78,7 @@
 		}
 	}
 	if e.faults.TriggerDieOnText(r.PostBody()) {
-		// It ends with all that it runs, so the error has no reader.
+		// Die stops the whole engine, so nobody is left to handle the error.
 		_ = e.Fault(fault.Fault{Name: fault.Die})
 		wire.CloseConnection(r)
 		return
@@ -97,7 +97,8 @@
 	e.answerWhole(r, s)
 }
 
-// WriteNotRun writes the refusal of a target that is leaving, or will not run the request.
+// WriteNotRun responds that the request was not run, because the target is leaving or
+// because it refuses the request.
 func WriteNotRun(r *fasthttp.RequestCtx, name fault.Name) {
 	code := "not_run"
 	if name == fault.Draining {
@@ -115,7 +116,7 @@
 	if c.MaxTokens != nil {
 		s.output = max(0, *c.MaxTokens)
 	}
-	// Writing to a digest cannot fail.
+	// Writing to the digest never fails.
 	d := xxhash.New()
 	for len(text) >= blockBytes {
 		_, _ = d.WriteString(text[:blockBytes])
@@ -140,7 +141,7 @@
 	e.streamAnswer(r, s, offset)
 }
 
-// resumable returns a kept stream, or nil.
+// resumable returns a retained stream, or nil.
 func (e *Engine) resumable(id string) *stream {
 	_, dropped := e.faults.Trigger(fault.Forget)
 	e.mu.Lock()
--- a/internal/fake/engine/load.go
+++ b/internal/fake/engine/load.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Load is a report as docs/PROTOCOLS.md gives it.
+// Load is the load report of docs/PROTOCOLS.md.
 type Load struct {
 	At       int64 `json:"at"`
 	Running  int   `json:"running"`
@@ -12,7 +12,7 @@
 	Draining bool  `json:"draining"`
 }
 
-// loadSamples holds the loads of the last while, so that reports can lag.
+// loadSamples holds the recent loads, so that reports can lag behind.
 type loadSamples struct {
 	samples []sample
 }
@@ -22,7 +22,7 @@
 	load Load
 }
 
-// add appends a load and drops those that no report needs any more.
+// add appends a load and drops the samples that are too old for any report.
 func (h *loadSamples) add(now time.Time, l Load, lag time.Duration) {
 	if n := len(h.samples); n > 0 && now.Sub(h.samples[n-1].at) < stepInterval {
 		h.samples[n-1].load = l
@@ -36,7 +36,7 @@
 	h.samples = append(h.samples[:0], h.samples[obsolete:]...)
 }
 
-// at is the load as it was at a time.
+// at returns the load at a point in time.
 func (h *loadSamples) at(t time.Time) Load {
 	var l Load
 	for _, s := range h.samples {
--- a/internal/fake/engine/orders.go
+++ b/internal/fake/engine/orders.go
@@ -10,7 +10,7 @@
 	"github.com/fireflypath/fireflypath/internal/fake/answer"
 )
 
-// staleOrder is the answer to an order with an old fencing number.
+// staleOrder is the response to an order with an outdated fencing number.
 type staleOrder struct {
 	Fence uint64 `json:"fence"`
 }
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -9,16 +9,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errBroken makes the server cut a connection in the middle of an answer.
+// errBroken makes the server close a connection in the middle of a response.
 var errBroken = errors.New("connection broken by a fault")
 
-// stream is one request and its answer. Its fields are guarded by the engine's mutex.
+// stream is a request and its answer. Its fields are guarded by the engine's mutex.
 type stream struct {
 	id     string
 	chat   bool
-	seed   uint64 // of the prompt's text
+	seed   uint64 // hash of the prompt
 	blocks []uint64
-	// prompt and output are in tokens.
+	// prompt and output are the numbers of tokens.
 	prompt int
 	output int
 
@@ -26,13 +26,13 @@
 	prefilled int
 	emitted   int
 	credit    float64
-	// delivered is true once somebody was sent the whole answer.
+	// delivered is set once the whole answer was sent to a caller.
 	delivered bool
 	cancelled bool
-	changed   chan struct{} // nil while nobody waits
+	changed   chan struct{} // nil if nobody waits
 }
 
-// remainingPrompt is the part of the prompt still to be read.
+// remainingPrompt returns the number of prompt tokens not yet processed.
 func (s *stream) remainingPrompt() int {
 	return s.prompt - s.cached - s.prefilled
 }
@@ -45,7 +45,7 @@
 	return s.remainingPrompt() == 0 && s.emitted == s.output
 }
 
-// decode generates dt's tokens; a rate of 0 generates all.
+// decode generates the tokens of a duration, or all tokens if rate is 0.
 func (s *stream) decode(rate float64, dt time.Duration) {
 	previous := s.emitted
 	if rate == 0 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// notify wakes those who wait for the stream.
+// notify wakes the goroutines that wait for the stream.
 func (s *stream) notify() {
 	if s.changed != nil {
 		close(s.changed)
@@ -77,22 +77,22 @@
 	return s.changed
 }
 
-// eventReader is the body of an answer: events from an offset on, as they come.
+// eventReader is a response body that streams the events after an offset as they arrive.
 type eventReader struct {
 	engine *Engine
 	stream *stream
-	id     string // the id that the events carry
-	sent   int    // events sent so far, those before the offset among them
-	// cutAfter is the event after which a fault strikes; 0 if none does.
+	id     string // written in the events
+	sent   int    // events sent, including those before the offset
+	// cutAfter is the number of events after which the response is cut; 0 means never.
 	cutAfter int
 	cutErr   error
 	buf      []byte
 }
 
-// bufferPool spare a kilobyte of garbage for each answer.
+// bufferPool saves the allocation of one kilobyte for each response.
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-// Read waits for events and returns as many as have come.
+// Read waits for events and returns as many as are available.
 func (r *eventReader) Read(p []byte) (int, error) {
 	for len(r.buf) == 0 {
 		if r.cutAfter > 0 && r.sent >= r.cutAfter {
@@ -110,7 +110,7 @@
 	return n, nil
 }
 
-// Close gives the buffer back.
+// Close returns the buffer to the pool.
 func (r *eventReader) Close() error {
 	b := r.buf[:0]
 	r.buf = nil
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// fill waits until there is an event to send and writes what there is.
+// fill waits for at least one event and appends all available events to the buffer.
 func (r *eventReader) fill() error {
 	emitted, err := r.waitForEvents()
 	if err != nil {
@@ -139,7 +139,8 @@
 	return nil
 }
 
-// waitForEvents returns how many events there are, the end mark among them.
+// waitForEvents waits for events after those sent and returns the number of all
+// events, including the final one.
 func (r *eventReader) waitForEvents() (int, error) {
 	for {
 		n, changed, err := r.engine.countEvents(r.stream, r.sent)
@@ -150,8 +151,8 @@
 	}
 }
 
-// countEvents counts the events of a stream, or returns a channel to wait on if
-// there are none after the offset.
+// countEvents returns the number of events of a stream and, if none is after the
+// offset, a channel that is closed at the next change.
 func (e *Engine) countEvents(s *stream, after int) (int, <-chan struct{}, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -204,8 +205,8 @@
 	return append(b, "\ndata: [DONE]\n\n"...)
 }
 
-// appendToken appends token n of the answer to a prompt: a blank and 4
-// hexadecimal digits, so that a caller can tell its own answer and each place in it.
+// appendToken appends token n of the answer: a space and 4 hexadecimal digits that
+// depend on the prompt and n, so that a caller can detect wrong and missing tokens.
 func appendToken(b []byte, seed uint64, n int) []byte {
 	const digits = "0123456789abcdef"
 	x := seed + uint64(n)*0x9e3779b97f4a7c15
--- a/internal/fake/fault/fault.go
+++ b/internal/fake/fault/fault.go
@@ -1,4 +1,4 @@
-// Package fault holds the faults that the stand-ins can be told to show.
+// Package fault defines the faults that the fake engines, services and platform can inject.
 package fault
 
 import (
@@ -11,74 +11,74 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Name names a fault.
+// Name identifies a fault in POST /fault.
 type Name string
 
-// The faults of all stand-ins; each lists the ones that it knows.
+// The faults of all fakes. Each fake accepts the ones that apply to it.
 const (
-	// Clear takes all faults back.
+	// Clear removes all faults.
 	Clear Name = "clear"
-	// Die closes the listener and all connections for good.
+	// Die permanently closes the listener and all connections.
 	Die Name = "die"
-	// DieOnText dies of each request whose body holds Text, when it would begin to run it.
+	// DieOnText makes the fake die before it runs a request whose body contains Text.
 	DieOnText Name = "deadly"
-	// Refuse closes the listener until it is taken back; open connections stay.
+	// Refuse closes the listener until the fault is removed; open connections are kept.
 	Refuse Name = "refuse"
-	// ReadClose reads a request and closes its connection without an answer.
+	// ReadClose reads a request and closes its connection without a response.
 	ReadClose Name = "read-close"
-	// Silent stops all traffic on the connections open now, for good.
+	// Silent permanently stops all traffic on the connections that are open now.
 	Silent Name = "silent"
-	// WrongID gives answers another request's id.
+	// WrongID sends responses with the id of another request.
 	WrongID Name = "crossed"
-	// Truncate ends an answer cleanly after After events, without its end mark.
+	// Truncate ends a response cleanly after After events, without the final event.
 	Truncate Name = "truncate"
-	// Break closes an answer's connection after After events.
+	// Break closes the connection of a response after After events.
 	Break Name = "break"
-	// Forget drops the kept stream of a broken or truncated answer.
+	// Forget makes requests to resume a stream fail as if the stream was dropped.
 	Forget Name = "forget"
-	// Slow divides speeds by Factor, or delays each call by Delay.
+	// Slow divides speeds by Factor or delays each call by Delay.
 	Slow Name = "slow"
-	// Draining refuses new work as not run.
+	// Draining refuses new requests as not run because the target is leaving.
 	Draining Name = "draining"
-	// NotRun refuses new work as not run, without leaving.
+	// NotRun refuses new requests as not run; the target is not leaving.
 	NotRun Name = "not-run"
-	// Outage refuses each call to the platform.
+	// Outage makes every call to the platform fail as unavailable.
 	Outage Name = "outage"
-	// LoseAnswer lets a write take effect and closes its connection without an answer.
+	// LoseAnswer applies a write and closes its connection without a response.
 	LoseAnswer Name = "lost"
-	// TakeSnapshot remembers the platform's data for Older.
+	// TakeSnapshot saves the platform's data for RestoreSnapshot.
 	TakeSnapshot Name = "snapshot"
-	// RestoreSnapshot brings the platform's data back to the snapshot.
+	// RestoreSnapshot resets the platform's data to the snapshot.
 	RestoreSnapshot Name = "older"
 )
 
-// Fault is a fault to show.
+// Fault is a fault with its parameters, as sent to POST /fault.
 type Fault struct {
 	Name Name `json:"name"`
-	// Off takes the fault back.
+	// Off removes the fault.
 	Off bool `json:"off,omitempty"`
-	// Count is how often it strikes; 0 is until it is taken back.
+	// Count is the number of times the fault applies; 0 means until it is removed.
 	Count int `json:"count,omitempty"`
-	// After is the number of events sent before an answer ends.
+	// After is the number of events sent before a response is cut.
 	After int `json:"after,omitempty"`
-	// Factor is how many times slower work runs.
+	// Factor is the factor by which work takes longer.
 	Factor float64 `json:"factor,omitempty"`
-	// Text is what a body holds that is meant.
+	// Text selects the requests whose bodies contain it.
 	Text string `json:"text,omitempty"`
-	// Delay is how much longer a call takes.
+	// Delay is the additional duration of each call.
 	Delay fireflypath.Duration `json:"delay,omitempty"`
 }
 
-// ErrUnknownName means that a stand-in does not know a fault's name.
+// ErrUnknownName means that the fake does not support the named fault.
 var ErrUnknownName = errors.New("stand-in does not know the fault")
 
-// Set holds the faults in force. The zero value holds none.
+// Set holds the active faults. The zero value is empty.
 type Set struct {
 	mu     sync.Mutex
 	faults map[Name]Fault
 }
 
-// Apply puts a fault in force or takes it back.
+// Apply activates or removes a fault.
 func (s *Set) Apply(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// Trigger reports whether a fault is in force and uses up one of its count.
+// Trigger reports whether a fault is active and, if so, consumes one of its Count.
 func (s *Set) Trigger(name Name) (Fault, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,13 +112,13 @@
 	return f, true
 }
 
-// TriggerDieOnText is true if a body is deadly.
+// TriggerDieOnText triggers DieOnText and reports whether the body contains its text.
 func (s *Set) TriggerDieOnText(body []byte) bool {
 	f, ok := s.Trigger(DieOnText)
 	return ok && bytes.Contains(body, []byte(f.Text))
 }
 
-// Parse reads the body of a POST /fault.
+// Parse decodes the body of POST /fault.
 func Parse(body []byte) (Fault, error) {
 	var f Fault
 	if err := json.Unmarshal(body, &f); err != nil {
--- a/internal/fake/platform/http.go
+++ b/internal/fake/platform/http.go
@@ -16,10 +16,10 @@
 	"github.com/fireflypath/fireflypath/internal/fake/wire"
 )
 
-// maxBody leaves room to answer 413 for values just above the largest one.
+// maxBody is above the largest value, so that a slightly larger one gets a 413 response.
 const maxBody = 2 * fireflypath.MaxValue
 
-// Listen serves the protocol of docs/PROTOCOLS.md at the address.
+// Listen starts to serve the protocol of docs/PROTOCOLS.md at the address.
 func (f *Fake) Listen(addr string) error {
 	ln, err := wire.Listen(addr)
 	if err != nil {
@@ -36,18 +36,18 @@
 	}
 	go func() {
 		defer close(f.served)
-		// The only error is the listener's end.
+		// Serve only fails when the listener is closed.
 		_ = f.server.Serve(ln)
 	}()
 	return nil
 }
 
-// Addr is the address that Listen opened.
+// Addr returns the address of the listener.
 func (f *Fake) Addr() string {
 	return f.ln.Addr().String()
 }
 
-// Close ends the listener and all connections.
+// Close closes the listener and all connections.
 func (f *Fake) Close() error {
 	if f.ln == nil {
 		return nil
@@ -79,7 +79,8 @@
 	}
 }
 
-// writeError turns an error into a status, or into no answer at all.
+// writeError responds with the status of an error. For ErrUnknown it closes the
+// connection without a response.
 func writeError(r *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, fireflypath.ErrUnknown) {
 		wire.CloseConnection(r)
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a small stand-in for the platform's key-value service and host list.
+// Package platform implements a fake of the platform's key-value service and host list.
 package platform
 
 import (
@@ -16,15 +16,15 @@
 	"github.com/fireflypath/fireflypath/internal/fake/wire"
 )
 
-// Config sets a Fake's limits.
+// Config configures a Fake.
 type Config struct {
-	// Rate is the number of calls a second that are answered; 0 is any number.
+	// Rate is the limit of calls per second; 0 means no limit.
 	Rate float64
-	// Lag is how old the list of hosts is.
+	// Lag is the age of the host list that readers see.
 	Lag time.Duration
 }
 
-// Counts are the calls taken, by name; a waiting watch is one.
+// Counts counts the calls by operation. A long-polling watch is one call.
 type Counts struct {
 	Get    int `json:"get"`
 	Put    int `json:"put"`
@@ -33,17 +33,17 @@
 	Watch  int `json:"watch"`
 	Lease  int `json:"lease"`
 	Hosts  int `json:"hosts"`
-	// Refused counts those of the calls that an outage or the rate refused.
+	// Refused counts the calls that failed by an outage or the rate limit.
 	Refused int `json:"refused"`
 }
 
-// Total is the number of all calls.
+// Total returns the number of all calls.
 func (c Counts) Total() int {
 	return c.Get + c.Put + c.Delete + c.List + c.Watch + c.Lease + c.Hosts
 }
 
-// Fake holds the data in memory. It serves in-process by Store and HostList,
-// and over HTTP after Listen.
+// Fake keeps its data in memory. It is used in-process through Store and HostList, or
+// over HTTP after Listen.
 type Fake struct {
 	cfg     Config
 	clock   clockwork.Clock
@@ -57,7 +57,7 @@
 	counts   Counts
 	hosts    []hostList
 
-	// ctx ends the waiting watches of callers whose connections Close cuts.
+	// ctx ends the pending watches, which closing their connections does not interrupt.
 	ctx    context.Context
 	cancel context.CancelFunc
 	ln     *wire.Listener
@@ -70,7 +70,7 @@
 	hosts []fireflypath.Host
 }
 
-// New makes an empty service that nothing listens for yet.
+// New returns an empty service that does not listen yet.
 func New(cfg Config, clock clockwork.Clock) *Fake {
 	f := &Fake{cfg: cfg, clock: clock, state: newState(), changed: make(chan struct{})}
 	if cfg.Rate > 0 {
@@ -79,31 +79,32 @@
 	return f
 }
 
-// Store is the service without HTTP between.
+// Store returns in-process access to the key-value service.
 func (f *Fake) Store() fireflypath.Store {
 	return &store{fake: f}
 }
 
-// HostList is the list of hosts without HTTP between.
+// HostList returns in-process access to the host list.
 func (f *Fake) HostList() fireflypath.Hosts {
 	return &store{fake: f}
 }
 
-// SetHosts changes the list; readers see it after the lag.
+// SetHosts changes the host list. Readers see the change after Config.Lag.
 func (f *Fake) SetHosts(hosts ...fireflypath.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts = append(f.hosts, hostList{setAt: f.clock.Now(), hosts: hosts})
 }
 
-// Counts reads the calls taken so far.
+// Counts returns the calls so far.
 func (f *Fake) Counts() Counts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts
 }
 
-// Fault shows a fault: outage, slow, lost, snapshot, older, silent, refuse, die or clear.
+// Fault applies or removes a fault: outage, slow, lost, snapshot, older, silent,
+// refuse, die or clear.
 func (f *Fake) Fault(flt fault.Fault) error {
 	switch flt.Name {
 	case fault.TakeSnapshot:
@@ -157,13 +158,13 @@
 	return nil
 }
 
-// notifyWatchers tells the waiting watches that something changed; f.mu is held.
+// notifyWatchers wakes the pending watches; f.mu must be held.
 func (f *Fake) notifyWatchers() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// admit counts a call and lets it in, or refuses it before it has any effect.
+// admit counts a call and returns an error if the call has to fail without an effect.
 func (f *Fake) admit(ctx context.Context, count func(*Counts)) error {
 	f.mu.Lock()
 	count(&f.counts)
@@ -200,7 +201,7 @@
 	}
 }
 
-// expireLeases removes the leases that have run out; f.mu is held.
+// expireLeases removes the expired leases; f.mu must be held.
 func (f *Fake) expireLeases() {
 	if f.state.expireLeases(f.clock.Now()) {
 		f.notifyWatchers()
--- a/internal/fake/platform/state.go
+++ b/internal/fake/platform/state.go
@@ -9,18 +9,18 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// maxTombstones bounds the memory of removed keys; a watch that lags by more
-// removals than this misses some, as it would at a real service's compaction.
+// maxTombstones limits the memory used by deleted keys. A watch that lags by more
+// deletions misses some, as after the compaction of a real service.
 const maxTombstones = 100_000
 
-// state is the data at one moment.
+// state is the data of the service at one point in time.
 type state struct {
 	revision uint64
 	keys     map[string]value
-	// tombstones maps a removed key to the revision of its removal.
+	// tombstones maps a deleted key to the revision of its deletion.
 	tombstones map[string]uint64
 	leases     map[fireflypath.LeaseID]lease
-	// lastLease is kept over a restore: lease ids are never used twice.
+	// lastLease survives a restore because lease ids are never reused.
 	lastLease fireflypath.LeaseID
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// clone copies the maps; stored bytes are never changed and are shared.
+// clone copies the maps. The values are immutable and shared.
 func (s *state) clone() *state {
 	c := *s
 	c.keys = maps.Clone(s.keys)
@@ -94,8 +94,8 @@
 	s.tombstones[key] = s.revision
 }
 
-// list returns the keys with a prefix that changed above a revision, in order
-// of the key; removed keys are among them if removed is true.
+// list returns the keys with a prefix that changed above a revision, sorted by key,
+// with the deleted ones if withDeleted is set.
 func (s *state) list(prefix string, after uint64, withDeleted bool) []fireflypath.Entry {
 	out := []fireflypath.Entry{}
 	for k, v := range s.keys {
@@ -112,7 +112,7 @@
 	return out
 }
 
-// expireLeases drops what leases that ended held and reports whether there was any.
+// expireLeases deletes the keys of expired leases and reports whether a lease expired.
 func (s *state) expireLeases(now time.Time) bool {
 	expired := false
 	for id, l := range s.leases {
--- a/internal/fake/platform/store.go
+++ b/internal/fake/platform/store.go
@@ -11,7 +11,7 @@
 	"github.com/fireflypath/fireflypath/internal/fake/fault"
 )
 
-// errValueTooLarge is a value above fireflypath.MaxValue.
+// errValueTooLarge reports a value above fireflypath.MaxValue.
 var errValueTooLarge = errors.New("value is larger than the service takes")
 
 // store implements fireflypath.Store and fireflypath.Hosts on a Fake.
@@ -59,7 +59,7 @@
 	return s.answerError()
 }
 
-// write changes the state and wakes the watches if it did.
+// write changes the state and notifies the watchers if the change succeeds.
 func (s *store) write(change func(*state) error) error {
 	s.fake.mu.Lock()
 	defer s.fake.mu.Unlock()
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// answerError turns the answer of a write that took effect into none.
+// answerError returns ErrUnknown for a completed write if the fault LoseAnswer is active.
 func (s *store) answerError() error {
 	if _, ok := s.fake.faults.Trigger(fault.LoseAnswer); ok {
 		return fireflypath.ErrUnknown
@@ -146,7 +146,7 @@
 	return s.answerError()
 }
 
-// extend sets a lease's end and a timer that wakes the watches at it.
+// extend sets the end of a lease and a timer that expires it, which notifies the watchers.
 func (s *store) extend(id fireflypath.LeaseID, ttl time.Duration) {
 	s.fake.mu.Lock()
 	defer s.fake.mu.Unlock()
--- a/internal/fake/service/service.go
+++ b/internal/fake/service/service.go
@@ -1,4 +1,4 @@
-// Package service is a small stand-in for a plain service whose calls must not all be repeated.
+// Package service implements a fake plain service with calls that must not all be repeated.
 package service
 
 import (
@@ -18,19 +18,20 @@
 	"github.com/fireflypath/fireflypath/internal/loopback"
 )
 
-// Config sets a service's habits.
+// Config configures a service.
 type Config struct {
-	// Addr is an IP number and a port; empty takes a free one of this process's own.
+	// Addr is the IP address and port to listen on; if empty, a free port of this
+	// process's loopback address is used.
 	Addr string
-	// Delay is how long each call takes.
+	// Delay is the duration of each call.
 	Delay time.Duration
-	// Batch is the number of calls that the load report calls full; 0 leaves it unknown.
+	// Batch is the capacity that the load report shows; 0 means unknown.
 	Batch int
 }
 
-// Counts are what the service saw, for tests and the demo.
+// Counts holds the service's counters, for tests and the demo.
 type Counts struct {
-	// Dispatches counts the requests read, by id, refused ones among them.
+	// Dispatches counts the requests received by id, including refused ones.
 	Dispatches map[string]int `json:"dispatches"`
 	// Runs counts the calls that took effect, by request id.
 	Runs map[string]int `json:"runs"`
@@ -38,19 +39,19 @@
 	Keys map[string]int `json:"keys"`
 }
 
-// Echo is the answer to a call.
+// Echo is the response to a call.
 type Echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Query  string `json:"query,omitempty"`
 	Key    string `json:"key,omitempty"`
 	Body   string `json:"body"`
-	// Run counts the calls that took effect before and with this one.
+	// Run is the number of calls that took effect so far, including this one.
 	Run int64 `json:"run"`
 }
 
-// Service is a running stand-in. A call takes effect when it is read, before
-// the delay and before any fault cuts its answer.
+// Service is a running fake service. A call takes effect once it is read, before the
+// delay and before a fault cuts its response.
 type Service struct {
 	cfg     Config
 	clock   clockwork.Clock
@@ -78,25 +79,25 @@
 	server := &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, Logger: wire.DiscardLogger{}}
 	go func() {
 		defer close(s.served)
-		// The only error is the listener's end.
+		// Serve only fails when the listener is closed.
 		_ = server.Serve(ln)
 	}()
 	return s, nil
 }
 
-// Addr is the IP number and port.
+// Addr returns the IP address and port.
 func (s *Service) Addr() string {
 	return s.ln.Addr().String()
 }
 
-// Close ends the service and cuts its connections.
+// Close stops the service and closes its connections.
 func (s *Service) Close() error {
 	err := s.ln.Close()
 	<-s.served
 	return err
 }
 
-// Fault shows a fault, or takes it back.
+// Fault applies or removes a fault.
 func (s *Service) Fault(f fault.Fault) error {
 	switch f.Name {
 	case fault.Die:
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// Counts reads the counts so far.
+// Counts returns the counters so far.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +168,7 @@
 		}
 	}
 	if s.faults.TriggerDieOnText(r.PostBody()) {
-		// It ends with all that it runs, so the error has no reader.
+		// Die stops the whole service, so nobody is left to handle the error.
 		_ = s.Fault(fault.Fault{Name: fault.Die})
 		wire.CloseConnection(r)
 		return
@@ -185,7 +186,7 @@
 	answer.JSON(r, e)
 }
 
-// execute lets the call take effect.
+// execute counts the call as run and returns its echo.
 func (s *Service) execute(r *fasthttp.RequestCtx, id string) Echo {
 	key := string(r.Request.Header.Peek("Idempotency-Key"))
 	s.increment(s.counts.Runs, id)
--- a/internal/fake/service/service_test.go
+++ b/internal/fake/service/service_test.go
@@ -17,7 +17,7 @@
 func TestCallFaults(t *testing.T) {
 	tests := []struct {
 		fault  fault.Name
-		status int // 0: no answer
+		status int // 0: no response
 		id     string
 		runs   int
 	}{
--- a/internal/fake/wire/wire.go
+++ b/internal/fake/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire is a listener whose connections can be refused, dropped and silenced.
+// Package wire provides a TCP listener that can refuse, close and silence connections.
 package wire
 
 import (
@@ -10,19 +10,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Listener accepts connections and keeps track of them, so that a stand-in can
-// show the faults of a network without root rights.
+// Listener tracks its connections, so that a fake can simulate network faults
+// without root privileges.
 type Listener struct {
 	addr net.Addr
 
 	mu       sync.Mutex
 	listener net.Listener
-	resumed  chan struct{} // closed when inner is usable again, or for good
+	resumed  chan struct{} // closed when the listener accepts again or is closed
 	closed   bool
 	conns    map[*conn]struct{}
 }
 
-// Listen opens the address; port 0 takes a free one and keeps it.
+// Listen opens the address. Port 0 selects a free port, which Resume reuses.
 func Listen(addr string) (*Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -31,12 +31,13 @@
 	return &Listener{addr: ln.Addr(), listener: ln, conns: make(map[*conn]struct{})}, nil
 }
 
-// Addr is the address, also while it refuses.
+// Addr returns the address, also while the listener refuses connections.
 func (l *Listener) Addr() net.Addr {
 	return l.addr
 }
 
-// Accept waits while the listener refuses and fails only after Close.
+// Accept returns the next connection. While the listener refuses connections it
+// blocks until Resume or Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		ln, back, closed := l.state()
@@ -80,7 +81,7 @@
 	return t
 }
 
-// Refuse makes dials fail; open connections stay.
+// Refuse makes dials fail; open connections are kept.
 func (l *Listener) Refuse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +93,7 @@
 	l.resumed = make(chan struct{})
 }
 
-// Resume takes Refuse back.
+// Resume reverts Refuse.
 func (l *Listener) Resume() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,8 +109,8 @@
 	return nil
 }
 
-// Silence stops the traffic of the connections open now, for good: writes seem
-// to succeed, nothing arrives, nothing is closed. New connections work.
+// Silence permanently stops the traffic of the open connections: writes seem to
+// succeed, nothing arrives and nothing is closed. New connections work.
 func (l *Listener) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +119,7 @@
 	}
 }
 
-// CloseConnections closes the connections open now.
+// CloseConnections closes the open connections.
 func (l *Listener) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,7 +128,7 @@
 	}
 }
 
-// Close ends the listener and all its connections.
+// Close closes the listener and all its connections.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	if l.closed {
@@ -152,7 +153,7 @@
 	silent  atomic.Bool
 }
 
-// Read throws away what arrives on a silent connection.
+// Read discards what arrives on a silent connection.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -162,7 +163,7 @@
 	}
 }
 
-// Write pretends to succeed on a silent connection.
+// Write discards the data of a silent connection and reports success.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.silent.Load() {
 		return len(b), nil
@@ -170,8 +171,8 @@
 	return c.Conn.Write(b)
 }
 
-// Close leaves a silent connection open until the listener ends: the other
-// side of a lost connection is not told either.
+// Close leaves a silent connection open until the listener is closed, because the peer
+// of a lost connection does not see it close either.
 func (c *conn) Close() error {
 	if c.silent.Load() {
 		return nil
@@ -182,13 +183,13 @@
 	return c.Conn.Close()
 }
 
-// CloseConnection closes a request's connection without an answer.
+// CloseConnection closes a request's connection without a response.
 func CloseConnection(r *fasthttp.RequestCtx) {
 	r.HijackSetNoResponse(true)
 	r.Hijack(func(c net.Conn) { c.Close() })
 }
 
-// DiscardLogger drops what a server logs: broken connections are what stand-ins are for.
+// DiscardLogger discards the server's log: the fakes break connections on purpose.
 type DiscardLogger struct{}
 
 // Printf implements fasthttp.Logger.
