--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -1,4 +1,4 @@
-// Package certificate reloads a TLS certificate when its files change.
+// Package certificate reloads a TLS certificate when its files change, without a restart.
 package certificate
 
 import (
--- a/internal/keys/keyring.go
+++ b/internal/keys/keyring.go
@@ -37,8 +37,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Keyring finds operators by their keys. It caches an index of the configuration in force and
-// rebuilds it when the configuration changes.
+// Keyring finds operators by their keys. It reads the configuration in force with one atomic load,
+// and caches an index of it until the configuration changes.
 type Keyring struct {
 	configs fireflypath.Configs
 	index   atomic.Pointer[index]
