--- a/test/script/script_test.go
+++ b/test/script/script_test.go
@@ -1,4 +1,4 @@
-// Package script runs scripted scenarios with real processes.
+// Package script runs the scenarios in testdata with real processes.
 package script
 
 import (
@@ -21,17 +21,17 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// patience bounds each wait for a process's output or end.
-const patience = 60 * time.Second
+// waitLimit limits each wait for the output or the exit of a process.
+const waitLimit = 60 * time.Second
 
-// bin is the directory of the programs under test.
-var bin string
+// binDir is the directory of the programs under test.
+var binDir string
 
 func TestMain(m *testing.M) {
-	os.Exit(run(m))
+	os.Exit(buildAndRun(m))
 }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "script")
 	if err != nil {
 		panic(err)
@@ -41,7 +41,7 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		panic(string(out))
 	}
-	bin = dir
+	binDir = dir
 	return m.Run()
 }
 
@@ -49,42 +49,42 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
-			env.Setenv("PATH", bin+string(filepath.ListSeparator)+env.Getenv("PATH"))
+			env.Setenv("PATH", binDir+string(filepath.ListSeparator)+env.Getenv("PATH"))
 			env.Values[processesKey] = processes{}
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
-			"up":      up,
-			"post":    post,
-			"flood":   flood,
-			"capture": capture,
-			"soon":    soon,
-			"both":    both,
-			"start":   start,
-			"signal":  signal,
-			"ended":   ended,
-			"expand":  expand,
-			"later":   later,
-			"answer":  answer,
-			"get":     get,
-			"page":    page,
-			"either":  either,
+			"launch":       cmdLaunch,
+			"post":         cmdPost,
+			"postmany":     cmdPostMany,
+			"capture":      cmdCapture,
+			"eventually":   cmdEventually,
+			"concurrently": cmdConcurrently,
+			"launchas":     cmdLaunchAs,
+			"signal":       cmdSignal,
+			"exited":       cmdExited,
+			"expand":       cmdExpand,
+			"postbg":       cmdPostBackground,
+			"answer":       cmdAnswer,
+			"get":          cmdGet,
+			"getuntil":     cmdGetUntil,
+			"answers":      cmdAnswers,
 		},
 	})
 }
 
-// up LAST PROGRAM ARGS starts a process and waits for an output line that
-// matches LAST, whose named groups become variables. The process gets a signal at
-// the script's end.
-func up(ts *testscript.TestScript, neg bool, args []string) {
+// cmdLaunch implements "launch PATTERN PROGRAM ARGS", which starts a process and waits for
+// a line of its output that matches. The pattern's named groups become variables.
+// The process is terminated at the end of the script.
+func cmdLaunch(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
-		ts.Fatalf("usage: up LAST PROGRAM ARGS")
+		ts.Fatalf("usage: launch PATTERN PROGRAM ARGS")
 	}
 	launch(ts, args)
 }
 
 func launch(ts *testscript.TestScript, args []string) *process {
-	cmd := exec.Command(filepath.Join(bin, args[1]), args[2:]...)
+	cmd := exec.Command(filepath.Join(binDir, args[1]), args[2:]...)
 	cmd.Dir = ts.MkAbs(".")
 	out, err := cmd.StdoutPipe()
 	ts.Check(err)
@@ -104,51 +104,52 @@
 		close(lines)
 		p.err = cmd.Wait()
 	}()
-	ts.Defer(func() { end(ts, p) })
-	await(ts, lines, regexp.MustCompile(args[0]))
+	ts.Defer(func() { terminate(ts, p) })
+	awaitLine(ts, lines, regexp.MustCompile(args[0]))
 	close(awaited)
 	return p
 }
 
-func await(ts *testscript.TestScript, lines <-chan string, last *regexp.Regexp) {
-	limit := time.After(patience)
+func awaitLine(ts *testscript.TestScript, lines <-chan string, want *regexp.Regexp) {
+	limit := time.After(waitLimit)
 	for {
 		select {
 		case line, ok := <-lines:
 			if !ok {
-				ts.Fatalf("the process ended before it printed %s", last)
+				ts.Fatalf("the process exited before a line matched %s", want)
 			}
 			ts.Logf("%s", line)
-			daemon(ts, line)
-			if last.MatchString(line) {
-				learn(ts, last, line)
+			setDemoVariables(ts, line)
+			if want.MatchString(line) {
+				setGroupVariables(ts, want, line)
 				return
 			}
 		case <-limit:
-			ts.Fatalf("no line like %s within %s", last, patience)
+			ts.Fatalf("no line matched %s within %s", want, waitLimit)
 		}
 	}
 }
 
-// platform and addresses are lines of the demo.
+// Lines that the demo prints at its start.
 var (
-	platform  = regexp.MustCompile(`^platform +http://(\S+)$`)
-	addresses = regexp.MustCompile(`^(\w+) +callers (\S+)  operators (\S+)$`)
+	platformLine = regexp.MustCompile(`^platform +http://(\S+)$`)
+	daemonLine   = regexp.MustCompile(`^(\w+) +callers (\S+)  operators (\S+)$`)
 )
 
-// daemon sets PLATFORM, or NAME_CALLERS and NAME_OPERATORS, from a line of the demo.
-func daemon(ts *testscript.TestScript, line string) {
-	if m := platform.FindStringSubmatch(line); m != nil {
+// setDemoVariables sets PLATFORM, or NAME_CALLERS and NAME_OPERATORS, if the line is one
+// that the demo prints at its start.
+func setDemoVariables(ts *testscript.TestScript, line string) {
+	if m := platformLine.FindStringSubmatch(line); m != nil {
 		ts.Setenv("PLATFORM", m[1])
 	}
-	if m := addresses.FindStringSubmatch(line); m != nil {
+	if m := daemonLine.FindStringSubmatch(line); m != nil {
 		ts.Setenv(m[1]+"_CALLERS", m[2])
 		ts.Setenv(m[1]+"_OPERATORS", m[3])
 	}
 }
 
-// learn sets a variable for each named group.
-func learn(ts *testscript.TestScript, re *regexp.Regexp, text string) bool {
+// setGroupVariables sets a variable for each named group and reports whether the text matches.
+func setGroupVariables(ts *testscript.TestScript, re *regexp.Regexp, text string) bool {
 	m := re.FindStringSubmatch(text)
 	for i, name := range re.SubexpNames() {
 		if m != nil && name != "" {
@@ -158,9 +159,9 @@
 	return m != nil
 }
 
-func end(ts *testscript.TestScript, p *process) {
+func terminate(ts *testscript.TestScript, p *process) {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	kill := time.AfterFunc(patience, func() { _ = p.cmd.Process.Kill() })
+	kill := time.AfterFunc(waitLimit, func() { _ = p.cmd.Process.Kill() })
 	defer kill.Stop()
 	<-p.done
 	if p.err != nil {
@@ -168,19 +169,18 @@
 	}
 }
 
-// reply is a caller's answer.
-type reply struct {
+// response is the response to a caller.
+type response struct {
 	status int
 	id     string
 	body   []byte
 }
 
-// call sends a request with a team's key; more arguments are headers, each with
-// its value.
-func call(url, key, body string, header []string) (reply, error) {
+// postRequest sends a request with a team's key. The header slice alternates names and values.
+func postRequest(url, key, body string, header []string) (response, error) {
 	req, err := http.NewRequest(http.MethodPost, url, bytes.NewBufferString(body))
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -188,24 +188,25 @@
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return reply{}, err
+		return response{}, err
 	}
 	defer res.Body.Close()
-	return drain(res)
+	return readResponse(res)
 }
 
-func drain(res *http.Response) (reply, error) {
+func readResponse(res *http.Response) (response, error) {
 	text, err := io.ReadAll(res.Body)
-	return reply{status: res.StatusCode, id: res.Header.Get("Fireflypath-Request"), body: text}, err
+	return response{status: res.StatusCode, id: res.Header.Get("Fireflypath-Request"), body: text}, err
 }
 
-// post STATUS URL KEY BODY HEADERS sends one request, expects the status, and
-// sets ID if a daemon answered. The answer's body is in the file "answer".
-func post(ts *testscript.TestScript, neg bool, args []string) {
+// cmdPost implements "post STATUS URL KEY BODY [HEADER VALUE ...]", which sends a request
+// and expects the status. It sets ID if a daemon responded and writes the response
+// body to the file "answer".
+func cmdPost(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 4 {
 		ts.Fatalf("usage: post STATUS URL KEY BODY [HEADER VALUE ...]")
 	}
-	r, err := call(args[1], args[2], args[3], args[4:])
+	r, err := postRequest(args[1], args[2], args[3], args[4:])
 	ts.Check(err)
 	if r.id != "" {
 		ts.Setenv("ID", r.id)
@@ -216,19 +217,20 @@
 	}
 }
 
-// flood N PATTERN URL KEY BODY HEADERS sends N requests at once, waits for all
-// answers, and sets ID and the file "answer" from one whose body matches.
-func flood(ts *testscript.TestScript, neg bool, args []string) {
+// cmdPostMany implements "postmany N PATTERN URL KEY BODY [HEADER VALUE ...]", which sends
+// N concurrent requests, waits for all of them, and takes ID and the file "answer"
+// from a response whose body matches.
+func cmdPostMany(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 5 {
-		ts.Fatalf("usage: flood N PATTERN URL KEY BODY [HEADER VALUE ...]")
+		ts.Fatalf("usage: postmany N PATTERN URL KEY BODY [HEADER VALUE ...]")
 	}
 	n, err := strconv.Atoi(args[0])
 	ts.Check(err)
-	replies := make([]reply, n)
+	replies := make([]response, n)
 	var wg sync.WaitGroup
 	for i := range replies {
-		// A broken connection leaves an empty body, which matches nothing.
-		wg.Go(func() { replies[i], _ = call(args[2], args[3], args[4], args[5:]) })
+		// A failed request leaves an empty body, which is not expected to match.
+		wg.Go(func() { replies[i], _ = postRequest(args[2], args[3], args[4], args[5:]) })
 	}
 	wg.Wait()
 	want := regexp.MustCompile(args[1])
@@ -239,12 +241,12 @@
 			return
 		}
 	}
-	ts.Fatalf("none of %d answers matches %s; the first: %s", n, want, replies[0].body)
+	ts.Fatalf("none of %d responses matched %s; the first was %s", n, want, replies[0].body)
 }
 
-// capture PATTERN FILE sets a variable for each named group found in a file, or
-// in the last program's output if none is named.
-func capture(ts *testscript.TestScript, neg bool, args []string) {
+// cmdCapture implements "capture PATTERN [FILE]", which sets a variable for each named
+// group found in a file, or by default in the output of the last program.
+func cmdCapture(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 1 || len(args) > 2 {
 		ts.Fatalf("usage: capture PATTERN [FILE]")
 	}
@@ -252,28 +254,29 @@
 	if len(args) == 2 {
 		file = args[1]
 	}
-	if !learn(ts, regexp.MustCompile(args[0]), ts.ReadFile(file)) {
+	if !setGroupVariables(ts, regexp.MustCompile(args[0]), ts.ReadFile(file)) {
 		ts.Fatalf("no match for %s", args[0])
 	}
 }
 
-// both FLAGS -- FLAGS runs the client twice at once. The files "out" and "err"
-// hold what the two print, and the file "codes" their exit codes in order.
-func both(ts *testscript.TestScript, neg bool, args []string) {
+// cmdConcurrently implements "concurrently FLAGS -- FLAGS", which runs two clients at the
+// same time. The files "out" and "err" hold the output of both, the file "codes"
+// their exit codes in ascending order.
+func cmdConcurrently(ts *testscript.TestScript, neg bool, args []string) {
 	i := slices.Index(args, "--")
 	if neg || i < 0 {
-		ts.Fatalf("usage: both FLAGS -- FLAGS")
+		ts.Fatalf("usage: concurrently FLAGS -- FLAGS")
 	}
 	var out, errs [2]bytes.Buffer
 	var codes [2]int
 	var wg sync.WaitGroup
 	for n, flags := range [][]string{args[:i], args[i+1:]} {
-		cmd := exec.Command(filepath.Join(bin, "fireflypath"), flags...)
+		cmd := exec.Command(filepath.Join(binDir, "fireflypath"), flags...)
 		cmd.Env = append(os.Environ(),
 			"FIREFLYPATH_AT="+ts.Getenv("FIREFLYPATH_AT"), "FIREFLYPATH_KEY="+ts.Getenv("FIREFLYPATH_KEY"))
 		cmd.Stdout, cmd.Stderr = &out[n], &errs[n]
 		wg.Go(func() {
-			// The exit code is what counts; it is -1 if the program did not run.
+			// Only the exit code matters; it is -1 if the program did not run.
 			_ = cmd.Run()
 			codes[n] = cmd.ProcessState.ExitCode()
 		})
@@ -285,19 +288,20 @@
 	ts.Check(os.WriteFile(ts.MkAbs("codes"), fmt.Appendln(nil, codes[0], codes[1]), 0o600))
 }
 
-// pause is the time between two tries of soon.
-const pause = 50 * time.Millisecond
+// pollInterval is the pause between two attempts of eventually and getuntil.
+const pollInterval = 50 * time.Millisecond
 
-// soon PATTERN PROGRAM ARGS runs a program until its output matches.
-func soon(ts *testscript.TestScript, neg bool, args []string) {
+// cmdEventually implements "eventually PATTERN PROGRAM ARGS", which runs a program until its
+// output matches.
+func cmdEventually(ts *testscript.TestScript, neg bool, args []string) {
 	if neg || len(args) < 2 {
-		ts.Fatalf("usage: soon PATTERN PROGRAM ARGS")
+		ts.Fatalf("usage: eventually PATTERN PROGRAM ARGS")
 	}
 	want := regexp.MustCompile(args[0])
-	for limit := time.Now().Add(patience); time.Now().Before(limit); time.Sleep(pause) {
+	for limit := time.Now().Add(waitLimit); time.Now().Before(limit); time.Sleep(pollInterval) {
 		if err := ts.Exec(args[1], args[2:]...); err == nil && want.MatchString(ts.ReadFile("stdout")) {
 			return
 		}
 	}
-	ts.Fatalf("no output like %s within %s", want, patience)
+	ts.Fatalf("no output matched %s within %s", want, waitLimit)
 }
