--- a/cmd/fireflypath/demo.go
+++ b/cmd/fireflypath/demo.go
@@ -54,7 +54,7 @@
 }
 
 func demoOptions(c *cli.Command) (demo.Options, error) {
-	m, ok := mix.Find(c.String("mix"))
+	m, ok := mix.ByName(c.String("mix"))
 	if !ok {
 		return demo.Options{}, errors.Newf("no mix is named %q", c.String("mix"))
 	}
--- a/cmd/fireflypath/load.go
+++ b/cmd/fireflypath/load.go
@@ -34,14 +34,14 @@
 }
 
 func runLoad(ctx context.Context, c *cli.Command) error {
-	m, ok := mix.Find(c.String("mix"))
+	m, ok := mix.ByName(c.String("mix"))
 	if !ok {
 		return exitError{errors.Newf("no mix is named %q", c.String("mix")), exitInput}
 	}
 	if c.Float("rate") <= 0 || c.Duration("for") <= 0 {
 		return exitError{errors.New("rate and time must be above 0"), exitInput}
 	}
-	f := load.Format{Run: ulid.Make().String(), Model: c.String("model"), Tokens: make(map[string]string)}
+	f := load.Format{RunID: ulid.Make().String(), Model: c.String("model"), Tokens: make(map[string]string)}
 	for _, k := range c.StringSlice("key") {
 		team, token, ok := strings.Cut(k, "=")
 		if !ok {
@@ -49,7 +49,7 @@
 		}
 		f.Tokens[team] = token
 	}
-	arrivals := m.Arrivals(mix.Options{Seed: c.Uint64("seed"), Rate: c.Float("rate"), For: c.Duration("for")})
+	arrivals := m.Arrivals(mix.Options{Seed: c.Uint64("seed"), Rate: c.Float("rate"), Duration: c.Duration("for")})
 	tally := load.NewTally(m)
 	load.Run(ctx, clockwork.NewRealClock(), arrivals, load.NewClients(c.StringSlice("url"), f), tally)
 	return printLoad(c, tally.Report(c.Duration("for")))
--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -34,7 +34,7 @@
 }
 
 func newCallers(d *Demo) *callers {
-	c := &callers{format: load.Format{Run: d.run, Model: mix.Model}, tiers: make(map[string]string)}
+	c := &callers{format: load.Format{RunID: d.run, Model: mix.Model}, tiers: make(map[string]string)}
 	for _, x := range d.daemons {
 		c.clients = append(c.clients, client.New(x.CallerAddr()))
 	}
@@ -87,7 +87,7 @@
 
 // check compares an answer with the one that the stand-ins give to the request.
 func check(a mix.Arrival, r *client.Request, got *client.Answer) error {
-	err := load.Check(got)
+	err := load.CheckAnswer(got)
 	switch {
 	case got.Refusal != nil, err != nil:
 		return err
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -98,7 +98,7 @@
 
 // send runs the arrivals and the faults side by side, and waits for all answers.
 func (d *Demo) send(ctx context.Context) error {
-	o := mix.Options{Seed: d.o.Seed, Rate: d.o.Rate, For: d.o.For}
+	o := mix.Options{Seed: d.o.Seed, Rate: d.o.Rate, Duration: d.o.For}
 	if !d.o.Quiet {
 		o.Bursts = []mix.Burst{d.burst()}
 	}
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -34,7 +34,7 @@
 
 // burst is one large team's sudden work.
 func (d *Demo) burst() mix.Burst {
-	return mix.Burst{At: d.part(0.4), For: d.part(0.15), Team: d.o.Mix.Teams[1].Name, Factor: 25}
+	return mix.Burst{Start: d.part(0.4), Duration: d.part(0.15), Team: d.o.Mix.Teams[1].Name, Factor: 25}
 }
 
 // strike shows the faults one after the other.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -41,16 +41,16 @@
 	defer wg.Wait()
 	start := clock.Now()
 	for a := range arrivals {
-		if !sleep(ctx, clock, a.At-clock.Since(start)) {
+		if !sleepContext(ctx, clock, a.At-clock.Since(start)) {
 			return
 		}
 		wg.Go(func() {
-			t.Add(one(ctx, clock, start.Add(a.At), a, s))
+			t.Add(sendOne(ctx, clock, start.Add(a.At), a, s))
 		})
 	}
 }
 
-func sleep(ctx context.Context, clock clockwork.Clock, d time.Duration) bool {
+func sleepContext(ctx context.Context, clock clockwork.Clock, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-func one(ctx context.Context, clock clockwork.Clock, due time.Time, a mix.Arrival, s Sender) Outcome {
+func sendOne(ctx context.Context, clock clockwork.Clock, due time.Time, a mix.Arrival, s Sender) Outcome {
 	o := Outcome{Arrival: a}
 	o.Refusal, o.Err = s.Send(ctx, a, func() { o.First = clock.Since(due) })
 	o.Took = clock.Since(due)
--- a/internal/load/print.go
+++ b/internal/load/print.go
@@ -6,11 +6,11 @@
 	"text/tabwriter"
 )
 
-const header = "tier\tsent\twhole\tin time\trefused\tfailed\tgoodput/s\tp50 ms\tp95 ms\tp99 ms\tfirst p50\tfirst p95\t\n"
+const tableHeader = "tier\tsent\twhole\tin time\trefused\tfailed\tgoodput/s\tp50 ms\tp95 ms\tp99 ms\tfirst p50\tfirst p95\t\n"
 
 // Print writes a report as a table.
 func (r Report) Print(w io.Writer) error {
-	rows := []byte(header)
+	rows := []byte(tableHeader)
 	for _, x := range r.Tiers {
 		rows = fmt.Appendf(rows, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n",
 			x.Tier, x.Sent, x.Whole, x.InTime, x.Refused, x.Failed, x.Goodput,
@@ -23,15 +23,15 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	var rest []byte
+	var footer []byte
 	for _, c := range r.Codes {
-		rest = fmt.Appendf(rest, "refused as %s, run %s: %d (%s)\n", c.Code, c.Run, c.Count, c.Example)
+		footer = fmt.Appendf(footer, "refused as %s, run %s: %d (%s)\n", c.Code, c.Run, c.Count, c.Example)
 	}
 	for _, e := range r.Errors {
-		rest = fmt.Appendf(rest, "failed: %s\n", e)
+		footer = fmt.Appendf(footer, "failed: %s\n", e)
 	}
-	rest = fmt.Appendf(rest, "load: sent=%d whole=%d in_time=%d refused=%d failed=%d\n",
+	footer = fmt.Appendf(footer, "load: sent=%d whole=%d in_time=%d refused=%d failed=%d\n",
 		r.Sent, r.Whole, r.InTime, r.Refused, r.Failed)
-	_, err := w.Write(rest)
+	_, err := w.Write(footer)
 	return err
 }
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -14,8 +14,8 @@
 	"github.com/fireflypath/fireflypath/pkg/client"
 )
 
-// errCrossed means that a caller received another request's answer.
-var errCrossed = errors.New("answer belongs to another request")
+// errWrongID means that a caller received another request's answer.
+var errWrongID = errors.New("answer belongs to another request")
 
 // Clients spreads requests over daemons by turns and sends each once.
 type Clients struct {
@@ -42,24 +42,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return got.Refusal, Check(got)
+	return got.Refusal, CheckAnswer(got)
 }
 
-// Check says what is wrong with an answer that is neither refused nor cut.
-func Check(a *client.Answer) error {
+// CheckAnswer says what is wrong with an answer that is neither refused nor cut.
+func CheckAnswer(a *client.Answer) error {
 	if a.Refusal == nil && a.Status != 200 {
 		return errors.Newf("status %d: %.100q", a.Status, a.Body)
 	}
 	if a.WrongID {
-		return errors.Wrap(errCrossed, a.ID)
+		return errors.Wrap(errWrongID, a.ID)
 	}
 	return nil
 }
 
 // Format turns arrivals into requests.
 type Format struct {
-	// Run is unique to the run, so that keys are.
-	Run string
+	// RunID is unique to the run, so that keys are.
+	RunID string
 	// Model is named in requests to engines.
 	Model string
 	// Tokens are the teams' bearer tokens; mix.Token is taken for others.
@@ -81,7 +81,7 @@
 		r.Path = fmt.Sprintf("/services/%s/deliveries/%d", a.Pool, a.Seq)
 		r.Body = []byte(a.Prompt())
 		r.NotIdempotent = !a.Idempotent
-		r.IdempotencyKey = fmt.Sprintf("%s-%d", f.Run, a.Seq)
+		r.IdempotencyKey = fmt.Sprintf("%s-%d", f.RunID, a.Seq)
 		return r
 	}
 	r.Path = "/v1/completions"
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// longest is the largest latency kept apart from others: above any deadline of a mix.
-	longest = 10 * time.Minute
-	// digits is the precision of latencies: 1 in 1000 is finer than runs repeat.
-	digits = 3
+	// maxLatency is the largest latency kept apart from others: above any deadline of a mix.
+	maxLatency = 10 * time.Minute
+	// significantDigits is the precision of latencies: 1 in 1000 is finer than runs repeat.
+	significantDigits = 3
 	// maxErrors bounds the error texts that a report quotes.
 	maxErrors = 5
 )
@@ -70,7 +70,7 @@
 	Example string `json:"example"`
 }
 
-type code struct {
+type refusalKey struct {
 	code fireflypath.Reason
 	run  fireflypath.Run
 }
@@ -78,12 +78,12 @@
 // Tally takes outcomes in, from many goroutines.
 type Tally struct {
 	mu     sync.Mutex
-	tiers  map[int]*tier
-	codes  map[code]*CodeCount
+	tiers  map[int]*tierStats
+	codes  map[refusalKey]*CodeCount
 	errors []string
 }
 
-type tier struct {
+type tierStats struct {
 	report TierReport
 	answer *hdrhistogram.Histogram
 	first  *hdrhistogram.Histogram
@@ -91,12 +91,12 @@
 
 // NewTally makes an empty tally for a mix.
 func NewTally(m mix.Mix) *Tally {
-	t := &Tally{tiers: make(map[int]*tier), codes: make(map[code]*CodeCount)}
+	t := &Tally{tiers: make(map[int]*tierStats), codes: make(map[refusalKey]*CodeCount)}
 	for _, x := range m.Tiers {
-		t.tiers[x.Rank] = &tier{
+		t.tiers[x.Rank] = &tierStats{
 			report: TierReport{Tier: x.Name, Rank: x.Rank},
-			answer: hdrhistogram.New(1, longest.Microseconds(), digits),
-			first:  hdrhistogram.New(1, longest.Microseconds(), digits),
+			answer: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
+			first:  hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 		}
 	}
 	return t
@@ -106,31 +106,31 @@
 func (t *Tally) Add(o Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x := t.tiers[o.Arrival.Rank]
-	x.report.Sent++
+	stats := t.tiers[o.Arrival.Rank]
+	stats.report.Sent++
 	switch {
 	case o.Whole:
-		x.whole(o)
+		stats.addWhole(o)
 	case o.Refusal != nil:
-		x.report.Refused++
-		t.refused(o.Refusal)
+		stats.report.Refused++
+		t.addRefusal(o.Refusal)
 	default:
-		x.report.Failed++
+		stats.report.Failed++
 		if len(t.errors) < maxErrors {
 			t.errors = append(t.errors, o.Err.Error())
 		}
 	}
 }
 
-func (t *Tally) refused(f *fireflypath.Refusal) {
-	k := code{f.Code, f.Run}
+func (t *Tally) addRefusal(f *fireflypath.Refusal) {
+	k := refusalKey{f.Code, f.Run}
 	if t.codes[k] == nil {
 		t.codes[k] = &CodeCount{Code: f.Code, Run: f.Run, Example: f.Detail}
 	}
 	t.codes[k].Count++
 }
 
-func (x *tier) whole(o Outcome) {
+func (x *tierStats) addWhole(o Outcome) {
 	x.report.Whole++
 	if o.Took <= o.Arrival.Deadline {
 		x.report.InTime++
@@ -145,16 +145,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := Report{Seconds: d.Seconds(), Errors: slices.Clone(t.errors)}
-	for _, x := range t.tiers {
-		line := x.report
-		line.Goodput = float64(line.InTime) / d.Seconds()
-		line.Answer, line.First = latency(x.answer), latency(x.first)
-		r.Tiers = append(r.Tiers, line)
-		r.Sent += line.Sent
-		r.Whole += line.Whole
-		r.InTime += line.InTime
-		r.Refused += line.Refused
-		r.Failed += line.Failed
+	for _, stats := range t.tiers {
+		report := stats.report
+		report.Goodput = float64(report.InTime) / d.Seconds()
+		report.Answer, report.First = latency(stats.answer), latency(stats.first)
+		r.Tiers = append(r.Tiers, report)
+		r.Sent += report.Sent
+		r.Whole += report.Whole
+		r.InTime += report.InTime
+		r.Refused += report.Refused
+		r.Failed += report.Failed
 	}
 	slices.SortFunc(r.Tiers, func(a, b TierReport) int { return cmp.Compare(a.Rank, b.Rank) })
 	for _, c := range t.codes {
--- a/internal/mix/arrival.go
+++ b/internal/mix/arrival.go
@@ -13,9 +13,9 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// zipf is the exponent of document popularity: a usual value for requests to
+// zipfExponent is the exponent of document popularity: a usual value for requests to
 // documents on the web, between 0.6 and 1; rand.Zipf needs more than 1.
-const zipf = 1.1
+const zipfExponent = 1.1
 
 // Options choose the arrivals.
 type Options struct {
@@ -23,16 +23,16 @@
 	Seed uint64
 	// Rate is in requests a second over all streams; more than 0.
 	Rate float64
-	// For is how long requests arrive.
-	For time.Duration
+	// Duration is how long requests arrive.
+	Duration time.Duration
 	// Bursts raise a team's rate for a while.
 	Bursts []Burst
 }
 
 // Burst multiplies the rate of a team.
 type Burst struct {
-	At  time.Duration
-	For time.Duration
+	Start    time.Duration
+	Duration time.Duration
 	// Team is the bursting team; empty means all teams.
 	Team string
 	// Factor is at least 1.
@@ -53,24 +53,24 @@
 	// Deadline is counted from At.
 	Deadline   time.Duration
 	Idempotent bool
-	// Document is the seed of the text that the prompt begins with, Shared the
+	// DocumentSeed is the seed of the text that the prompt begins with, Shared the
 	// number of its whole blocks that belong to the document.
-	Document uint64
-	Shared   int
-	// Own is the seed of the rest of the prompt.
-	Own uint64
+	DocumentSeed uint64
+	SharedBlocks int
+	// OwnSeed is the seed of the rest of the prompt.
+	OwnSeed uint64
 }
 
 // Arrivals generates a Poisson process; the same options give the same arrivals.
 func (m Mix) Arrivals(o Options) iter.Seq[Arrival] {
 	return func(yield func(Arrival) bool) {
 		g := newGenerator(m, o)
-		for at := g.gap(); at < o.For; at += g.gap() {
-			s, ok := g.pick(at)
+		for at := g.interarrival(); at < o.Duration; at += g.interarrival() {
+			s, ok := g.pickStream(at)
 			if !ok {
 				continue
 			}
-			if !yield(g.arrival(at, s)) {
+			if !yield(g.newArrival(at, s)) {
 				return
 			}
 		}
@@ -78,38 +78,38 @@
 }
 
 type generator struct {
-	mix    Mix
-	o      Options
-	rnd    *rand.Rand
-	zipfs  []*rand.Zipf
-	shares float64
-	peak   float64
-	seq    int
+	mix        Mix
+	options    Options
+	rng        *rand.Rand
+	documents  []*rand.Zipf
+	totalShare float64
+	peakFactor float64
+	seq        int
 }
 
 func newGenerator(m Mix, o Options) *generator {
-	g := &generator{mix: m, o: o, rnd: rand.New(rand.NewPCG(o.Seed, uint64(len(m.Streams)))), peak: 1}
+	g := &generator{mix: m, options: o, rng: rand.New(rand.NewPCG(o.Seed, uint64(len(m.Streams)))), peakFactor: 1}
 	for _, s := range m.Streams {
-		g.shares += s.Share
-		g.zipfs = append(g.zipfs, rand.NewZipf(g.rnd, zipf, 1, uint64(max(s.Documents, 1)-1)))
+		g.totalShare += s.Share
+		g.documents = append(g.documents, rand.NewZipf(g.rng, zipfExponent, 1, uint64(max(s.Documents, 1)-1)))
 	}
 	for _, b := range o.Bursts {
-		g.peak *= max(1, b.Factor)
+		g.peakFactor *= max(1, b.Factor)
 	}
 	return g
 }
 
-// gap draws the time to the next candidate at the highest rate; pick thins the
+// interarrival draws the time to the next candidate at the highest rate; pick thins the
 // candidates to the rate of the moment.
-func (g *generator) gap() time.Duration {
-	return time.Duration(g.rnd.ExpFloat64() / (g.o.Rate * g.peak) * float64(time.Second))
+func (g *generator) interarrival() time.Duration {
+	return time.Duration(g.rng.ExpFloat64() / (g.options.Rate * g.peakFactor) * float64(time.Second))
 }
 
-// pick draws the stream of a candidate, or none.
-func (g *generator) pick(at time.Duration) (int, bool) {
-	x := g.rnd.Float64() * g.shares * g.peak
+// pickStream draws the stream of a candidate, or none.
+func (g *generator) pickStream(at time.Duration) (int, bool) {
+	x := g.rng.Float64() * g.totalShare * g.peakFactor
 	for i, s := range g.mix.Streams {
-		x -= s.Share * g.factor(s.Team, at)
+		x -= s.Share * g.burstFactor(s.Team, at)
 		if x < 0 {
 			return i, true
 		}
@@ -117,17 +117,17 @@
 	return 0, false
 }
 
-func (g *generator) factor(team string, at time.Duration) float64 {
+func (g *generator) burstFactor(team string, at time.Duration) float64 {
 	f := 1.0
-	for _, b := range g.o.Bursts {
-		if (b.Team == "" || b.Team == team) && at >= b.At && at < b.At+b.For {
+	for _, b := range g.options.Bursts {
+		if (b.Team == "" || b.Team == team) && at >= b.Start && at < b.Start+b.Duration {
 			f *= max(1, b.Factor)
 		}
 	}
 	return f
 }
 
-func (g *generator) arrival(at time.Duration, i int) Arrival {
+func (g *generator) newArrival(at time.Duration, i int) Arrival {
 	s := g.mix.Streams[i]
 	a := Arrival{
 		Seq:        g.seq,
@@ -136,42 +136,42 @@
 		Tier:       s.Tier,
 		Rank:       g.mix.Rank(s.Tier),
 		Pool:       s.Pool,
-		Cost:       fireflypath.Cost{Prompt: g.tokens(s.Prompt), MaxOutput: g.tokens(s.Output)},
+		Cost:       fireflypath.Cost{Prompt: g.drawTokens(s.Prompt), MaxOutput: g.drawTokens(s.Output)},
 		Deadline:   s.Deadline,
 		Idempotent: s.Idempotent,
-		Own:        g.rnd.Uint64(),
+		OwnSeed:    g.rng.Uint64(),
 	}
 	g.seq++
 	if s.Documents > 0 {
-		a.Document = seed(uint64(i), g.zipfs[i].Uint64())
-		a.Shared = int(float64(a.Cost.Prompt)*s.Shared) / BlockTokens
+		a.DocumentSeed = combineSeeds(uint64(i), g.documents[i].Uint64())
+		a.SharedBlocks = int(float64(a.Cost.Prompt)*s.SharedFraction) / BlockTokens
 	}
 	return a
 }
 
-// tokens draws a log-uniform number.
-func (g *generator) tokens(s Span) int {
+// drawTokens draws a log-uniform number.
+func (g *generator) drawTokens(s TokenRange) int {
 	if s.Max <= s.Min {
 		return s.Min
 	}
 	lo, hi := math.Log(float64(s.Min)), math.Log(float64(s.Max))
-	return int(math.Round(math.Exp(lo + g.rnd.Float64()*(hi-lo))))
+	return int(math.Round(math.Exp(lo + g.rng.Float64()*(hi-lo))))
 }
 
-// seed mixes two numbers into one.
-func seed(a, b uint64) uint64 {
+// combineSeeds mixes two numbers into one.
+func combineSeeds(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], a)
 	binary.LittleEndian.PutUint64(buf[8:], b)
 	return xxhash.Sum64(buf[:])
 }
 
-// block is the seed of block i of the prompt.
-func (a Arrival) block(i int) uint64 {
-	if i < a.Shared {
-		return seed(a.Document, uint64(i))
+// blockSeed is the seed of block i of the prompt.
+func (a Arrival) blockSeed(i int) uint64 {
+	if i < a.SharedBlocks {
+		return combineSeeds(a.DocumentSeed, uint64(i))
 	}
-	return seed(a.Own, uint64(i))
+	return combineSeeds(a.OwnSeed, uint64(i))
 }
 
 // Blocks are stand-ins for the cumulative hashes of the prompt's whole blocks:
@@ -179,10 +179,10 @@
 // those of Prompt and are not the same numbers.
 func (a Arrival) Blocks() []uint64 {
 	out := make([]uint64, a.Cost.Prompt/BlockTokens)
-	var before uint64
+	var previous uint64
 	for i := range out {
-		before = seed(before, a.block(i))
-		out[i] = before
+		previous = combineSeeds(previous, a.blockSeed(i))
+		out[i] = previous
 	}
 	return out
 }
@@ -192,7 +192,7 @@
 func (a Arrival) Prompt() string {
 	out := make([]byte, 0, a.Cost.Prompt*TokenBytes)
 	for i := 0; len(out) < cap(out); i++ {
-		out = appendBlock(out, a.block(i))
+		out = appendBlock(out, a.blockSeed(i))
 	}
 	return string(out)
 }
--- a/internal/mix/mix.go
+++ b/internal/mix/mix.go
@@ -42,21 +42,21 @@
 	// Share is the part of the mix's arrivals, against the other streams.
 	Share float64
 	// Prompt and Output are token counts, log-uniform between the bounds.
-	Prompt Span
-	Output Span
+	Prompt TokenRange
+	Output TokenRange
 	// Deadline is counted from the arrival.
 	Deadline time.Duration
 	// Documents is the number of texts that prompts begin with; few are asked
 	// for often (Zipf's law). 0 means that no two prompts begin alike.
 	Documents int
-	// Shared is the part of a prompt that its document covers.
-	Shared float64
+	// SharedFraction is the part of a prompt that its document covers.
+	SharedFraction float64
 	// Idempotent is false for work that must not run twice; it carries a key.
 	Idempotent bool
 }
 
-// Span bounds a number of tokens.
-type Span struct {
+// TokenRange bounds a number of tokens.
+type TokenRange struct {
 	Min int
 	Max int
 }
@@ -64,8 +64,8 @@
 // Length of requests varies by a factor of about a hundred (brief, "Our
 // workloads"): from a co-op's question to a mud-log packet.
 const (
-	shortest = 160
-	longest  = 100 * shortest
+	minPromptTokens = 160
+	maxPromptTokens = 100 * minPromptTokens
 )
 
 // Pozo is Pozo Austral Datos: well records, where long scanned reports make
@@ -88,22 +88,22 @@
 		Streams: []Stream{
 			{
 				Team: "reservoir", Tier: "workover", Pool: Models, Share: 20, Deadline: 8 * time.Second,
-				Prompt: Span{4 * shortest, longest / 4}, Output: Span{16, 160}, Documents: 40, Shared: 0.8, Idempotent: true,
+				Prompt: TokenRange{4 * minPromptTokens, maxPromptTokens / 4}, Output: TokenRange{16, 160}, Documents: 40, SharedFraction: 0.8, Idempotent: true,
 			},
 			{
 				Team: "reservoir", Tier: "permit", Pool: Models, Share: 10, Deadline: 20 * time.Second,
-				Prompt: Span{shortest, longest}, Output: Span{16, 160}, Documents: 40, Shared: 0.8, Idempotent: true,
+				Prompt: TokenRange{minPromptTokens, maxPromptTokens}, Output: TokenRange{16, 160}, Documents: 40, SharedFraction: 0.8, Idempotent: true,
 			},
 			{
 				Team: "extraction", Tier: "permit", Pool: Models, Share: 25, Deadline: 20 * time.Second,
-				Prompt: Span{shortest, longest}, Output: Span{16, 320}, Documents: 80, Shared: 0.9, Idempotent: true,
+				Prompt: TokenRange{minPromptTokens, maxPromptTokens}, Output: TokenRange{16, 320}, Documents: 80, SharedFraction: 0.9, Idempotent: true,
 			},
 			{
 				Team: "scanning", Tier: "archive", Pool: Models, Share: 30, Deadline: 60 * time.Second,
-				Prompt: Span{shortest, longest}, Output: Span{8, 64}, Documents: 200, Shared: 0.5, Idempotent: true,
+				Prompt: TokenRange{minPromptTokens, maxPromptTokens}, Output: TokenRange{8, 64}, Documents: 200, SharedFraction: 0.5, Idempotent: true,
 			},
-			packet("field", "workover", 10, 5*time.Second),
-			packet("regulators", "permit", 5, 20*time.Second),
+			packetStream("field", "workover", 10, 5*time.Second),
+			packetStream("regulators", "permit", 5, 20*time.Second),
 		},
 	}
 }
@@ -128,27 +128,27 @@
 		Streams: []Stream{
 			{
 				Team: "traders", Tier: "exchange", Pool: Models, Share: 25, Deadline: 3 * time.Second,
-				Prompt: Span{shortest, 10 * shortest}, Output: Span{16, 96}, Documents: 30, Shared: 0.5, Idempotent: true,
+				Prompt: TokenRange{minPromptTokens, 10 * minPromptTokens}, Output: TokenRange{16, 96}, Documents: 30, SharedFraction: 0.5, Idempotent: true,
 			},
 			{
 				Team: "desk", Tier: "exchange", Pool: Models, Share: 5, Deadline: 3 * time.Second,
-				Prompt: Span{shortest, 10 * shortest}, Output: Span{16, 96}, Documents: 30, Shared: 0.5, Idempotent: true,
+				Prompt: TokenRange{minPromptTokens, 10 * minPromptTokens}, Output: TokenRange{16, 96}, Documents: 30, SharedFraction: 0.5, Idempotent: true,
 			},
 			{
 				Team: "coops", Tier: "question", Pool: Models, Share: 40, Deadline: 10 * time.Second,
-				Prompt: Span{shortest, 4 * shortest}, Output: Span{8, 96}, Documents: 60, Shared: 0.4, Idempotent: true,
+				Prompt: TokenRange{minPromptTokens, 4 * minPromptTokens}, Output: TokenRange{8, 96}, Documents: 60, SharedFraction: 0.4, Idempotent: true,
 			},
 			{
 				Team: "millers", Tier: "review", Pool: Models, Share: 20, Deadline: 120 * time.Second,
-				Prompt: Span{10 * shortest, longest}, Output: Span{64, 640}, Documents: 100, Shared: 0.6, Idempotent: true,
+				Prompt: TokenRange{10 * minPromptTokens, maxPromptTokens}, Output: TokenRange{64, 640}, Documents: 100, SharedFraction: 0.6, Idempotent: true,
 			},
-			packet("notices", "question", 10, 10*time.Second),
+			packetStream("notices", "question", 10, 10*time.Second),
 		},
 	}
 }
 
-// Find returns the mix of a name.
-func Find(name string) (Mix, bool) {
+// ByName returns the mix of a name.
+func ByName(name string) (Mix, bool) {
 	for _, m := range []Mix{Pozo(), Meelwerk()} {
 		if m.Name == name {
 			return m, true
@@ -161,12 +161,12 @@
 	return fireflypath.Tier{Name: name, Rank: rank, Deadline: fireflypath.Duration(deadline)}
 }
 
-// packet is the delivery of a record packet or a notice: a call to a plain
+// packetStream is the delivery of a record packet or a notice: a call to a plain
 // service that must not run twice.
-func packet(team, tier string, share float64, deadline time.Duration) Stream {
+func packetStream(team, tier string, share float64, deadline time.Duration) Stream {
 	return Stream{
 		Team: team, Tier: tier, Pool: Packets, Share: share, Deadline: deadline,
-		Prompt: Span{shortest, shortest}, Idempotent: false,
+		Prompt: TokenRange{minPromptTokens, minPromptTokens}, Idempotent: false,
 	}
 }
 
--- a/internal/mix/mix_test.go
+++ b/internal/mix/mix_test.go
@@ -14,7 +14,7 @@
 	for _, m := range []mix.Mix{mix.Pozo(), mix.Meelwerk()} {
 		t.Run(m.Name, func(t *testing.T) {
 			is := is.New(t)
-			o := mix.Options{Seed: 1, Rate: 100, For: time.Minute}
+			o := mix.Options{Seed: 1, Rate: 100, Duration: time.Minute}
 			got := slices.Collect(m.Arrivals(o))
 			is.Equal(got, slices.Collect(m.Arrivals(o))) // same seed, same arrivals
 			is.True(len(got) > 5600 && len(got) < 6400)  // 6000, sd 77
@@ -39,19 +39,19 @@
 func TestPromptMatchesBlocks(t *testing.T) {
 	is := is.New(t)
 	var first *mix.Arrival
-	for a := range mix.Pozo().Arrivals(mix.Options{Seed: 2, Rate: 10, For: time.Hour}) {
+	for a := range mix.Pozo().Arrivals(mix.Options{Seed: 2, Rate: 10, Duration: time.Hour}) {
 		is.Equal(len(a.Prompt()), a.Cost.Prompt*mix.TokenBytes)
-		if a.Shared < 2 {
+		if a.SharedBlocks < 2 {
 			continue
 		}
 		if first == nil {
 			first = &a
 			continue
 		}
-		if a.Document != first.Document {
+		if a.DocumentSeed != first.DocumentSeed {
 			continue
 		}
-		n := min(a.Shared, first.Shared)
+		n := min(a.SharedBlocks, first.SharedBlocks)
 		size := n * mix.BlockTokens * mix.TokenBytes
 		is.Equal(a.Blocks()[:n], first.Blocks()[:n])
 		is.Equal(a.Prompt()[:size], first.Prompt()[:size])
@@ -62,13 +62,13 @@
 
 func TestBurst(t *testing.T) {
 	is := is.New(t)
-	o := mix.Options{Seed: 3, Rate: 100, For: time.Minute}
-	o.Bursts = []mix.Burst{{At: 20 * time.Second, For: 20 * time.Second, Team: "traders", Factor: 5}}
-	var third [3]int
+	o := mix.Options{Seed: 3, Rate: 100, Duration: time.Minute}
+	o.Bursts = []mix.Burst{{Start: 20 * time.Second, Duration: 20 * time.Second, Team: "traders", Factor: 5}}
+	var counts [3]int
 	for a := range mix.Meelwerk().Arrivals(o) {
 		if a.Team == "traders" {
-			third[a.At/(20*time.Second)]++
+			counts[a.At/(20*time.Second)]++
 		}
 	}
-	is.True(third[1] > 4*third[0] && third[1] > 4*third[2])
+	is.True(counts[1] > 4*counts[0] && counts[1] > 4*counts[2])
 }
--- a/internal/trial/bound.go
+++ b/internal/trial/bound.go
@@ -30,7 +30,7 @@
 // least is what an arrival needs if its document is cached. On average half of
 // the allowed output is generated.
 func least(a mix.Arrival) need {
-	return need{prefill: float64(a.Cost.Prompt - a.Shared*block), decode: float64(a.Cost.MaxOutput) / 2}
+	return need{prefill: float64(a.Cost.Prompt - a.SharedBlocks*block), decode: float64(a.Cost.MaxOutput) / 2}
 }
 
 // capacity is the rate in requests a second at which the scarcer of prefill and
@@ -54,7 +54,7 @@
 func rate(m mix.Mix, of func(mix.Arrival) need) float64 {
 	var sum need
 	n := 0
-	for a := range m.Arrivals(mix.Options{Seed: 1, Rate: samples, For: time.Second}) {
+	for a := range m.Arrivals(mix.Options{Seed: 1, Rate: samples, Duration: time.Second}) {
 		sum.prefill += of(a).prefill
 		sum.decode += of(a).decode
 		n++
--- a/internal/trial/fleet.go
+++ b/internal/trial/fleet.go
@@ -152,7 +152,7 @@
 // arrive is a caller's first attempt, through a daemon that the balancer picks.
 func (f *fleet) arrive(a mix.Arrival) {
 	r := &request{arrival: a, deadline: f.loop.now.Add(a.Deadline), started: f.loop.now, prefix: a.Blocks()}
-	r.rnd = random(f.o.Seed^a.Own, 7)
+	r.rnd = random(f.o.Seed^a.OwnSeed, 7)
 	r.output = 1 + int(r.rnd.Float64()*float64(a.Cost.MaxOutput))
 	f.tally.sent(r)
 	f.attempt(r, false)
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -53,9 +53,9 @@
 	return func(_ mix.Mix, span time.Duration) []mix.Burst {
 		rest := float64(span - warm)
 		return []mix.Burst{{
-			At:     warm + time.Duration(from*rest),
-			For:    time.Duration(part * rest),
-			Factor: factor,
+			Start:    warm + time.Duration(from*rest),
+			Duration: time.Duration(part * rest),
+			Factor:   factor,
 		}}
 	}
 }
@@ -80,7 +80,7 @@
 
 // hot makes one team send twelve times as much, which is above capacity.
 func hot(m mix.Mix, span time.Duration) []mix.Burst {
-	return []mix.Burst{{At: warm, For: span - warm, Team: hotTeam(m), Factor: 12}}
+	return []mix.Burst{{Start: warm, Duration: span - warm, Team: hotTeam(m), Factor: 12}}
 }
 
 func byTeam(m mix.Mix, a mix.Arrival) string {
@@ -108,7 +108,7 @@
 	for i := range streams {
 		if streams[i].Documents > 0 {
 			streams[i].Documents = 1
-			streams[i].Shared = 0.8
+			streams[i].SharedFraction = 0.8
 		}
 	}
 	m.Streams = streams
@@ -119,12 +119,12 @@
 func longShort(m mix.Mix) mix.Mix {
 	first, second := m.Teams[0].Name, m.Teams[1].Name
 	tier := m.Tiers[1].Name
-	short := mix.Span{Min: 80, Max: 320}
-	long := mix.Span{Min: 12000, Max: 16000}
+	short := mix.TokenRange{Min: 80, Max: 320}
+	long := mix.TokenRange{Min: 12000, Max: 16000}
 	m.Streams = []mix.Stream{
-		{Team: first, Tier: tier, Pool: mix.Models, Share: 45, Prompt: short, Output: mix.Span{Min: 8, Max: 32}, Deadline: 30 * time.Second, Idempotent: true},
-		{Team: second, Tier: tier, Pool: mix.Models, Share: 45, Prompt: short, Output: mix.Span{Min: 8, Max: 32}, Deadline: 30 * time.Second, Idempotent: true},
-		{Team: first, Tier: tier, Pool: mix.Models, Share: 10, Prompt: long, Output: mix.Span{Min: 64, Max: 320}, Deadline: 120 * time.Second, Idempotent: true},
+		{Team: first, Tier: tier, Pool: mix.Models, Share: 45, Prompt: short, Output: mix.TokenRange{Min: 8, Max: 32}, Deadline: 30 * time.Second, Idempotent: true},
+		{Team: second, Tier: tier, Pool: mix.Models, Share: 45, Prompt: short, Output: mix.TokenRange{Min: 8, Max: 32}, Deadline: 30 * time.Second, Idempotent: true},
+		{Team: first, Tier: tier, Pool: mix.Models, Share: 10, Prompt: long, Output: mix.TokenRange{Min: 64, Max: 320}, Deadline: 120 * time.Second, Idempotent: true},
 	}
 	return m
 }
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m, ok := mix.Find(o.Mix)
+	m, ok := mix.ByName(o.Mix)
 	if !ok {
 		return nil, errors.Wrapf(ErrUnknown, "mix %q", o.Mix)
 	}
@@ -121,7 +121,7 @@
 
 // generate draws the arrivals of a run; they do not depend on the policy.
 func generate(l load, m mix.Mix, o Options) []mix.Arrival {
-	opts := mix.Options{Seed: o.Seed, Rate: l.rate * capacity(m), For: o.Span}
+	opts := mix.Options{Seed: o.Seed, Rate: l.rate * capacity(m), Duration: o.Span}
 	if l.bursts != nil {
 		opts.Bursts = l.bursts(m, o.Span)
 	}
