--- a/internal/decide/long/limiter.go
+++ b/internal/decide/longprefill/limiter.go
@@ -1,10 +1,10 @@
-// Package long limits the long prefills that a daemon has in flight.
+// Package longprefill limits the long prefills that a daemon has in flight.
 //
 // A target prefills one prompt after the other, so a prompt of several seconds
 // delays every short request sent there after it. As each daemon sees only its
 // own work in flight, nine daemons can send nine long prompts to the same target
 // within a second.
-package long
+package longprefill
 
 const (
 	// minSeconds is the prefill time from which work counts as long: most of
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -11,7 +11,7 @@
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/decide/deadline"
 	"github.com/fireflypath/fireflypath/internal/decide/fair"
-	"github.com/fireflypath/fireflypath/internal/decide/long"
+	"github.com/fireflypath/fireflypath/internal/decide/longprefill"
 	"github.com/fireflypath/fireflypath/internal/decide/place"
 	"github.com/fireflypath/fireflypath/internal/decide/prefix"
 	"github.com/fireflypath/fireflypath/internal/decide/rate"
@@ -102,7 +102,7 @@
 	// not wait.
 	reliefUntil  time.Time
 	reliefRank   int
-	longPrefills *long.Limiter
+	longPrefills *longprefill.Limiter
 	// totalParts is the sum of this daemon's parts of the usable targets.
 	totalParts float64
 	// fastReserved is true while fast targets are reserved for tiers above the
@@ -155,7 +155,7 @@
 	firstTokenAt time.Time
 	uncached     int
 	prefillAhead int
-	// longPrefill is true if the prefill counts as long (see package long).
+	// longPrefill is true if the prefill counts as long (see package longprefill).
 	longPrefill bool
 	expected    time.Duration
 }
@@ -170,7 +170,7 @@
 		prefixIndex:  prefix.New(),
 		damper:       retry.New(),
 		reserve:      reserve.New(),
-		longPrefills: long.New(),
+		longPrefills: longprefill.New(),
 		rng:          rand.New(rand.NewPCG(cfg.Seed, 2)),
 		slotOf:       make(map[*fireflypath.Work]int32),
 		targetIndex:  make(map[string]int32),
