--- a/internal/mix/arrival.go
+++ b/internal/mix/arrival.go
@@ -13,55 +13,55 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// zipfExponent is the exponent of document popularity: a usual value for requests to
-// documents on the web, between 0.6 and 1; rand.Zipf needs more than 1.
+// zipfExponent is the exponent of document popularity. Web requests typically have
+// exponents between 0.6 and 1, but rand.Zipf requires a value above 1.
 const zipfExponent = 1.1
 
-// Options choose the arrivals.
+// Options configures the generated arrivals.
 type Options struct {
-	// Seed makes the arrivals repeatable.
+	// Seed makes the arrivals reproducible.
 	Seed uint64
-	// Rate is in requests a second over all streams; more than 0.
+	// Rate is the number of requests per second over all streams; it must be positive.
 	Rate float64
-	// Duration is how long requests arrive.
+	// Duration is the length of the period in which requests arrive.
 	Duration time.Duration
-	// Bursts raise a team's rate for a while.
+	// Bursts temporarily raise the rates of teams.
 	Bursts []Burst
 }
 
-// Burst multiplies the rate of a team.
+// Burst multiplies the rate of a team for a limited time.
 type Burst struct {
 	Start    time.Duration
 	Duration time.Duration
-	// Team is the bursting team; empty means all teams.
+	// Team is the affected team; empty means all teams.
 	Team string
 	// Factor is at least 1.
 	Factor float64
 }
 
-// Arrival is one request.
+// Arrival is one request of the workload.
 type Arrival struct {
-	// Seq counts the arrivals from 0.
+	// Seq numbers the arrivals from 0.
 	Seq int
-	// At is counted from the start; it never falls.
+	// At is the time since the start; it never decreases.
 	At   time.Duration
 	Team string
 	Tier string
 	Rank int
 	Pool string
 	Cost fireflypath.Cost
-	// Deadline is counted from At.
+	// Deadline is relative to At.
 	Deadline   time.Duration
 	Idempotent bool
-	// DocumentSeed is the seed of the text that the prompt begins with, Shared the
-	// number of its whole blocks that belong to the document.
+	// DocumentSeed is the seed of the document that the prompt begins with, and
+	// SharedBlocks the number of whole blocks taken from it.
 	DocumentSeed uint64
 	SharedBlocks int
 	// OwnSeed is the seed of the rest of the prompt.
 	OwnSeed uint64
 }
 
-// Arrivals generates a Poisson process; the same options give the same arrivals.
+// Arrivals generates a Poisson process. Equal options give equal arrivals.
 func (m Mix) Arrivals(o Options) iter.Seq[Arrival] {
 	return func(yield func(Arrival) bool) {
 		g := newGenerator(m, o)
@@ -99,13 +99,13 @@
 	return g
 }
 
-// interarrival draws the time to the next candidate at the highest rate; pick thins the
-// candidates to the rate of the moment.
+// interarrival draws the time to the next candidate at the peak rate. pickStream
+// thins out the candidates to the current rate.
 func (g *generator) interarrival() time.Duration {
 	return time.Duration(g.rng.ExpFloat64() / (g.options.Rate * g.peakFactor) * float64(time.Second))
 }
 
-// pickStream draws the stream of a candidate, or none.
+// pickStream draws the stream of a candidate, or reports false if the candidate is dropped.
 func (g *generator) pickStream(at time.Duration) (int, bool) {
 	x := g.rng.Float64() * g.totalShare * g.peakFactor
 	for i, s := range g.mix.Streams {
@@ -149,7 +149,7 @@
 	return a
 }
 
-// drawTokens draws a log-uniform number.
+// drawTokens draws a log-uniform number of tokens.
 func (g *generator) drawTokens(s TokenRange) int {
 	if s.Max <= s.Min {
 		return s.Min
@@ -158,7 +158,7 @@
 	return int(math.Round(math.Exp(lo + g.rng.Float64()*(hi-lo))))
 }
 
-// combineSeeds mixes two numbers into one.
+// combineSeeds hashes two numbers into a new seed.
 func combineSeeds(a, b uint64) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], a)
@@ -166,7 +166,7 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// blockSeed is the seed of block i of the prompt.
+// blockSeed returns the seed of block i of the prompt.
 func (a Arrival) blockSeed(i int) uint64 {
 	if i < a.SharedBlocks {
 		return combineSeeds(a.DocumentSeed, uint64(i))
@@ -174,9 +174,9 @@
 	return combineSeeds(a.OwnSeed, uint64(i))
 }
 
-// Blocks are stand-ins for the cumulative hashes of the prompt's whole blocks:
-// equal entries mean prompts that are equal up to there. They are cheaper than
-// those of Prompt and are not the same numbers.
+// Blocks returns substitutes for the cumulative hashes of the prompt's whole blocks:
+// equal entries mean that the prompts are equal up to that block. They are cheaper to
+// compute than the hashes of the text that Prompt returns, and have other values.
 func (a Arrival) Blocks() []uint64 {
 	out := make([]uint64, a.Cost.Prompt/BlockTokens)
 	var previous uint64
@@ -187,8 +187,8 @@
 	return out
 }
 
-// Prompt is a text of Cost.Prompt tokens whose first Shared blocks are those of
-// the document.
+// Prompt returns a text of Cost.Prompt tokens whose first SharedBlocks blocks are
+// those of the document.
 func (a Arrival) Prompt() string {
 	out := make([]byte, 0, a.Cost.Prompt*TokenBytes)
 	for i := 0; len(out) < cap(out); i++ {
@@ -197,7 +197,7 @@
 	return string(out)
 }
 
-// appendBlock adds the text of one block, cut to the capacity left.
+// appendBlock appends the text of one block, truncated to the remaining capacity.
 func appendBlock(out []byte, seed uint64) []byte {
 	var word [8]byte
 	binary.BigEndian.PutUint64(word[:], seed)
--- a/internal/mix/mix.go
+++ b/internal/mix/mix.go
@@ -1,4 +1,4 @@
-// Package mix describes the first users' work and generates its arrivals.
+// Package mix models the workloads of the first users and generates request arrivals.
 package mix
 
 import (
@@ -13,7 +13,7 @@
 // TokenBytes is the number of prompt bytes in a token (docs/PROTOCOLS.md).
 const TokenBytes = 4
 
-// The pools of both mixes.
+// The pools that both mixes use.
 const (
 	// Models is the pool of model engines.
 	Models = "models"
@@ -21,16 +21,16 @@
 	Packets = "packets"
 )
 
-// Mix is one user's work. The brief gives its teams, tiers and kinds of work;
-// the shares and lengths are guesses within its words, to be replaced by the
-// users' own figures.
+// Mix is the workload of one user. Teams, tiers and kinds of work come from the
+// project's brief. The shares and lengths are assumptions within its terms, until the
+// users provide their own figures.
 type Mix struct {
 	Name string
 	// Tiers are ordered by rank.
 	Tiers []fireflypath.Tier
-	// Teams carry no keys.
+	// Teams have no keys.
 	Teams []fireflypath.Team
-	// Streams are the kinds of work; their shares need not add up to 1.
+	// Streams are the kinds of work. Their shares need not add up to 1.
 	Streams []Stream
 }
 
@@ -39,37 +39,37 @@
 	Team string
 	Tier string
 	Pool string
-	// Share is the part of the mix's arrivals, against the other streams.
+	// Share is the weight of the stream among the mix's arrivals.
 	Share float64
-	// Prompt and Output are token counts, log-uniform between the bounds.
+	// Prompt and Output are numbers of tokens, log-uniformly distributed over the range.
 	Prompt TokenRange
 	Output TokenRange
-	// Deadline is counted from the arrival.
+	// Deadline is relative to the arrival.
 	Deadline time.Duration
-	// Documents is the number of texts that prompts begin with; few are asked
-	// for often (Zipf's law). 0 means that no two prompts begin alike.
+	// Documents is the number of texts that prompts begin with; a few of them are
+	// requested often (Zipf's law). 0 means that no two prompts share a prefix.
 	Documents int
-	// SharedFraction is the part of a prompt that its document covers.
+	// SharedFraction is the fraction of a prompt taken from its document.
 	SharedFraction float64
-	// Idempotent is false for work that must not run twice; it carries a key.
+	// Idempotent is false for work that must not run twice, which carries an idempotency key.
 	Idempotent bool
 }
 
-// TokenRange bounds a number of tokens.
+// TokenRange is an inclusive range of token counts.
 type TokenRange struct {
 	Min int
 	Max int
 }
 
-// Length of requests varies by a factor of about a hundred (brief, "Our
-// workloads"): from a co-op's question to a mud-log packet.
+// The length of requests varies by a factor of about 100, from a co-op's question to a
+// mud-log packet (brief, "Our workloads").
 const (
 	minPromptTokens = 160
 	maxPromptTokens = 100 * minPromptTokens
 )
 
-// Pozo is Pozo Austral Datos: well records, where long scanned reports make
-// every repeated prefill expensive.
+// Pozo returns the mix of Pozo Austral Datos: well records, where long scanned reports
+// make every repeated prefill expensive.
 func Pozo() Mix {
 	return Mix{
 		Name: "pozo",
@@ -108,8 +108,8 @@
 	}
 }
 
-// Meelwerk is Meelwerk Analytics: mill contracts, where traders' deadlines are
-// fixed by the exchange.
+// Meelwerk returns the mix of Meelwerk Analytics: mill contracts, where the exchange
+// sets the deadlines of traders.
 func Meelwerk() Mix {
 	return Mix{
 		Name: "meelwerk",
@@ -147,7 +147,7 @@
 	}
 }
 
-// ByName returns the mix of a name.
+// ByName returns the mix with the given name.
 func ByName(name string) (Mix, bool) {
 	for _, m := range []Mix{Pozo(), Meelwerk()} {
 		if m.Name == name {
@@ -161,8 +161,8 @@
 	return fireflypath.Tier{Name: name, Rank: rank, Deadline: fireflypath.Duration(deadline)}
 }
 
-// packetStream is the delivery of a record packet or a notice: a call to a plain
-// service that must not run twice.
+// packetStream returns the stream of a team that delivers record packets or notices:
+// calls to a plain service that must not run twice.
 func packetStream(team, tier string, share float64, deadline time.Duration) Stream {
 	return Stream{
 		Team: team, Tier: tier, Pool: Packets, Share: share, Deadline: deadline,
@@ -170,7 +170,7 @@
 	}
 }
 
-// Rank is the rank of a tier by name; the names of a Mix are its own.
+// Rank returns the rank of a tier by name, or 0 if the mix has no such tier.
 func (m Mix) Rank(tier string) int {
 	for _, t := range m.Tiers {
 		if t.Name == tier {
@@ -180,11 +180,11 @@
 	return 0
 }
 
-// Model is served by the engines of demos and trials.
+// Model is the model that the engines of demos and trials serve.
 const Model = "reader"
 
-// Token is the bearer token of a team in demos and on stand-ins. Anybody can
-// guess it; it is of no use elsewhere.
+// Token returns the bearer token of a team in demos and trials. It is easy to guess and
+// must not be used anywhere else.
 func Token(team string) string {
 	return "demo-" + team
 }
--- a/internal/mix/mix_test.go
+++ b/internal/mix/mix_test.go
@@ -17,7 +17,7 @@
 			o := mix.Options{Seed: 1, Rate: 100, Duration: time.Minute}
 			got := slices.Collect(m.Arrivals(o))
 			is.Equal(got, slices.Collect(m.Arrivals(o))) // same seed, same arrivals
-			is.True(len(got) > 5600 && len(got) < 6400)  // 6000, sd 77
+			is.True(len(got) > 5600 && len(got) < 6400)  // expected 6000, standard deviation 77
 			teams, tiers := map[string]bool{}, map[int]bool{}
 			least, most, shared := got[0].Cost.Prompt, 0, map[uint64]int{}
 			for i, a := range got {
@@ -31,7 +31,7 @@
 			is.Equal(len(teams), 5)
 			is.Equal(len(tiers), 3)
 			is.True(most > 80*least && most <= 100*least)
-			is.True(len(shared) < len(got)/2) // most prompts begin like another
+			is.True(len(shared) < len(got)/2) // most prompts share their first block with another
 		})
 	}
 }
