--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,4 +1,4 @@
-// Package load sends the arrivals of a mix and sums up what callers received.
+// Package load sends the arrivals of a mix and summarizes what callers received.
 package load
 
 import (
@@ -13,29 +13,29 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// Outcome is what the caller of one arrival received.
+// Outcome is the result of one arrival as seen by its caller.
 type Outcome struct {
 	Arrival mix.Arrival
-	// Whole is true if the whole answer came.
+	// Whole is true if the complete answer was received.
 	Whole bool
 	// Refusal is set if the request was refused.
 	Refusal *fireflypath.Refusal
-	// Err is set if neither came.
+	// Err is set if there was neither an answer nor a refusal.
 	Err error
-	// First and Took are counted from the scheduled arrival, so that a sender
-	// that falls behind does not make answers look fast.
+	// First and Took are measured from the scheduled arrival, so that a slow sender does
+	// not hide latency.
 	First time.Duration
 	Took  time.Duration
 }
 
-// Sender gets one arrival's request answered. The callback is to be called at
-// the first byte of the answer.
+// Sender sends the request of one arrival and waits for the answer. It must call first
+// at the first byte of the answer.
 type Sender interface {
 	Send(ctx context.Context, a mix.Arrival, first func()) (*fireflypath.Refusal, error)
 }
 
-// Run sends each arrival at its time, whatever became of those before (open
-// loop), waits for all answers, and hands each outcome to the tally.
+// Run sends each arrival at its scheduled time, independently of earlier requests (open
+// loop), waits for all answers, and adds each outcome to the tally.
 func Run(ctx context.Context, clock clockwork.Clock, arrivals iter.Seq[mix.Arrival], s Sender, t *Tally) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -16,7 +16,8 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// sender answers by the arrival's number: whole after a second, late, refused, failed.
+// sender answers by the arrival's sequence number: after a second, late, with a refusal,
+// or with an error.
 type sender struct{}
 
 func (sender) Send(_ context.Context, a mix.Arrival, first func()) (*fireflypath.Refusal, error) {
@@ -47,7 +48,7 @@
 		is.Equal([]int{r.Sent, r.Whole, r.InTime, r.Refused, r.Failed}, []int{8, 4, 2, 2, 2})
 		top := r.Tiers[0]
 		is.Equal(top.Goodput, 1.0)
-		is.True(top.First.Max >= 1000 && top.First.Max < 1002) // none waited for another
+		is.True(top.First.Max >= 1000 && top.First.Max < 1002) // no request waited for another
 		is.True(top.Answer.P50 < 1002 && top.Answer.Max > 60_000)
 		is.Equal(r.Codes, []load.CodeCount{{Code: fireflypath.ReasonFull, Run: fireflypath.RunNo, Count: 2, Example: "no room"}})
 		is.Equal(r.Errors, []string{"gone", "gone"})
--- a/internal/load/print.go
+++ b/internal/load/print.go
@@ -8,7 +8,7 @@
 
 const tableHeader = "tier\tsent\twhole\tin time\trefused\tfailed\tgoodput/s\tp50 ms\tp95 ms\tp99 ms\tfirst p50\tfirst p95\t\n"
 
-// Print writes a report as a table.
+// Print writes the report as a table.
 func (r Report) Print(w io.Writer) error {
 	rows := []byte(tableHeader)
 	for _, x := range r.Tiers {
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -14,17 +14,17 @@
 	"github.com/fireflypath/fireflypath/pkg/client"
 )
 
-// errWrongID means that a caller received another request's answer.
+// errWrongID means that a caller received the answer to another request.
 var errWrongID = errors.New("answer belongs to another request")
 
-// Clients spreads requests over daemons by turns and sends each once.
+// Clients sends requests to several daemons in turn, without retries.
 type Clients struct {
 	clients []*client.Client
 	format  Format
 	next    atomic.Uint64
 }
 
-// NewClients makes a sender for the daemons' addresses, with or without http:// before.
+// NewClients returns a sender for the addresses of daemons, with or without "http://".
 func NewClients(addrs []string, f Format) *Clients {
 	c := &Clients{format: f}
 	for _, a := range addrs {
@@ -45,7 +45,8 @@
 	return got.Refusal, CheckAnswer(got)
 }
 
-// CheckAnswer says what is wrong with an answer that is neither refused nor cut.
+// CheckAnswer returns an error if a complete response is neither a refusal nor the
+// expected answer.
 func CheckAnswer(a *client.Answer) error {
 	if a.Refusal == nil && a.Status != 200 {
 		return errors.Newf("status %d: %.100q", a.Status, a.Body)
@@ -56,13 +57,13 @@
 	return nil
 }
 
-// Format turns arrivals into requests.
+// Format converts arrivals to requests.
 type Format struct {
-	// RunID is unique to the run, so that keys are.
+	// RunID is unique to the run, which makes the idempotency keys unique.
 	RunID string
-	// Model is named in requests to engines.
+	// Model is the model of requests to engines.
 	Model string
-	// Tokens are the teams' bearer tokens; mix.Token is taken for others.
+	// Tokens maps teams to bearer tokens; mix.Token is used for other teams.
 	Tokens map[string]string
 }
 
@@ -74,7 +75,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Request is the caller's request for an arrival.
+// Request returns the caller's request for an arrival.
 func (f Format) Request(a mix.Arrival) *client.Request {
 	r := &client.Request{Token: f.token(a.Team), Tier: a.Tier, Deadline: a.Deadline}
 	if a.Pool == mix.Packets {
@@ -85,7 +86,7 @@
 		return r
 	}
 	r.Path = "/v1/completions"
-	// A struct of text and numbers can always be marshalled.
+	// Marshaling a struct of strings and numbers never fails.
 	r.Body, _ = json.Marshal(completion{f.Model, a.Prompt(), a.Cost.MaxOutput, true})
 	return r
 }
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -13,32 +13,34 @@
 )
 
 const (
-	// maxLatency is the largest latency kept apart from others: above any deadline of a mix.
+	// maxLatency is the highest latency that the histograms record; it is above the
+	// deadlines of all mixes.
 	maxLatency = 10 * time.Minute
-	// significantDigits is the precision of latencies: 1 in 1000 is finer than runs repeat.
+	// significantDigits is the precision of latencies; 3 digits are more precise than runs
+	// are reproducible.
 	significantDigits = 3
-	// maxErrors bounds the error texts that a report quotes.
+	// maxErrors limits the number of error messages in a report.
 	maxErrors = 5
 )
 
-// Report sums up a run.
+// Report summarizes a run.
 type Report struct {
-	// Seconds is how long requests arrived.
+	// Seconds is the length of the period in which requests arrived.
 	Seconds float64 `json:"seconds"`
 	Sent    int     `json:"sent"`
 	Whole   int     `json:"whole"`
 	InTime  int     `json:"in_time"`
 	Refused int     `json:"refused"`
-	// Failed got neither an answer nor a refusal.
+	// Failed counts requests that got neither an answer nor a refusal.
 	Failed int          `json:"failed"`
 	Tiers  []TierReport `json:"tiers"`
 	Codes  []CodeCount  `json:"codes"`
-	// Errors quotes some of the failures.
+	// Errors lists the first error messages.
 	Errors []string `json:"errors,omitempty"`
 }
 
-// TierReport sums up a tier. Latencies are in milliseconds, from the scheduled
-// arrival to the end of whole answers, or to their first byte.
+// TierReport summarizes a tier. Latencies are in milliseconds from the scheduled
+// arrival to the end of complete answers, or to their first byte.
 type TierReport struct {
 	Tier    string `json:"tier"`
 	Rank    int    `json:"rank"`
@@ -47,7 +49,7 @@
 	InTime  int    `json:"in_time"`
 	Refused int    `json:"refused"`
 	Failed  int    `json:"failed"`
-	// Goodput is the number of answers in time a second.
+	// Goodput is the number of answers per second that met their deadline.
 	Goodput float64 `json:"goodput"`
 	Answer  Latency `json:"answer"`
 	First   Latency `json:"first"`
@@ -61,12 +63,12 @@
 	Max float64 `json:"max"`
 }
 
-// CodeCount counts refusals of one code.
+// CodeCount counts the refusals with the same code and run state.
 type CodeCount struct {
 	Code  fireflypath.Reason `json:"code"`
 	Run   fireflypath.Run    `json:"run"`
 	Count int                `json:"count"`
-	// Example is one of their details.
+	// Example is the detail of the first of them.
 	Example string `json:"example"`
 }
 
@@ -75,7 +77,7 @@
 	run  fireflypath.Run
 }
 
-// Tally takes outcomes in, from many goroutines.
+// Tally collects outcomes. It is safe for concurrent use.
 type Tally struct {
 	mu     sync.Mutex
 	tiers  map[int]*tierStats
@@ -89,7 +91,7 @@
 	first  *hdrhistogram.Histogram
 }
 
-// NewTally makes an empty tally for a mix.
+// NewTally returns an empty tally for a mix.
 func NewTally(m mix.Mix) *Tally {
 	t := &Tally{tiers: make(map[int]*tierStats), codes: make(map[refusalKey]*CodeCount)}
 	for _, x := range m.Tiers {
@@ -135,12 +137,13 @@
 	if o.Took <= o.Arrival.Deadline {
 		x.report.InTime++
 	}
-	// Values above the largest are left out of the histogram, not of the counts.
+	// The histograms reject values above maxLatency; the counters include them.
 	_ = x.answer.RecordValue(max(1, o.Took.Microseconds()))
 	_ = x.first.RecordValue(max(1, o.First.Microseconds()))
 }
 
-// Report sums up what was added, over the time in which requests arrived.
+// Report summarizes the outcomes so far; d is the length of the period in which
+// requests arrived.
 func (t *Tally) Report(d time.Duration) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
