--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -9,16 +9,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errBroken makes the server cut a connection in the middle of an answer.
+// errBroken makes the server close a connection in the middle of a response.
 var errBroken = errors.New("connection broken by a fault")
 
-// stream is one request and its answer. Its fields are guarded by the engine's mutex.
+// stream is a request and its answer. Its fields are guarded by the engine's mutex.
 type stream struct {
 	id     string
 	chat   bool
-	seed   uint64 // of the prompt's text
+	seed   uint64 // hash of the prompt
 	blocks []uint64
-	// prompt and output are in tokens.
+	// prompt and output are the numbers of tokens.
 	prompt int
 	output int
 
@@ -26,28 +26,28 @@
 	prefilled int
 	emitted   int
 	credit    float64
-	// read is true once somebody was sent the whole answer.
-	read      bool
+	// delivered is set once the whole answer was sent to a caller.
+	delivered bool
 	cancelled bool
-	changed   chan struct{} // nil while nobody waits
+	changed   chan struct{} // nil if nobody waits
 }
 
-// todo is the part of the prompt still to be read.
-func (s *stream) todo() int {
+// remainingPrompt returns the number of prompt tokens not yet processed.
+func (s *stream) remainingPrompt() int {
 	return s.prompt - s.cached - s.prefilled
 }
 
-func (s *stream) left() int {
-	return s.todo() + s.output - s.emitted
+func (s *stream) remainingTokens() int {
+	return s.remainingPrompt() + s.output - s.emitted
 }
 
 func (s *stream) finished() bool {
-	return s.todo() == 0 && s.emitted == s.output
+	return s.remainingPrompt() == 0 && s.emitted == s.output
 }
 
-// decode generates dt's tokens; a rate of 0 generates all.
+// decode generates the tokens of a duration, or all tokens if rate is 0.
 func (s *stream) decode(rate float64, dt time.Duration) {
-	before := s.emitted
+	previous := s.emitted
 	if rate == 0 {
 		s.emitted = s.output
 	} else {
@@ -56,49 +56,49 @@
 		s.credit -= float64(n)
 		s.emitted += n
 	}
-	if s.emitted > before || s.finished() {
-		s.tell()
+	if s.emitted > previous || s.finished() {
+		s.notify()
 	}
 }
 
-// tell wakes those who wait for the stream.
-func (s *stream) tell() {
+// notify wakes the goroutines that wait for the stream.
+func (s *stream) notify() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-// wait returns a channel that is closed at the next change.
-func (s *stream) wait() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change.
+func (s *stream) nextChange() <-chan struct{} {
 	if s.changed == nil {
 		s.changed = make(chan struct{})
 	}
 	return s.changed
 }
 
-// reader is the body of an answer: events from an offset on, as they come.
-type reader struct {
-	e  *Engine
-	s  *stream
-	id string // the id that the events carry
-	at int    // events sent so far, those before the offset among them
-	// end is the event after which a fault strikes; 0 if none does.
-	end int
-	cut error
-	buf []byte
+// eventReader is a response body that streams the events after an offset as they arrive.
+type eventReader struct {
+	engine *Engine
+	stream *stream
+	id     string // written in the events
+	sent   int    // events sent, including those before the offset
+	// cutAfter is the number of events after which the response is cut; 0 means never.
+	cutAfter int
+	cutErr   error
+	buf      []byte
 }
 
-// buffers spare a kilobyte of garbage for each answer.
-var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
+// bufferPool saves the allocation of one kilobyte for each response.
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, 0, 1024); return &b }}
 
-// Read waits for events and returns as many as have come.
-func (r *reader) Read(p []byte) (int, error) {
+// Read waits for events and returns as many as are available.
+func (r *eventReader) Read(p []byte) (int, error) {
 	for len(r.buf) == 0 {
-		if r.end > 0 && r.at >= r.end {
-			return 0, r.cut
+		if r.cutAfter > 0 && r.sent >= r.cutAfter {
+			return 0, r.cutErr
 		}
-		if r.at > r.s.output {
+		if r.sent > r.stream.output {
 			return 0, io.EOF
 		}
 		if err := r.fill(); err != nil {
@@ -110,49 +110,50 @@
 	return n, nil
 }
 
-// Close gives the buffer back.
-func (r *reader) Close() error {
+// Close returns the buffer to the pool.
+func (r *eventReader) Close() error {
 	b := r.buf[:0]
 	r.buf = nil
-	buffers.Put(&b)
+	bufferPool.Put(&b)
 	return nil
 }
 
-// fill waits until there is an event to send and writes what there is.
-func (r *reader) fill() error {
-	emitted, err := r.ready()
+// fill waits for at least one event and appends all available events to the buffer.
+func (r *eventReader) fill() error {
+	emitted, err := r.waitForEvents()
 	if err != nil {
 		return err
 	}
-	if r.end > 0 {
-		emitted = min(emitted, r.end)
+	if r.cutAfter > 0 {
+		emitted = min(emitted, r.cutAfter)
 	}
-	for r.at < min(emitted, r.s.output) {
-		r.at++
-		r.event(r.at)
+	for r.sent < min(emitted, r.stream.output) {
+		r.sent++
+		r.appendEvent(r.sent)
 	}
-	if r.at == r.s.output && emitted > r.s.output {
-		r.at++
-		r.buf = appendDone(r.buf, r.at)
-		r.e.delivered(r.s)
+	if r.sent == r.stream.output && emitted > r.stream.output {
+		r.sent++
+		r.buf = appendDone(r.buf, r.sent)
+		r.engine.markDelivered(r.stream)
 	}
 	return nil
 }
 
-// ready returns how many events there are, the end mark among them.
-func (r *reader) ready() (int, error) {
+// waitForEvents waits for events after those sent and returns the number of all
+// events, including the final one.
+func (r *eventReader) waitForEvents() (int, error) {
 	for {
-		n, changed, err := r.e.events(r.s, r.at)
-		if err != nil || n > r.at {
+		n, changed, err := r.engine.countEvents(r.stream, r.sent)
+		if err != nil || n > r.sent {
 			return n, err
 		}
 		<-changed
 	}
 }
 
-// events counts the events of a stream, or returns a channel to wait on if
-// there are none after the offset.
-func (e *Engine) events(s *stream, after int) (int, <-chan struct{}, error) {
+// countEvents returns the number of events of a stream and, if none is after the
+// offset, a channel that is closed at the next change.
+func (e *Engine) countEvents(s *stream, after int) (int, <-chan struct{}, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if s.cancelled || e.closed {
@@ -165,34 +166,34 @@
 	if n > after {
 		return n, nil, nil
 	}
-	return n, s.wait(), nil
+	return n, s.nextChange(), nil
 }
 
-func (e *Engine) delivered(s *stream) {
+func (e *Engine) markDelivered(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s.read = true
-	if e.cfg.Uncounted {
+	s.delivered = true
+	if e.cfg.WithoutCounts {
 		delete(e.streams, s.id)
 	}
 }
 
-// event appends token n as a server-sent event.
-func (r *reader) event(n int) {
+// appendEvent appends token n as a server-sent event.
+func (r *eventReader) appendEvent(n int) {
 	b := append(r.buf, "id: "...)
 	b = strconv.AppendInt(b, int64(n), 10)
 	b = append(b, "\ndata: {\"id\":\""...)
 	b = append(b, r.id...)
-	if r.s.chat {
+	if r.stream.chat {
 		b = append(b, `","object":"chat.completion.chunk","choices":[{"index":0,"delta":{"content":"`...)
-		b = appendToken(b, r.s.seed, n)
+		b = appendToken(b, r.stream.seed, n)
 		b = append(b, `"}`...)
 	} else {
 		b = append(b, `","object":"text_completion","choices":[{"index":0,"text":"`...)
-		b = appendToken(b, r.s.seed, n)
+		b = appendToken(b, r.stream.seed, n)
 		b = append(b, '"')
 	}
-	if n == r.s.output {
+	if n == r.stream.output {
 		b = append(b, `,"finish_reason":"length"`...)
 	}
 	r.buf = append(b, "}]}\n\n"...)
@@ -204,8 +205,8 @@
 	return append(b, "\ndata: [DONE]\n\n"...)
 }
 
-// appendToken appends token n of the answer to a prompt: a blank and 4
-// hexadecimal digits, so that a caller can tell its own answer and each place in it.
+// appendToken appends token n of the answer: a space and 4 hexadecimal digits that
+// depend on the prompt and n, so that a caller can detect wrong and missing tokens.
 func appendToken(b []byte, seed uint64, n int) []byte {
 	const digits = "0123456789abcdef"
 	x := seed + uint64(n)*0x9e3779b97f4a7c15
--- a/internal/fake/platform/platform.go
+++ b/internal/fake/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a small stand-in for the platform's key-value service and host list.
+// Package platform implements a fake of the platform's key-value service and host list.
 package platform
 
 import (
@@ -16,15 +16,15 @@
 	"github.com/fireflypath/fireflypath/internal/fake/wire"
 )
 
-// Config sets a Fake's limits.
+// Config configures a Fake.
 type Config struct {
-	// Rate is the number of calls a second that are answered; 0 is any number.
+	// Rate is the limit of calls per second; 0 means no limit.
 	Rate float64
-	// Lag is how old the list of hosts is.
+	// Lag is the age of the host list that readers see.
 	Lag time.Duration
 }
 
-// Counts are the calls taken, by name; a waiting watch is one.
+// Counts counts the calls by operation. A long-polling watch is one call.
 type Counts struct {
 	Get    int `json:"get"`
 	Put    int `json:"put"`
@@ -33,17 +33,17 @@
 	Watch  int `json:"watch"`
 	Lease  int `json:"lease"`
 	Hosts  int `json:"hosts"`
-	// Refused counts those of the calls that an outage or the rate refused.
+	// Refused counts the calls that failed by an outage or the rate limit.
 	Refused int `json:"refused"`
 }
 
-// Total is the number of all calls.
+// Total returns the number of all calls.
 func (c Counts) Total() int {
 	return c.Get + c.Put + c.Delete + c.List + c.Watch + c.Lease + c.Hosts
 }
 
-// Fake holds the data in memory. It serves in-process by Store and HostList,
-// and over HTTP after Listen.
+// Fake keeps its data in memory. It is used in-process through Store and HostList, or
+// over HTTP after Listen.
 type Fake struct {
 	cfg     Config
 	clock   clockwork.Clock
@@ -57,7 +57,7 @@
 	counts   Counts
 	hosts    []hostList
 
-	// ctx ends the waiting watches of callers whose connections Close cuts.
+	// ctx ends the pending watches, which closing their connections does not interrupt.
 	ctx    context.Context
 	cancel context.CancelFunc
 	ln     *wire.Listener
@@ -66,11 +66,11 @@
 }
 
 type hostList struct {
-	since time.Time
+	setAt time.Time
 	hosts []fireflypath.Host
 }
 
-// New makes an empty service that nothing listens for yet.
+// New returns an empty service that does not listen yet.
 func New(cfg Config, clock clockwork.Clock) *Fake {
 	f := &Fake{cfg: cfg, clock: clock, state: newState(), changed: make(chan struct{})}
 	if cfg.Rate > 0 {
@@ -79,77 +79,78 @@
 	return f
 }
 
-// Store is the service without HTTP between.
+// Store returns in-process access to the key-value service.
 func (f *Fake) Store() fireflypath.Store {
-	return &store{f: f}
+	return &store{fake: f}
 }
 
-// HostList is the list of hosts without HTTP between.
+// HostList returns in-process access to the host list.
 func (f *Fake) HostList() fireflypath.Hosts {
-	return &store{f: f}
+	return &store{fake: f}
 }
 
-// SetHosts changes the list; readers see it after the lag.
+// SetHosts changes the host list. Readers see the change after Config.Lag.
 func (f *Fake) SetHosts(hosts ...fireflypath.Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts = append(f.hosts, hostList{since: f.clock.Now(), hosts: hosts})
+	f.hosts = append(f.hosts, hostList{setAt: f.clock.Now(), hosts: hosts})
 }
 
-// Counts reads the calls taken so far.
+// Counts returns the calls so far.
 func (f *Fake) Counts() Counts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts
 }
 
-// Fault shows a fault: outage, slow, lost, snapshot, older, silent, refuse, die or clear.
-func (f *Fake) Fault(x fault.Fault) error {
-	switch x.Name {
-	case fault.Snapshot:
+// Fault applies or removes a fault: outage, slow, lost, snapshot, older, silent,
+// refuse, die or clear.
+func (f *Fake) Fault(flt fault.Fault) error {
+	switch flt.Name {
+	case fault.TakeSnapshot:
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.snapshot = f.state.clone()
-	case fault.Older:
-		return f.restore()
+	case fault.RestoreSnapshot:
+		return f.restoreSnapshot()
 	case fault.Silent, fault.Refuse, fault.Die:
-		return f.network(x)
+		return f.applyNetworkFault(flt)
 	case fault.Clear:
-		f.faults.Apply(x)
+		f.faults.Apply(flt)
 		if f.ln != nil {
 			return f.ln.Resume()
 		}
-	case fault.Outage, fault.Slow, fault.Lost:
-		f.faults.Apply(x)
+	case fault.Outage, fault.Slow, fault.LoseAnswer:
+		f.faults.Apply(flt)
 	default:
-		return errors.Wrapf(fault.ErrName, "%q", x.Name)
+		return errors.Wrapf(fault.ErrUnknownName, "%q", flt.Name)
 	}
 	return nil
 }
 
-func (f *Fake) restore() error {
+func (f *Fake) restoreSnapshot() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.snapshot == nil {
 		return errors.New("no snapshot was taken")
 	}
-	last := f.state.lastLease
+	lastLease := f.state.lastLease
 	f.state = f.snapshot.clone()
-	f.state.lastLease = last
-	f.wake()
+	f.state.lastLease = lastLease
+	f.notifyWatchers()
 	return nil
 }
 
-func (f *Fake) network(x fault.Fault) error {
+func (f *Fake) applyNetworkFault(flt fault.Fault) error {
 	if f.ln == nil {
 		return errors.New("stand-in does not listen")
 	}
 	switch {
-	case x.Name == fault.Silent:
+	case flt.Name == fault.Silent:
 		f.ln.Silence()
-	case x.Name == fault.Die:
+	case flt.Name == fault.Die:
 		return f.ln.Close()
-	case x.Off:
+	case flt.Off:
 		return f.ln.Resume()
 	default:
 		f.ln.Refuse()
@@ -157,39 +158,39 @@
 	return nil
 }
 
-// wake tells the waiting watches that something changed; f.mu is held.
-func (f *Fake) wake() {
+// notifyWatchers wakes the pending watches; f.mu must be held.
+func (f *Fake) notifyWatchers() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// admit counts a call and lets it in, or refuses it before it has any effect.
+// admit counts a call and returns an error if the call has to fail without an effect.
 func (f *Fake) admit(ctx context.Context, count func(*Counts)) error {
 	f.mu.Lock()
 	count(&f.counts)
 	f.mu.Unlock()
-	if x, ok := f.faults.Strike(fault.Slow); ok {
-		if err := f.pause(ctx, x.Delay.Std()); err != nil {
+	if flt, ok := f.faults.Trigger(fault.Slow); ok {
+		if err := f.delay(ctx, flt.Delay.Std()); err != nil {
 			return err
 		}
 	}
-	if _, ok := f.faults.Strike(fault.Outage); ok {
-		return f.refused(fireflypath.ErrUnavailable)
+	if _, ok := f.faults.Trigger(fault.Outage); ok {
+		return f.countRefusal(fireflypath.ErrUnavailable)
 	}
 	if f.limiter != nil && !f.limiter.AllowN(f.clock.Now(), 1) {
-		return f.refused(fireflypath.ErrLimited)
+		return f.countRefusal(fireflypath.ErrLimited)
 	}
 	return nil
 }
 
-func (f *Fake) refused(err error) error {
+func (f *Fake) countRefusal(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.counts.Refused++
 	return err
 }
 
-func (f *Fake) pause(ctx context.Context, d time.Duration) error {
+func (f *Fake) delay(ctx context.Context, d time.Duration) error {
 	t := f.clock.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -200,9 +201,9 @@
 	}
 }
 
-// lapse removes the leases that have run out; f.mu is held.
-func (f *Fake) lapse() {
-	if f.state.lapse(f.clock.Now()) {
-		f.wake()
+// expireLeases removes the expired leases; f.mu must be held.
+func (f *Fake) expireLeases() {
+	if f.state.expireLeases(f.clock.Now()) {
+		f.notifyWatchers()
 	}
 }
--- a/internal/fake/service/service.go
+++ b/internal/fake/service/service.go
@@ -1,4 +1,4 @@
-// Package service is a small stand-in for a plain service whose calls must not all be repeated.
+// Package service implements a fake plain service with calls that must not all be repeated.
 package service
 
 import (
@@ -18,19 +18,20 @@
 	"github.com/fireflypath/fireflypath/internal/loopback"
 )
 
-// Config sets a service's habits.
+// Config configures a service.
 type Config struct {
-	// Addr is an IP number and a port; empty takes a free one of this process's own.
+	// Addr is the IP address and port to listen on; if empty, a free port of this
+	// process's loopback address is used.
 	Addr string
-	// Delay is how long each call takes.
+	// Delay is the duration of each call.
 	Delay time.Duration
-	// Batch is the number of calls that the load report calls full; 0 leaves it unknown.
+	// Batch is the capacity that the load report shows; 0 means unknown.
 	Batch int
 }
 
-// Counts are what the service saw, for tests and the demo.
+// Counts holds the service's counters, for tests and the demo.
 type Counts struct {
-	// Dispatches counts the requests read, by id, refused ones among them.
+	// Dispatches counts the requests received by id, including refused ones.
 	Dispatches map[string]int `json:"dispatches"`
 	// Runs counts the calls that took effect, by request id.
 	Runs map[string]int `json:"runs"`
@@ -38,19 +39,19 @@
 	Keys map[string]int `json:"keys"`
 }
 
-// Echo is the answer to a call.
+// Echo is the response to a call.
 type Echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Query  string `json:"query,omitempty"`
 	Key    string `json:"key,omitempty"`
 	Body   string `json:"body"`
-	// Run counts the calls that took effect before and with this one.
+	// Run is the number of calls that took effect so far, including this one.
 	Run int64 `json:"run"`
 }
 
-// Service is a running stand-in. A call takes effect when it is read, before
-// the delay and before any fault cuts its answer.
+// Service is a running fake service. A call takes effect once it is read, before the
+// delay and before a fault cuts its response.
 type Service struct {
 	cfg     Config
 	clock   clockwork.Clock
@@ -75,28 +76,28 @@
 	}
 	s := &Service{cfg: cfg, clock: clock, ln: ln, served: make(chan struct{})}
 	s.counts = Counts{Dispatches: make(map[string]int), Runs: make(map[string]int), Keys: make(map[string]int)}
-	server := &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, Logger: wire.NoLog{}}
+	server := &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, Logger: wire.DiscardLogger{}}
 	go func() {
 		defer close(s.served)
-		// The only error is the listener's end.
+		// Serve only fails when the listener is closed.
 		_ = server.Serve(ln)
 	}()
 	return s, nil
 }
 
-// Addr is the IP number and port.
+// Addr returns the IP address and port.
 func (s *Service) Addr() string {
 	return s.ln.Addr().String()
 }
 
-// Close ends the service and cuts its connections.
+// Close stops the service and closes its connections.
 func (s *Service) Close() error {
 	err := s.ln.Close()
 	<-s.served
 	return err
 }
 
-// Fault shows a fault, or takes it back.
+// Fault applies or removes a fault.
 func (s *Service) Fault(f fault.Fault) error {
 	switch f.Name {
 	case fault.Die:
@@ -111,15 +112,15 @@
 	case fault.Clear:
 		s.faults.Apply(f)
 		return s.ln.Resume()
-	case fault.Deadly, fault.ReadClose, fault.Crossed, fault.Break, fault.Slow, fault.Draining, fault.NotRun:
+	case fault.DieOnText, fault.ReadClose, fault.WrongID, fault.Break, fault.Slow, fault.Draining, fault.NotRun:
 		s.faults.Apply(f)
 	default:
-		return errors.Wrapf(fault.ErrName, "%q", f.Name)
+		return errors.Wrapf(fault.ErrUnknownName, "%q", f.Name)
 	}
 	return nil
 }
 
-// Counts reads the counts so far.
+// Counts returns the counters so far.
 func (s *Service) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +145,7 @@
 }
 
 func (s *Service) serveLoad(r *fasthttp.RequestCtx) {
-	_, draining := s.faults.Strike(fault.Draining)
+	_, draining := s.faults.Trigger(fault.Draining)
 	n := s.running.Load()
 	answer.JSON(r, engine.Load{
 		At: s.clock.Now().UnixMilli(), Running: int(n), Tokens: int(n), Batch: s.cfg.Batch, Draining: draining,
@@ -155,42 +156,42 @@
 	s.running.Add(1)
 	defer s.running.Add(-1)
 	id := string(r.Request.Header.Peek("X-Request-Id"))
-	s.count(s.counts.Dispatches, id)
-	if _, ok := s.faults.Strike(fault.ReadClose); ok {
-		wire.Hangup(r)
+	s.increment(s.counts.Dispatches, id)
+	if _, ok := s.faults.Trigger(fault.ReadClose); ok {
+		wire.CloseConnection(r)
 		return
 	}
 	for _, name := range []fault.Name{fault.Draining, fault.NotRun} {
-		if _, ok := s.faults.Strike(name); ok {
-			engine.NotRun(r, name)
+		if _, ok := s.faults.Trigger(name); ok {
+			engine.WriteNotRun(r, name)
 			return
 		}
 	}
-	if s.faults.Dies(r.PostBody()) {
-		// It ends with all that it runs, so the error has no reader.
+	if s.faults.TriggerDieOnText(r.PostBody()) {
+		// Die stops the whole service, so nobody is left to handle the error.
 		_ = s.Fault(fault.Fault{Name: fault.Die})
-		wire.Hangup(r)
+		wire.CloseConnection(r)
 		return
 	}
-	e := s.run(r, id)
+	e := s.execute(r, id)
 	s.delay()
-	if _, ok := s.faults.Strike(fault.Break); ok {
-		wire.Hangup(r)
+	if _, ok := s.faults.Trigger(fault.Break); ok {
+		wire.CloseConnection(r)
 		return
 	}
-	if _, ok := s.faults.Strike(fault.Crossed); ok {
+	if _, ok := s.faults.Trigger(fault.WrongID); ok {
 		id = "other-" + id
 	}
 	r.Response.Header.Set("X-Request-Id", id)
 	answer.JSON(r, e)
 }
 
-// run lets the call take effect.
-func (s *Service) run(r *fasthttp.RequestCtx, id string) Echo {
+// execute counts the call as run and returns its echo.
+func (s *Service) execute(r *fasthttp.RequestCtx, id string) Echo {
 	key := string(r.Request.Header.Peek("Idempotency-Key"))
-	s.count(s.counts.Runs, id)
+	s.increment(s.counts.Runs, id)
 	if key != "" {
-		s.count(s.counts.Keys, key)
+		s.increment(s.counts.Keys, key)
 	}
 	return Echo{
 		Method: string(r.Method()),
@@ -202,7 +203,7 @@
 	}
 }
 
-func (s *Service) count(m map[string]int, name string) {
+func (s *Service) increment(m map[string]int, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m[name]++
@@ -210,7 +211,7 @@
 
 func (s *Service) delay() {
 	d := s.cfg.Delay
-	if f, ok := s.faults.Strike(fault.Slow); ok {
+	if f, ok := s.faults.Trigger(fault.Slow); ok {
 		d += f.Delay.Std() + time.Duration(float64(d)*max(0, f.Factor-1))
 	}
 	if d > 0 {
--- a/internal/fake/wire/wire.go
+++ b/internal/fake/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire is a listener whose connections can be refused, dropped and silenced.
+// Package wire provides a TCP listener that can refuse, close and silence connections.
 package wire
 
 import (
@@ -10,36 +10,37 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Listener accepts connections and keeps track of them, so that a stand-in can
-// show the faults of a network without root rights.
+// Listener tracks its connections, so that a fake can simulate network faults
+// without root privileges.
 type Listener struct {
 	addr net.Addr
 
-	mu     sync.Mutex
-	inner  net.Listener
-	back   chan struct{} // closed when inner is usable again, or for good
-	closed bool
-	conns  map[*conn]struct{}
+	mu       sync.Mutex
+	listener net.Listener
+	resumed  chan struct{} // closed when the listener accepts again or is closed
+	closed   bool
+	conns    map[*conn]struct{}
 }
 
-// Listen opens the address; port 0 takes a free one and keeps it.
+// Listen opens the address. Port 0 selects a free port, which Resume reuses.
 func Listen(addr string) (*Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", addr)
 	}
-	return &Listener{addr: ln.Addr(), inner: ln, conns: make(map[*conn]struct{})}, nil
+	return &Listener{addr: ln.Addr(), listener: ln, conns: make(map[*conn]struct{})}, nil
 }
 
-// Addr is the address, also while it refuses.
+// Addr returns the address, also while the listener refuses connections.
 func (l *Listener) Addr() net.Addr {
 	return l.addr
 }
 
-// Accept waits while the listener refuses and fails only after Close.
+// Accept returns the next connection. While the listener refuses connections it
+// blocks until Resume or Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		ln, back, closed := l.current()
+		ln, back, closed := l.state()
 		if closed {
 			return nil, net.ErrClosed
 		}
@@ -51,26 +52,26 @@
 		if err == nil {
 			return l.track(c), nil
 		}
-		if l.serving(ln) {
+		if l.isServing(ln) {
 			return nil, err
 		}
 	}
 }
 
-func (l *Listener) current() (net.Listener, chan struct{}, bool) {
+func (l *Listener) state() (net.Listener, chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.inner, l.back, l.closed
+	return l.listener, l.resumed, l.closed
 }
 
-func (l *Listener) serving(ln net.Listener) bool {
+func (l *Listener) isServing(ln net.Listener) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.inner == ln && !l.closed
+	return l.listener == ln && !l.closed
 }
 
 func (l *Listener) track(c net.Conn) net.Conn {
-	t := &conn{Conn: c, owner: l}
+	t := &conn{Conn: c, tracker: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -80,36 +81,36 @@
 	return t
 }
 
-// Refuse makes dials fail; open connections stay.
+// Refuse makes dials fail; open connections are kept.
 func (l *Listener) Refuse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.inner == nil || l.closed {
+	if l.listener == nil || l.closed {
 		return
 	}
-	l.inner.Close()
-	l.inner = nil
-	l.back = make(chan struct{})
+	l.listener.Close()
+	l.listener = nil
+	l.resumed = make(chan struct{})
 }
 
-// Resume takes Refuse back.
+// Resume reverts Refuse.
 func (l *Listener) Resume() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.inner != nil || l.closed {
+	if l.listener != nil || l.closed {
 		return nil
 	}
 	ln, err := net.Listen("tcp", l.addr.String())
 	if err != nil {
 		return errors.Wrapf(err, "listen again on %s", l.addr)
 	}
-	l.inner = ln
-	close(l.back)
+	l.listener = ln
+	close(l.resumed)
 	return nil
 }
 
-// Silence stops the traffic of the connections open now, for good: writes seem
-// to succeed, nothing arrives, nothing is closed. New connections work.
+// Silence permanently stops the traffic of the open connections: writes seem to
+// succeed, nothing arrives and nothing is closed. New connections work.
 func (l *Listener) Silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,8 +119,8 @@
 	}
 }
 
-// Drop closes the connections open now.
-func (l *Listener) Drop() {
+// CloseConnections closes the open connections.
+func (l *Listener) CloseConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -127,7 +128,7 @@
 	}
 }
 
-// Close ends the listener and all its connections.
+// Close closes the listener and all its connections.
 func (l *Listener) Close() error {
 	l.mu.Lock()
 	if l.closed {
@@ -135,24 +136,24 @@
 		return nil
 	}
 	l.closed = true
-	if l.inner != nil {
-		l.inner.Close()
+	if l.listener != nil {
+		l.listener.Close()
 	} else {
-		close(l.back)
+		close(l.resumed)
 	}
 	l.mu.Unlock()
-	l.Drop()
+	l.CloseConnections()
 	return nil
 }
 
 // conn is an accepted connection.
 type conn struct {
 	net.Conn
-	owner  *Listener
-	silent atomic.Bool
+	tracker *Listener
+	silent  atomic.Bool
 }
 
-// Read throws away what arrives on a silent connection.
+// Read discards what arrives on a silent connection.
 func (c *conn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -162,7 +163,7 @@
 	}
 }
 
-// Write pretends to succeed on a silent connection.
+// Write discards the data of a silent connection and reports success.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.silent.Load() {
 		return len(b), nil
@@ -170,26 +171,26 @@
 	return c.Conn.Write(b)
 }
 
-// Close leaves a silent connection open until the listener ends: the other
-// side of a lost connection is not told either.
+// Close leaves a silent connection open until the listener is closed, because the peer
+// of a lost connection does not see it close either.
 func (c *conn) Close() error {
 	if c.silent.Load() {
 		return nil
 	}
-	c.owner.mu.Lock()
-	delete(c.owner.conns, c)
-	c.owner.mu.Unlock()
+	c.tracker.mu.Lock()
+	delete(c.tracker.conns, c)
+	c.tracker.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Hangup closes a request's connection without an answer.
-func Hangup(r *fasthttp.RequestCtx) {
+// CloseConnection closes a request's connection without a response.
+func CloseConnection(r *fasthttp.RequestCtx) {
 	r.HijackSetNoResponse(true)
 	r.Hijack(func(c net.Conn) { c.Close() })
 }
 
-// NoLog drops what a server logs: broken connections are what stand-ins are for.
-type NoLog struct{}
+// DiscardLogger discards the server's log: the fakes break connections on purpose.
+type DiscardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (NoLog) Printf(string, ...any) {}
+func (DiscardLogger) Printf(string, ...any) {}
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -13,32 +13,34 @@
 )
 
 const (
-	// longest is the largest latency kept apart from others: above any deadline of a mix.
-	longest = 10 * time.Minute
-	// digits is the precision of latencies: 1 in 1000 is finer than runs repeat.
-	digits = 3
-	// maxErrors bounds the error texts that a report quotes.
+	// maxLatency is the highest latency that the histograms record; it is above the
+	// deadlines of all mixes.
+	maxLatency = 10 * time.Minute
+	// significantDigits is the precision of latencies; 3 digits are more precise than runs
+	// are reproducible.
+	significantDigits = 3
+	// maxErrors limits the number of error messages in a report.
 	maxErrors = 5
 )
 
-// Report sums up a run.
+// Report summarizes a run.
 type Report struct {
-	// Seconds is how long requests arrived.
+	// Seconds is the length of the period in which requests arrived.
 	Seconds float64 `json:"seconds"`
 	Sent    int     `json:"sent"`
 	Whole   int     `json:"whole"`
 	InTime  int     `json:"in_time"`
 	Refused int     `json:"refused"`
-	// Failed got neither an answer nor a refusal.
+	// Failed counts requests that got neither an answer nor a refusal.
 	Failed int          `json:"failed"`
 	Tiers  []TierReport `json:"tiers"`
 	Codes  []CodeCount  `json:"codes"`
-	// Errors quotes some of the failures.
+	// Errors lists the first error messages.
 	Errors []string `json:"errors,omitempty"`
 }
 
-// TierReport sums up a tier. Latencies are in milliseconds, from the scheduled
-// arrival to the end of whole answers, or to their first byte.
+// TierReport summarizes a tier. Latencies are in milliseconds from the scheduled
+// arrival to the end of complete answers, or to their first byte.
 type TierReport struct {
 	Tier    string `json:"tier"`
 	Rank    int    `json:"rank"`
@@ -47,7 +49,7 @@
 	InTime  int    `json:"in_time"`
 	Refused int    `json:"refused"`
 	Failed  int    `json:"failed"`
-	// Goodput is the number of answers in time a second.
+	// Goodput is the number of answers per second that met their deadline.
 	Goodput float64 `json:"goodput"`
 	Answer  Latency `json:"answer"`
 	First   Latency `json:"first"`
@@ -61,42 +63,42 @@
 	Max float64 `json:"max"`
 }
 
-// CodeCount counts refusals of one code.
+// CodeCount counts the refusals with the same code and run state.
 type CodeCount struct {
 	Code  fireflypath.Reason `json:"code"`
 	Run   fireflypath.Run    `json:"run"`
 	Count int                `json:"count"`
-	// Example is one of their details.
+	// Example is the detail of the first of them.
 	Example string `json:"example"`
 }
 
-type code struct {
+type refusalKey struct {
 	code fireflypath.Reason
 	run  fireflypath.Run
 }
 
-// Tally takes outcomes in, from many goroutines.
+// Tally collects outcomes. It is safe for concurrent use.
 type Tally struct {
 	mu     sync.Mutex
-	tiers  map[int]*tier
-	codes  map[code]*CodeCount
+	tiers  map[int]*tierStats
+	codes  map[refusalKey]*CodeCount
 	errors []string
 }
 
-type tier struct {
+type tierStats struct {
 	report TierReport
 	answer *hdrhistogram.Histogram
 	first  *hdrhistogram.Histogram
 }
 
-// NewTally makes an empty tally for a mix.
+// NewTally returns an empty tally for a mix.
 func NewTally(m mix.Mix) *Tally {
-	t := &Tally{tiers: make(map[int]*tier), codes: make(map[code]*CodeCount)}
+	t := &Tally{tiers: make(map[int]*tierStats), codes: make(map[refusalKey]*CodeCount)}
 	for _, x := range m.Tiers {
-		t.tiers[x.Rank] = &tier{
+		t.tiers[x.Rank] = &tierStats{
 			report: TierReport{Tier: x.Name, Rank: x.Rank},
-			answer: hdrhistogram.New(1, longest.Microseconds(), digits),
-			first:  hdrhistogram.New(1, longest.Microseconds(), digits),
+			answer: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
+			first:  hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 		}
 	}
 	return t
@@ -106,55 +108,56 @@
 func (t *Tally) Add(o Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x := t.tiers[o.Arrival.Rank]
-	x.report.Sent++
+	stats := t.tiers[o.Arrival.Rank]
+	stats.report.Sent++
 	switch {
 	case o.Whole:
-		x.whole(o)
+		stats.addWhole(o)
 	case o.Refusal != nil:
-		x.report.Refused++
-		t.refused(o.Refusal)
+		stats.report.Refused++
+		t.addRefusal(o.Refusal)
 	default:
-		x.report.Failed++
+		stats.report.Failed++
 		if len(t.errors) < maxErrors {
 			t.errors = append(t.errors, o.Err.Error())
 		}
 	}
 }
 
-func (t *Tally) refused(f *fireflypath.Refusal) {
-	k := code{f.Code, f.Run}
+func (t *Tally) addRefusal(f *fireflypath.Refusal) {
+	k := refusalKey{f.Code, f.Run}
 	if t.codes[k] == nil {
 		t.codes[k] = &CodeCount{Code: f.Code, Run: f.Run, Example: f.Detail}
 	}
 	t.codes[k].Count++
 }
 
-func (x *tier) whole(o Outcome) {
+func (x *tierStats) addWhole(o Outcome) {
 	x.report.Whole++
 	if o.Took <= o.Arrival.Deadline {
 		x.report.InTime++
 	}
-	// Values above the largest are left out of the histogram, not of the counts.
+	// The histograms reject values above maxLatency; the counters include them.
 	_ = x.answer.RecordValue(max(1, o.Took.Microseconds()))
 	_ = x.first.RecordValue(max(1, o.First.Microseconds()))
 }
 
-// Report sums up what was added, over the time in which requests arrived.
+// Report summarizes the outcomes so far; d is the length of the period in which
+// requests arrived.
 func (t *Tally) Report(d time.Duration) Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := Report{Seconds: d.Seconds(), Errors: slices.Clone(t.errors)}
-	for _, x := range t.tiers {
-		line := x.report
-		line.Goodput = float64(line.InTime) / d.Seconds()
-		line.Answer, line.First = latency(x.answer), latency(x.first)
-		r.Tiers = append(r.Tiers, line)
-		r.Sent += line.Sent
-		r.Whole += line.Whole
-		r.InTime += line.InTime
-		r.Refused += line.Refused
-		r.Failed += line.Failed
+	for _, stats := range t.tiers {
+		report := stats.report
+		report.Goodput = float64(report.InTime) / d.Seconds()
+		report.Answer, report.First = latency(stats.answer), latency(stats.first)
+		r.Tiers = append(r.Tiers, report)
+		r.Sent += report.Sent
+		r.Whole += report.Whole
+		r.InTime += report.InTime
+		r.Refused += report.Refused
+		r.Failed += report.Failed
 	}
 	slices.SortFunc(r.Tiers, func(a, b TierReport) int { return cmp.Compare(a.Rank, b.Rank) })
 	for _, c := range t.codes {
--- a/internal/testkit/mapstore.go
+++ b/internal/testkit/mapstore.go
@@ -1,4 +1,3 @@
-// Package testkit holds helpers that several packages' tests share.
 package testkit
 
 import (
@@ -13,15 +12,15 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Fault is what a MapStore does with one call.
+// Fault lists the errors that a MapStore injects into one call.
 type Fault struct {
-	// Before is returned without an effect.
+	// Before is returned before the call takes effect.
 	Before error
-	// After is returned although the call took effect, like a lost answer.
+	// After is returned once the call has taken effect, as if its response was lost.
 	After error
 }
 
-// MapStore is the platform's key-value service in memory, with faults.
+// MapStore is an in-memory fireflypath.Store with fault injection.
 type MapStore struct {
 	clock clockwork.Clock
 
@@ -29,40 +28,40 @@
 	fault    func(op, key string) Fault
 	calls    map[string]int
 	revision uint64
-	entries  map[string]stored
+	entries  map[string]storedEntry
 	leases   map[fireflypath.LeaseID]lease
 	nextID   fireflypath.LeaseID
 	changed  chan struct{}
 }
 
-type stored struct {
+type storedEntry struct {
 	fireflypath.Entry
 	lease fireflypath.LeaseID
 }
 
 type lease struct {
-	ttl   time.Duration
-	until time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 var _ fireflypath.Store = (*MapStore)(nil)
 
-// NewMapStore makes an empty store whose leases run on the clock.
+// NewMapStore returns an empty store whose leases expire by the clock.
 func NewMapStore(clock clockwork.Clock) *MapStore {
 	return &MapStore{
-		clock: clock, calls: map[string]int{}, entries: map[string]stored{},
+		clock: clock, calls: map[string]int{}, entries: map[string]storedEntry{},
 		leases: map[fireflypath.LeaseID]lease{}, changed: make(chan struct{}),
 	}
 }
 
-// SetFault decides the fate of each later call by operation and key.
+// SetFault sets the function that chooses the faults of each later call by operation and key.
 func (s *MapStore) SetFault(f func(op, key string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Calls is the number of calls of an operation, of all if it is empty.
+// Calls returns the number of calls of an operation, or of all operations if op is empty.
 func (s *MapStore) Calls(op string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,36 +74,36 @@
 	return n
 }
 
-// Snapshot copies the values; Restore puts such a copy back, like a service
-// that comes back with older data.
+// Snapshot copies the values. Restoring the copy later simulates a service that
+// was recovered from an old backup.
 func (s *MapStore) Snapshot() []fireflypath.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list("")
 }
 
-// Restore replaces all values by a snapshot's.
+// Restore replaces all values with those of a snapshot.
 func (s *MapStore) Restore(es []fireflypath.Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.entries = map[string]stored{}
+	s.entries = map[string]storedEntry{}
 	for _, e := range es {
-		s.entries[e.Key] = stored{Entry: e}
+		s.entries[e.Key] = storedEntry{Entry: e}
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *MapStore) wake() {
+func (s *MapStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// begin counts the call, lets leases lapse and gives the fault.
-func (s *MapStore) begin(op, key string) Fault {
+// beginCall counts the call, expires leases and returns the faults to inject.
+func (s *MapStore) beginCall(op, key string) Fault {
 	s.mu.Lock()
 	f := s.fault
 	s.calls[op]++
-	s.lapse()
+	s.expireLeases()
 	s.mu.Unlock()
 	if f == nil {
 		return Fault{}
@@ -112,33 +111,33 @@
 	return f(op, key)
 }
 
-func (s *MapStore) lapse() {
+func (s *MapStore) expireLeases() {
 	now := s.clock.Now()
 	for id, l := range s.leases {
-		if !now.Before(l.until) {
-			s.end(id)
+		if !now.Before(l.expiresAt) {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *MapStore) end(id fireflypath.LeaseID) {
+func (s *MapStore) endLease(id fireflypath.LeaseID) {
 	delete(s.leases, id)
 	for k, e := range s.entries {
 		if e.lease == id {
-			s.remove(k)
+			s.deleteKey(k)
 		}
 	}
 }
 
-func (s *MapStore) remove(key string) {
+func (s *MapStore) deleteKey(key string) {
 	s.revision++
-	s.entries[key] = stored{Entry: fireflypath.Entry{Key: key, Revision: s.revision, Deleted: true}}
-	s.wake()
+	s.entries[key] = storedEntry{Entry: fireflypath.Entry{Key: key, Revision: s.revision, Deleted: true}}
+	s.notifyWatchers()
 }
 
-// Get reads one key.
+// Get returns the entry of one key.
 func (s *MapStore) Get(_ context.Context, key string) (fireflypath.Entry, error) {
-	f := s.begin("get", key)
+	f := s.beginCall("get", key)
 	if f.Before != nil {
 		return fireflypath.Entry{}, f.Before
 	}
@@ -151,36 +150,36 @@
 	return e.Entry, f.After
 }
 
-// Put writes by compare-and-swap.
+// Put writes a key if its revision is the given one.
 func (s *MapStore) Put(_ context.Context, key string, value []byte, revision uint64, id fireflypath.LeaseID) (uint64, error) {
-	f := s.begin("put", key)
+	f := s.beginCall("put", key)
 	if f.Before != nil {
 		return 0, f.Before
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.entries[key]
-	have := e.Revision
+	current := e.Revision
 	if !ok || e.Deleted {
-		have = 0
+		current = 0
 	}
-	if revision != fireflypath.AnyRevision && revision != have {
+	if revision != fireflypath.AnyRevision && revision != current {
 		return 0, fireflypath.ErrConflict
 	}
-	if _, held := s.leases[id]; id != 0 && !held {
+	if _, exists := s.leases[id]; id != 0 && !exists {
 		return 0, fireflypath.ErrLeaseExpired
 	}
 	s.revision++
-	e = stored{lease: id, Entry: fireflypath.Entry{Key: key, Revision: s.revision}}
+	e = storedEntry{lease: id, Entry: fireflypath.Entry{Key: key, Revision: s.revision}}
 	e.Value = append([]byte(nil), value...)
 	s.entries[key] = e
-	s.wake()
+	s.notifyWatchers()
 	return s.revision, f.After
 }
 
-// Delete removes a key by compare-and-swap.
+// Delete removes a key if its revision is the given one.
 func (s *MapStore) Delete(_ context.Context, key string, revision uint64) error {
-	f := s.begin("delete", key)
+	f := s.beginCall("delete", key)
 	if f.Before != nil {
 		return f.Before
 	}
@@ -193,13 +192,13 @@
 	if revision != fireflypath.AnyRevision && revision != e.Revision {
 		return fireflypath.ErrConflict
 	}
-	s.remove(key)
+	s.deleteKey(key)
 	return f.After
 }
 
-// List reads the keys with a prefix.
+// List returns the entries whose keys have the prefix, sorted by key.
 func (s *MapStore) List(_ context.Context, prefix string) ([]fireflypath.Entry, error) {
-	f := s.begin("list", prefix)
+	f := s.beginCall("list", prefix)
 	if f.Before != nil {
 		return nil, f.Before
 	}
@@ -219,9 +218,9 @@
 	return out
 }
 
-// Watch waits for changes above a revision.
+// Watch waits for changes with a revision above after.
 func (s *MapStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]fireflypath.Entry, error) {
-	f := s.begin("watch", prefix)
+	f := s.beginCall("watch", prefix)
 	if f.Before != nil {
 		return nil, f.Before
 	}
@@ -229,7 +228,7 @@
 	defer t.Stop()
 	for {
 		s.mu.Lock()
-		s.lapse()
+		s.expireLeases()
 		var out []fireflypath.Entry
 		for k, e := range s.entries {
 			if strings.HasPrefix(k, prefix) && e.Revision > after {
@@ -251,22 +250,22 @@
 	}
 }
 
-// Grant makes a lease.
+// Grant creates a lease.
 func (s *MapStore) Grant(_ context.Context, ttl time.Duration) (fireflypath.LeaseID, error) {
-	f := s.begin("grant", "")
+	f := s.beginCall("grant", "")
 	if f.Before != nil {
 		return 0, f.Before
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextID++
-	s.leases[s.nextID] = lease{ttl: ttl, until: s.clock.Now().Add(ttl)}
+	s.leases[s.nextID] = lease{ttl: ttl, expiresAt: s.clock.Now().Add(ttl)}
 	return s.nextID, f.After
 }
 
-// Renew extends a lease.
+// Renew extends a lease by its original TTL.
 func (s *MapStore) Renew(_ context.Context, id fireflypath.LeaseID) error {
-	f := s.begin("renew", "")
+	f := s.beginCall("renew", "")
 	if f.Before != nil {
 		return f.Before
 	}
@@ -276,19 +275,19 @@
 	if !ok {
 		return fireflypath.ErrLeaseExpired
 	}
-	l.until = s.clock.Now().Add(l.ttl)
+	l.expiresAt = s.clock.Now().Add(l.ttl)
 	s.leases[id] = l
 	return f.After
 }
 
-// Revoke ends a lease.
+// Revoke ends a lease and deletes its keys.
 func (s *MapStore) Revoke(_ context.Context, id fireflypath.LeaseID) error {
-	f := s.begin("revoke", "")
+	f := s.beginCall("revoke", "")
 	if f.Before != nil {
 		return f.Before
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end(id)
+	s.endLease(id)
 	return f.After
 }
--- a/internal/testkit/network.go
+++ b/internal/testkit/network.go
@@ -16,63 +16,64 @@
 
 var errRefused = errors.New("connection refused")
 
-// Network joins daemons in memory. Links between two hosts can be cut one way
-// or both ways, and single connections can fall silent for good.
+// Network connects daemons in memory. The link between two hosts can be cut in one
+// or both directions, and open connections can be made to lose all further data.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	cut       map[direction]bool
+	cut       map[link]bool
 	conns     map[*conn]bool
 	paused    map[string]chan struct{}
-	// Bytes counts what all hosts wrote.
+	// Bytes is the number of bytes written by all hosts.
 	Bytes atomic.Int64
 }
 
-type direction struct{ from, to string }
+type link struct{ from, to string }
 
-// NewNetwork makes a network without hosts.
+// NewNetwork returns a network without hosts.
 func NewNetwork() *Network {
 	return &Network{
-		listeners: map[string]*listener{}, cut: map[direction]bool{},
+		listeners: map[string]*listener{}, cut: map[link]bool{},
 		conns: map[*conn]bool{}, paused: map[string]chan struct{}{},
 	}
 }
 
-// Host is one host's view of the network; addresses are "host:port".
+// Host returns the network as seen by one host; addresses are "host:port".
 func (n *Network) Host(name string) fireflypath.Network { return &host{n: n, name: name} }
 
-// Cut loses all that goes from one host to another; what was lost on an open
-// connection is not sent again, so the connection stays silent that way.
-func (n *Network) Cut(from, to string) { n.set(from, to, true) }
+// Cut drops everything sent from one host to another. A connection that lost data
+// stays unusable in that direction, also after Heal, because nothing is sent again.
+func (n *Network) Cut(from, to string) { n.setCut(from, to, true) }
 
-// CutBoth cuts both ways.
+// CutBoth cuts the link in both directions.
 func (n *Network) CutBoth(a, b string) { n.Cut(a, b); n.Cut(b, a) }
 
-// Heal undoes Cut for new connections.
-func (n *Network) Heal(from, to string) { n.set(from, to, false) }
+// Heal reverts Cut. Connections that lost data meanwhile stay unusable.
+func (n *Network) Heal(from, to string) { n.setCut(from, to, false) }
 
-// HealBoth heals both ways.
+// HealBoth reverts CutBoth.
 func (n *Network) HealBoth(a, b string) { n.Heal(a, b); n.Heal(b, a) }
 
-func (n *Network) set(from, to string, cut bool) {
+func (n *Network) setCut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[direction{from, to}] = cut
+	n.cut[link{from, to}] = cut
 }
 
-// Silence loses for good all that open connections carry from one host to
-// another. Connections opened later work.
+// Silence permanently drops what the open connections carry from one host to
+// another. Connections opened later are not affected.
 func (n *Network) Silence(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if c.from == from && c.to == to {
-			c.lost.Store(true)
+			c.discardWrites.Store(true)
 		}
 	}
 }
 
-// Kill ends a host's process: its connections break and dials are refused.
+// Kill simulates the end of a host's process: its connections are closed and dials
+// to it are refused.
 func (n *Network) Kill(name string) {
 	n.mu.Lock()
 	var broken []*conn
@@ -93,16 +94,16 @@
 	}
 }
 
-// Pause stops a host from taking anything in, like a stopped process whose
-// kernel still acknowledges; Resume lets it read what came meanwhile. Stop the
-// host's clock as well.
+// Pause stops a host from reading and accepting, like a process stopped by SIGSTOP
+// whose kernel still acknowledges data. After Resume the host reads what arrived
+// meanwhile. The caller has to stop the host's clock as well.
 func (n *Network) Pause(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.paused[name] = make(chan struct{})
 }
 
-// Resume undoes Pause.
+// Resume reverts Pause.
 func (n *Network) Resume(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,8 +111,8 @@
 	delete(n.paused, name)
 }
 
-// awake waits while a host is paused.
-func (n *Network) awake(name string) {
+// waitWhilePaused blocks while a host is paused.
+func (n *Network) waitWhilePaused(name string) {
 	n.mu.Lock()
 	ch := n.paused[name]
 	n.mu.Unlock()
@@ -123,7 +124,7 @@
 func (n *Network) isCut(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut[direction{from, to}]
+	return n.cut[link{from, to}]
 }
 
 type host struct {
@@ -132,12 +133,12 @@
 }
 
 type listener struct {
-	n    *Network
-	host string
-	addr addr
-	ch   chan net.Conn
-	done chan struct{}
-	once sync.Once
+	n        *Network
+	host     string
+	addr     addr
+	accepted chan net.Conn
+	done     chan struct{}
+	once     sync.Once
 }
 
 type addr string
@@ -145,14 +146,14 @@
 func (a addr) Network() string { return "mem" }
 func (a addr) String() string  { return string(a) }
 
-// Listen takes an address of any form; the host is the one that asked.
+// Listen accepts an address of any form; connections to it belong to this host.
 func (h *host) Listen(a string) (net.Listener, error) {
 	h.n.mu.Lock()
 	defer h.n.mu.Unlock()
 	if h.n.listeners[a] != nil {
 		return nil, errors.Newf("address %s in use", a)
 	}
-	l := &listener{n: h.n, host: h.name, addr: addr(a), ch: make(chan net.Conn), done: make(chan struct{})}
+	l := &listener{n: h.n, host: h.name, addr: addr(a), accepted: make(chan net.Conn), done: make(chan struct{})}
 	h.n.listeners[a] = l
 	return l, nil
 }
@@ -172,15 +173,16 @@
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.ch:
-		l.n.awake(l.host)
+	case c := <-l.accepted:
+		l.n.waitWhilePaused(l.host)
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
-// Dial connects, is refused if nobody listens, or waits for ctx across a cut.
+// Dial connects to an address. It fails if nothing listens there, and blocks until
+// ctx is done if the link is cut.
 func (h *host) Dial(ctx context.Context, a string) (net.Conn, error) {
 	h.n.mu.Lock()
 	l := h.n.listeners[a]
@@ -192,15 +194,15 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	up, down := newPipe(), newPipe()
-	mine := &conn{n: h.n, from: h.name, to: l.host, r: down, w: up, peer: addr(a)}
-	theirs := &conn{n: h.n, from: l.host, to: h.name, r: up, w: down, peer: addr(h.name)}
+	toListener, toDialer := newPipe(), newPipe()
+	dialed := &conn{n: h.n, from: h.name, to: l.host, r: toDialer, w: toListener, remote: addr(a)}
+	accepted := &conn{n: h.n, from: l.host, to: h.name, r: toListener, w: toDialer, remote: addr(h.name)}
 	h.n.mu.Lock()
-	h.n.conns[mine], h.n.conns[theirs] = true, true
+	h.n.conns[dialed], h.n.conns[accepted] = true, true
 	h.n.mu.Unlock()
 	select {
-	case l.ch <- theirs:
-		return mine, nil
+	case l.accepted <- accepted:
+		return dialed, nil
 	case <-l.done:
 		return nil, errRefused
 	case <-ctx.Done():
@@ -208,34 +210,35 @@
 	}
 }
 
-// pipe is one direction of a connection, buffered like a kernel would.
+// pipe is one direction of a connection with an unbounded buffer, so that writes
+// return at once, as with a kernel's socket buffer.
 type pipe struct {
-	mu     sync.Mutex
-	buf    []byte
-	closed bool
-	wake   chan struct{}
+	mu      sync.Mutex
+	buf     []byte
+	closed  bool
+	changed chan struct{}
 }
 
-func newPipe() *pipe { return &pipe{wake: make(chan struct{})} }
+func newPipe() *pipe { return &pipe{changed: make(chan struct{})} }
 
-func (p *pipe) signal() {
-	close(p.wake)
-	p.wake = make(chan struct{})
+func (p *pipe) notify() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 type conn struct {
-	n        *Network
-	from, to string
-	r, w     *pipe
-	peer     addr
-	lost     atomic.Bool
-	mu       sync.Mutex
-	deadline time.Time
+	n             *Network
+	from, to      string
+	r, w          *pipe
+	remote        addr
+	discardWrites atomic.Bool
+	mu            sync.Mutex
+	deadline      time.Time
 }
 
 func (c *conn) Read(b []byte) (int, error) {
 	for {
-		c.n.awake(c.from)
+		c.n.waitWhilePaused(c.from)
 		c.r.mu.Lock()
 		if len(c.r.buf) > 0 {
 			n := copy(b, c.r.buf)
@@ -243,7 +246,7 @@
 			c.r.mu.Unlock()
 			return n, nil
 		}
-		closed, wake := c.r.closed, c.r.wake
+		closed, changed := c.r.closed, c.r.changed
 		c.r.mu.Unlock()
 		if closed {
 			return 0, io.EOF
@@ -252,12 +255,12 @@
 		d := c.deadline
 		c.mu.Unlock()
 		if d.IsZero() {
-			<-wake
+			<-changed
 			continue
 		}
 		t := time.NewTimer(time.Until(d))
 		select {
-		case <-wake:
+		case <-changed:
 			t.Stop()
 		case <-t.C:
 			return 0, os.ErrDeadlineExceeded
@@ -267,7 +270,7 @@
 
 func (c *conn) Write(b []byte) (int, error) {
 	if c.n.isCut(c.from, c.to) {
-		c.lost.Store(true)
+		c.discardWrites.Store(true)
 	}
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -275,34 +278,34 @@
 		return 0, io.ErrClosedPipe
 	}
 	c.n.Bytes.Add(int64(len(b)))
-	if !c.lost.Load() {
+	if !c.discardWrites.Load() {
 		c.w.buf = append(c.w.buf, b...)
-		c.w.signal()
+		c.w.notify()
 	}
 	return len(b), nil
 }
 
-// Close ends this side; the other hears of it unless the way there is lost.
+// Close closes this end. The other end sees it unless the direction to it is cut or silenced.
 func (c *conn) Close() error {
 	c.n.mu.Lock()
 	delete(c.n.conns, c)
-	reached := !c.lost.Load() && !c.n.cut[direction{c.from, c.to}]
+	delivered := !c.discardWrites.Load() && !c.n.cut[link{c.from, c.to}]
 	c.n.mu.Unlock()
 	c.r.mu.Lock()
 	c.r.closed = true
-	c.r.signal()
+	c.r.notify()
 	c.r.mu.Unlock()
-	if reached {
+	if delivered {
 		c.w.mu.Lock()
 		c.w.closed = true
-		c.w.signal()
+		c.w.notify()
 		c.w.mu.Unlock()
 	}
 	return nil
 }
 
 func (c *conn) LocalAddr() net.Addr              { return addr(c.from) }
-func (c *conn) RemoteAddr() net.Addr             { return c.peer }
+func (c *conn) RemoteAddr() net.Addr             { return c.remote }
 func (c *conn) SetDeadline(t time.Time) error    { return c.SetReadDeadline(t) }
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 
@@ -311,7 +314,7 @@
 	c.deadline = t
 	c.mu.Unlock()
 	c.r.mu.Lock()
-	c.r.signal()
+	c.r.notify()
 	c.r.mu.Unlock()
 	return nil
 }
