--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -15,21 +15,21 @@
 	"github.com/fireflypath/fireflypath/pkg/client"
 )
 
-// errWrong means that an answer is not the one to the request.
-var errWrong = errors.New("answer is another than the request's")
+// errMismatch means that an answer does not belong to its request.
+var errMismatch = errors.New("answer does not belong to the request")
 
-// callers behave like real ones behind a balancer: they take the daemons by
-// turns, and try another daemon if one is gone and a second run does no harm or
-// is kept off by a key.
+// callers behave like real callers behind a load balancer: they use the daemons in
+// round-robin order, and retry on another daemon if one is gone and the request was not
+// sent, is idempotent or carries an idempotency key.
 type callers struct {
 	format  load.Format
 	clients []*client.Client
 
 	mu   sync.Mutex
 	next int
-	// tiers maps the ids that callers were told to their tiers.
+	// tiers maps the request IDs that callers received to their tiers.
 	tiers map[string]string
-	// notRun are the ids of refusals that say that the request did not run.
+	// notRun holds the IDs of refusals that state that the request did not run.
 	notRun []string
 }
 
@@ -46,13 +46,13 @@
 	r := c.format.Request(a)
 	r.OnFirstByte = first
 	var err error
-	start := c.turn()
+	start := c.nextIndex()
 	for n := range 2 * len(c.clients) {
 		var got *client.Answer
 		got, err = c.clients[(start+n)%len(c.clients)].Do(ctx, r)
-		c.note(a, got)
+		c.record(a, got)
 		if err == nil {
-			return got.Refusal, check(a, r, got)
+			return got.Refusal, checkAnswer(a, r, got)
 		}
 		if errors.Is(err, client.ErrUnsent) || a.Idempotent || r.IdempotencyKey != "" {
 			continue
@@ -62,18 +62,18 @@
 	return nil, err
 }
 
-// turn is the daemon that the balancer gives to the next request. A caller that
-// sends again goes on from there: were the turns shared, a busy balancer could
-// send one caller to dead daemons only.
-func (c *callers) turn() int {
+// nextIndex returns the index of the daemon for the next request. A caller that retries
+// continues with the daemons after it: with a shared round-robin index, concurrent
+// requests could make all retries of one caller hit dead daemons.
+func (c *callers) nextIndex() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.next++
 	return c.next
 }
 
-// note keeps what a caller learned, for the audit.
-func (c *callers) note(a mix.Arrival, got *client.Answer) {
+// record stores what a caller received, for the audit.
+func (c *callers) record(a mix.Arrival, got *client.Answer) {
 	if got == nil {
 		return
 	}
@@ -85,14 +85,14 @@
 	}
 }
 
-// check compares an answer with the one that the stand-ins give to the request.
-func check(a mix.Arrival, r *client.Request, got *client.Answer) error {
+// checkAnswer compares an answer with the one that the fakes give to the request.
+func checkAnswer(a mix.Arrival, r *client.Request, got *client.Answer) error {
 	err := load.CheckAnswer(got)
 	switch {
 	case got.Refusal != nil, err != nil:
 		return err
 	case a.Pool == mix.Models && got.Text != engine.ExpectedText(a.Prompt(), a.Cost.MaxOutput):
-		return errors.Wrapf(errWrong, "%s: %d tokens of %d", got.ID, got.Tokens, a.Cost.MaxOutput)
+		return errors.Wrapf(errMismatch, "%s: %d tokens of %d", got.ID, got.Tokens, a.Cost.MaxOutput)
 	case a.Pool == mix.Models:
 		return nil
 	}
@@ -101,7 +101,7 @@
 		return errors.Wrap(err, got.ID)
 	}
 	if e.Key != r.IdempotencyKey || e.Body != string(r.Body) {
-		return errors.Wrap(errWrong, got.ID)
+		return errors.Wrap(errMismatch, got.ID)
 	}
 	return nil
 }
--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -7,12 +7,12 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// PrintCalls writes the addresses of a demo that is kept up and ready-made calls.
+// PrintCalls writes the addresses of a demo that keeps running and example calls.
 func (d *Demo) PrintCalls(w io.Writer) error {
-	team := d.o.Mix.Teams[0]
+	team := d.options.Mix.Teams[0]
 	b := fmt.Appendf(nil, "\nplatform    http://%s\n", d.platform.Addr())
 	for i, x := range d.daemons {
-		if i >= d.o.Kill || d.o.Quiet {
+		if i >= d.options.Kill || d.options.Quiet {
 			b = fmt.Appendf(b, "entry%-6d callers http://%s  operators http://%s\n", i+1, x.CallerAddr(), x.OperatorAddr())
 		}
 	}
@@ -30,7 +30,7 @@
 		addr, mix.Token(team.Name), team.Tiers[0], mix.Model)
 	b = fmt.Appendf(b, "\n# a delivery that runs at most once, however often it is sent\ncurl -i http://%s/services/%s/deliveries/1 "+
 		"-H 'Authorization: Bearer %s' -H 'Idempotency-Key: my-key' -d 'a packet'\n",
-		addr, mix.Packets, mix.Token(d.o.Mix.Teams[3].Name))
+		addr, mix.Packets, mix.Token(d.options.Mix.Teams[3].Name))
 	b = fmt.Appendf(b, "\n# an engine goes slow, and what it counted\ncurl http://%s/fault -d '{\"name\":\"slow\",\"factor\":10}'\n"+
 		"curl http://%s/counts\n\nend with ctrl-c\n", d.engines[1].Addr(), d.engines[1].Addr())
 	_, err := w.Write(b)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,5 @@
-// Package demo runs daemons, stand-ins and callers in one process and checks what callers received against what targets counted.
+// Package demo runs daemons, fakes and callers in one process and compares what callers
+// received with the counters of the targets.
 package demo
 
 import (
@@ -18,26 +19,27 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// Options choose a demo.
+// Options configure a demo.
 type Options struct {
 	Mix mix.Mix
-	// Daemons is the number started, Kill how many of them are killed on the way.
+	// Daemons is the number of daemons to start, Kill how many of them are killed
+	// during the run.
 	Daemons int
 	Kill    int
-	// Rate is in requests a second before the burst.
+	// Rate is the number of requests per second before the burst.
 	Rate float64
-	// For is how long requests arrive.
+	// For is the duration over which requests arrive.
 	For  time.Duration
 	Seed uint64
-	// Quiet leaves the faults and the burst out.
+	// Quiet disables the faults and the burst.
 	Quiet bool
 }
 
-// Demo is a running demo. The steps fill its fields in their order.
+// Demo is a running demo. Its fields are set by the start steps in their order.
 type Demo struct {
-	o     Options
-	clock clockwork.Clock
-	run   string
+	options Options
+	clock   clockwork.Clock
+	run     string
 
 	platform *platform.Fake
 	engines  []*engine.Engine
@@ -45,23 +47,23 @@
 	daemons  []*daemon.Daemon
 	callers  *callers
 	tally    *load.Tally
-	leaving  leaving
-	work     conc.WaitGroup
+	leaving  leavingTarget
+	kills    conc.WaitGroup
 }
 
-// step is one part of a demo.
+// step is one step of a demo.
 type step struct {
 	name string
 	run  func(context.Context) error
 }
 
-// New returns a demo that has not started.
+// New returns a demo that is not started yet.
 func New(o Options, clock clockwork.Clock) *Demo {
-	return &Demo{o: o, clock: clock, run: ulid.Make().String(), tally: load.NewTally(o.Mix)}
+	return &Demo{options: o, clock: clock, run: ulid.Make().String(), tally: load.NewTally(o.Mix)}
 }
 
-// Run starts everything, sends the work with the faults on the way, and
-// compares what callers received with what targets counted.
+// Run starts the platform, targets and daemons, sends the requests while it injects
+// faults, and compares what callers received with the counters of the targets.
 func (d *Demo) Run(ctx context.Context) (Report, error) {
 	steps := []step{
 		{"start the platform", d.startPlatform},
@@ -77,13 +79,13 @@
 	return d.audit(), nil
 }
 
-// Close ends everything.
+// Close stops everything.
 func (d *Demo) Close() error {
 	var all error
 	for _, x := range d.daemons {
 		x.Kill()
 	}
-	d.work.Wait()
+	d.kills.Wait()
 	for _, e := range d.engines {
 		all = errors.CombineErrors(all, e.Close())
 	}
@@ -96,18 +98,18 @@
 	return all
 }
 
-// send runs the arrivals and the faults side by side, and waits for all answers.
+// send sends the requests while it injects the faults, and waits for all answers.
 func (d *Demo) send(ctx context.Context) error {
-	o := mix.Options{Seed: d.o.Seed, Rate: d.o.Rate, Duration: d.o.For}
-	if !d.o.Quiet {
+	o := mix.Options{Seed: d.options.Seed, Rate: d.options.Rate, Duration: d.options.For}
+	if !d.options.Quiet {
 		o.Bursts = []mix.Burst{d.burst()}
 	}
 	var faults conc.WaitGroup
-	if !d.o.Quiet {
-		faults.Go(func() { d.strike(ctx) })
+	if !d.options.Quiet {
+		faults.Go(func() { d.injectFaults(ctx) })
 	}
 	d.callers = newCallers(d)
-	load.Run(ctx, d.clock, d.o.Mix.Arrivals(o), d.callers, d.tally)
+	load.Run(ctx, d.clock, d.options.Mix.Arrivals(o), d.callers, d.tally)
 	faults.Wait()
 	return ctx.Err()
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -14,10 +14,10 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// Two of four daemons are killed while requests wait at them, an engine dies,
-// connections go silent, streams break and a target leaves. Each caller must
-// still end with its own whole answer or a true refusal, and no delivery may
-// run twice although callers send it again elsewhere.
+// Two of four daemons are killed while requests wait in them, an engine dies,
+// connections go silent, streams break and a target leaves. Every caller must still get
+// its own complete answer or a correct refusal, and no delivery may run twice even if
+// callers retry it on another daemon.
 func TestDemoUnderFaults(t *testing.T) {
 	is := is.New(t)
 	d := demo.New(demo.Options{
@@ -34,11 +34,11 @@
 	is.Equal(r.Untrue, 0)
 }
 
-// A daemon is killed, and the kernel gives its port to a stand-in of another
-// process, which answers the callers who still dial it: one demo reports wrong
-// answers, the other one work that it never sent. So nothing may listen on an
-// address that other processes use too.
-func TestDemoListensWhereNoStrangerDoes(t *testing.T) {
+// Guards against demos on a shared loopback address: after a daemon is killed, the
+// kernel may give its port to a fake of another process, which then answers callers
+// that still dial it. One demo reports wrong answers, the other one requests that it
+// never sent.
+func TestDemoListensOnExclusiveLoopbackAddress(t *testing.T) {
 	is := is.New(t)
 	d := demo.New(demo.Options{
 		Mix: mix.Pozo(), Daemons: 3, Rate: 40, For: 100 * time.Millisecond, Seed: 7, Quiet: true,
--- a/internal/demo/overhead_test.go
+++ b/internal/demo/overhead_test.go
@@ -17,13 +17,14 @@
 	"github.com/fireflypath/fireflypath/pkg/client"
 )
 
-// pair is an engine that takes no time, and a daemon in front of it.
-type pair struct {
+// endpoints are the clients of an engine without processing time and of a daemon in
+// front of it.
+type endpoints struct {
 	direct *client.Client
 	daemon *client.Client
 }
 
-func newPair(b *testing.B) pair {
+func newEndpoints(b *testing.B) endpoints {
 	is := is.New(b)
 	e, err := engine.New(engine.Config{Batch: 256, WithoutCounts: true}, clockwork.NewRealClock())
 	is.NoErr(err)
@@ -32,18 +33,18 @@
 	is.NoErr(err)
 	is.NoErr(d.Start(b.Context()))
 	b.Cleanup(d.Kill)
-	return pair{client.New(e.Addr()), client.New(d.CallerAddr())}
+	return endpoints{client.New(e.Addr()), client.New(d.CallerAddr())}
 }
 
-// small is a co-op's question with an answer of a few tokens.
-func small(b *testing.B, c *client.Client, stream bool) {
+// sendSmallRequest sends a short prompt whose answer has a few tokens.
+func sendSmallRequest(b *testing.B, c *client.Client, stream bool) {
 	body := `{"model":"m","prompt":"which truck comes on Monday?","max_tokens":4,"stream":false}`
 	if stream {
 		body = `{"model":"m","prompt":"which truck comes on Monday?","max_tokens":4,"stream":true}`
 	}
 	a, err := c.Do(b.Context(), &client.Request{Path: "/v1/completions", Token: testkit.Token, Body: []byte(body)})
 	if err != nil || a.Status != 200 || a.Refusal != nil || (stream && a.Tokens != 4) {
-		b.Error("no whole answer: ", err, a)
+		b.Error("incomplete answer: ", err, a)
 	}
 }
 
@@ -55,16 +56,16 @@
 	return float64(d[int(q*float64(len(d)-1))].Nanoseconds()) / 1000
 }
 
-// BenchmarkOverhead sends small requests at 1,000 a second, half a second
-// straight to the engine and half a second through the daemon by turns.
+// BenchmarkOverhead sends small requests at 1,000 per second, alternating every half
+// second between the engine and the daemon.
 func BenchmarkOverhead(b *testing.B) {
-	b.Run("whole", func(b *testing.B) { overhead(b, false) })
-	b.Run("stream", func(b *testing.B) { overhead(b, true) })
+	b.Run("whole", func(b *testing.B) { benchmarkOverhead(b, false) })
+	b.Run("stream", func(b *testing.B) { benchmarkOverhead(b, true) })
 }
 
-func overhead(b *testing.B, stream bool) {
+func benchmarkOverhead(b *testing.B, stream bool) {
 	const rate, slice = 1000, 500
-	p := newPair(b)
+	p := newEndpoints(b)
 	var mu sync.Mutex
 	took := make(map[*client.Client][]time.Duration)
 	var wg sync.WaitGroup
@@ -78,7 +79,7 @@
 		}
 		wg.Go(func() {
 			sent := time.Now()
-			small(b, c, stream)
+			sendSmallRequest(b, c, stream)
 			d := time.Since(sent)
 			mu.Lock()
 			defer mu.Unlock()
@@ -93,10 +94,10 @@
 	b.ReportMetric(quantile(took[p.daemon], 0.99), "daemon-p99-µs")
 }
 
-// BenchmarkSustained keeps 64 callers busy, and reads the memory in use after a
-// tenth of the requests and after nine tenths.
+// BenchmarkSustained keeps 64 concurrent callers busy and measures the heap in use
+// after a tenth and after nine tenths of the requests.
 func BenchmarkSustained(b *testing.B) {
-	p := newPair(b)
+	p := newEndpoints(b)
 	for _, bb := range []struct {
 		name string
 		c    *client.Client
@@ -110,12 +111,12 @@
 			for range callers {
 				wg.Go(func() {
 					for i := n.Add(1); i <= int64(b.N); i = n.Add(1) {
-						small(b, bb.c, true)
+						sendSmallRequest(b, bb.c, true)
 						switch i {
 						case int64(b.N / 10):
-							early.Store(heap())
+							early.Store(heapInUse())
 						case int64(b.N * 9 / 10):
-							late.Store(heap())
+							late.Store(heapInUse())
 						}
 					}
 				})
@@ -128,7 +129,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -8,48 +8,50 @@
 	"github.com/fireflypath/fireflypath/internal/load"
 )
 
-// Report compares what callers received with what targets counted.
+// Report compares what callers received with the counters of the targets.
 type Report struct {
-	// Load is what callers received; its Failed are Lost here.
+	// Load is what callers received; its Failed count equals Lost.
 	Load load.Report `json:"load"`
-	// Lost counts requests whose callers in the end got neither their whole
-	// answer nor a refusal.
+	// Lost counts requests whose callers finally got neither a complete answer nor a
+	// refusal.
 	Lost int `json:"lost"`
-	// Twice counts ids that targets were sent more than once, and ids and keys
-	// that targets ran more than once.
+	// Twice counts request IDs that were sent to targets more than once, and request
+	// IDs and idempotency keys that targets ran more than once.
 	Twice int `json:"twice"`
-	// Untrue counts refusals that say that a request did not run, but it did.
+	// Untrue counts refusals that state that the request did not run although it did.
 	Untrue int `json:"untrue"`
-	// Late counts the requests sent to the leaving target later than 3 s after
-	// it began to leave; -1 if the demo ended before that.
+	// Late counts the requests sent to the leaving target later than 3 s after it began
+	// to leave; -1 if the demo ended before that.
 	Late int `json:"late"`
-	// Prefill and Wasted are prompt tokens computed, and those for nothing.
+	// Prefill is the number of prompt tokens prefilled, Wasted that of those prefilled
+	// for nothing.
 	Prefill int `json:"prefill"`
 	Wasted  int `json:"wasted"`
-	// Tiers split Wasted; a tier is empty if no caller learned the request's id.
+	// Tiers split Wasted by tier; the tier is empty if no caller received the request's
+	// ID.
 	Tiers []TierWaste `json:"tiers"`
 }
 
-// TierWaste is the prefill done for nothing for a tier's requests.
+// TierWaste is the wasted prefill of a tier's requests.
 type TierWaste struct {
 	Tier   string `json:"tier"`
 	Wasted int    `json:"wasted"`
 }
 
-// Good reports whether everything held that must always hold.
+// Good reports whether no request was lost, run twice or wrongly reported as not run.
 func (r Report) Good() bool {
 	return r.Lost == 0 && r.Twice == 0 && r.Untrue == 0
 }
 
-// audit reads the targets' counts.
+// audit compares the counters of the targets with what callers received.
 func (d *Demo) audit() Report {
-	l := d.tally.Report(d.o.For)
+	l := d.tally.Report(d.options.For)
 	r := Report{Load: l, Lost: l.Failed, Late: -1}
 	dispatches, runs, keys, waste := make(map[string]int), make(map[string]int), make(map[string]int), make(map[string]int)
 	for _, e := range d.engines {
 		c := e.Counts()
-		add(dispatches, c.Dispatches)
-		add(runs, c.Runs)
+		addCounts(dispatches, c.Dispatches)
+		addCounts(runs, c.Runs)
 		for id, n := range c.Waste {
 			waste[d.callers.tiers[id]] += n
 		}
@@ -58,32 +60,33 @@
 	}
 	for _, s := range d.services {
 		c := s.Counts()
-		add(dispatches, c.Dispatches)
-		add(runs, c.Runs)
-		add(keys, c.Keys)
+		addCounts(dispatches, c.Dispatches)
+		addCounts(runs, c.Runs)
+		addCounts(keys, c.Keys)
 	}
-	r.Twice = twice(dispatches, runs) + twice(keys)
+	r.Twice = countDuplicates(dispatches, runs) + countDuplicates(keys)
 	for _, id := range d.callers.notRun {
 		r.Untrue += min(1, runs[id])
 	}
-	for _, t := range d.o.Mix.Tiers {
+	for _, t := range d.options.Mix.Tiers {
 		r.Tiers = append(r.Tiers, TierWaste{t.Name, waste[t.Name]})
 	}
 	r.Tiers = append(r.Tiers, TierWaste{"", waste[""]})
-	if t := d.leaving.target; t != nil && d.leaving.before >= 0 {
-		r.Late = sum(t.Counts().Dispatches) - d.leaving.before
+	if t := d.leaving.target; t != nil && d.leaving.dispatchesAtLimit >= 0 {
+		r.Late = sumCounts(t.Counts().Dispatches) - d.leaving.dispatchesAtLimit
 	}
 	return r
 }
 
-func add(all, more map[string]int) {
+func addCounts(all, more map[string]int) {
 	for k, n := range more {
 		all[k] += n
 	}
 }
 
-// twice counts the names that any of the maps counts more than once.
-func twice(counts ...map[string]int) int {
+// countDuplicates returns the number of names that any of the maps counts more than
+// once.
+func countDuplicates(counts ...map[string]int) int {
 	names := make(map[string]bool)
 	for _, m := range counts {
 		for k, n := range m {
@@ -97,7 +100,7 @@
 
 const header = "tier\tsent\twhole\tin time\trefused\tlost\tgoodput/s\tp50 ms\tp95 ms\twasted prefill\t\n"
 
-// Print writes a report as a table and one last line for scripts.
+// Print writes the report as a table, followed by a last line for scripts.
 func (r Report) Print(w io.Writer) error {
 	rows := []byte(header)
 	for i, x := range r.Load.Tiers {
--- a/internal/demo/start.go
+++ b/internal/demo/start.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// The sizes of each first user (brief, "Sizes of today").
-	domains         = 3
+	// The sizes of a first user's installation.
+	failureDomains  = 3
 	engineTargets   = 12
 	serviceTargets  = 3
 	platformLag     = time.Second
 	reportLag       = 200 * time.Millisecond
 	serviceDelay    = 20 * time.Millisecond
 	loseCacheEvents = 10
-	// OperatorToken opens the operators' endpoints of a demo that is kept up.
+	// OperatorToken is the operator key of a demo that keeps running.
 	OperatorToken = "demo-operator"
 )
 
-// models are unlike engines, about five times as fast as real ones, so that
-// the longest work of a mix ends within the demo.
-var models = []engine.Config{
+// engineConfigs differ in speed, and are about five times as fast as real engines so
+// that the longest requests of a mix end within the demo.
+var engineConfigs = []engine.Config{
 	{Batch: 16, Prefill: 60_000, Decode: 250, Cache: 128 << 10},
 	{Batch: 16, Prefill: 40_000, Decode: 200, Cache: 64 << 10},
 	{Batch: 8, Prefill: 30_000, Decode: 150, Cache: 64 << 10},
@@ -46,7 +46,7 @@
 
 func (d *Demo) startTargets(context.Context) error {
 	for i := range engineTargets {
-		cfg := models[i%len(models)]
+		cfg := engineConfigs[i%len(engineConfigs)]
 		cfg.Lag, cfg.DropEvery = reportLag, loseCacheEvents
 		e, err := engine.New(cfg, d.clock)
 		if err != nil {
@@ -70,7 +70,7 @@
 }
 
 func (d *Demo) startDaemons(ctx context.Context) error {
-	for i := range d.o.Daemons {
+	for i := range d.options.Daemons {
 		x, err := daemon.New(d.settings(i), daemon.Deps{Clock: d.clock})
 		if err != nil {
 			return err
@@ -83,53 +83,54 @@
 	return nil
 }
 
-func domain(i int) string {
-	return string(rune('a' + i%domains))
+func failureDomain(i int) string {
+	return string(rune('a' + i%failureDomains))
 }
 
 func (d *Demo) settings(i int) settings.Settings {
 	free := loopback.ListenAddr()
 	return settings.Settings{
 		Name:     fmt.Sprintf("entry%d", i+1),
-		Domain:   domain(i),
+		Domain:   failureDomain(i),
 		Listen:   settings.Listen{Callers: free, Operators: free, Peers: free},
 		Platform: settings.Platform{Addr: d.platform.Addr()},
 		Peers:    settings.Peers{AllowPlaintext: true},
-		// Streams go silent on the way; callers should not wait long for them.
+		// Faults make streams go silent; a short timeout keeps callers from waiting
+		// long.
 		Limits:  settings.Limits{IdleTimeout: fireflypath.Duration(2 * time.Second)},
 		Initial: d.config(),
 	}
 }
 
-// config is the first configuration.
+// config returns the initial configuration.
 func (d *Demo) config() *fireflypath.Config {
 	cfg := &fireflypath.Config{
 		Generation: 1,
-		Tiers:      d.o.Mix.Tiers,
+		Tiers:      d.options.Mix.Tiers,
 		Pools: []fireflypath.Pool{
 			{Name: mix.Models, Kind: fireflypath.KindEngine, Models: []string{mix.Model}},
 			{Name: mix.Packets, Kind: fireflypath.KindService},
 		},
-		Operators: []fireflypath.Operator{{Name: "demo", Role: fireflypath.RoleOrder, Keys: key(OperatorToken)}},
+		Operators: []fireflypath.Operator{{Name: "demo", Role: fireflypath.RoleOrder, Keys: hashedKeys(OperatorToken)}},
 	}
-	for _, t := range d.o.Mix.Teams {
-		t.Keys = key(mix.Token(t.Name))
+	for _, t := range d.options.Mix.Teams {
+		t.Keys = hashedKeys(mix.Token(t.Name))
 		cfg.Teams = append(cfg.Teams, t)
 	}
 	for i, e := range d.engines {
 		cfg.Targets = append(cfg.Targets, fireflypath.Target{
-			Name: fmt.Sprintf("engine%d", i+1), Pool: mix.Models, Addr: e.Addr(), Domain: domain(i), Fenced: true,
+			Name: fmt.Sprintf("engine%d", i+1), Pool: mix.Models, Addr: e.Addr(), Domain: failureDomain(i), Fenced: true,
 		})
 	}
 	for i, s := range d.services {
 		cfg.Targets = append(cfg.Targets, fireflypath.Target{
-			Name: fmt.Sprintf("service%d", i+1), Pool: mix.Packets, Addr: s.Addr(), Domain: domain(i),
+			Name: fmt.Sprintf("service%d", i+1), Pool: mix.Packets, Addr: s.Addr(), Domain: failureDomain(i),
 		})
 	}
 	return cfg
 }
 
-func key(token string) []fireflypath.Key {
+func hashedKeys(token string) []fireflypath.Key {
 	sum := sha256.Sum256([]byte(token))
 	return []fireflypath.Key{{Hash: hex.EncodeToString(sum[:])}}
 }
--- a/internal/sim/call.go
+++ b/internal/sim/call.go
@@ -103,15 +103,15 @@
 	if c.number == 1 && c.tries == 1 {
 		c.r.dispatchedAt = w.loop.Now()
 	}
-	run := &engine.Request{Prompt: c.work.Cost.Prompt, Output: c.r.output - c.r.generated}
-	run.OnEvent = func(_ time.Time, last bool) {
+	req := &engine.Request{Prompt: c.work.Cost.Prompt, Output: c.r.output - c.r.generated}
+	req.OnEvent = func(_ time.Time, last bool) {
 		running, waiting := c.target.Load()
-		w.loop.After(w.options.Fleet.Hop.Duration(), func() { c.handleEvent(run, last, running, waiting) })
+		w.loop.After(w.options.Fleet.Hop.Duration(), func() { c.handleEvent(req, last, running, waiting) })
 	}
-	run.OnFailure = func(time.Time) { w.loop.After(w.options.Fleet.Hop.Duration(), func() { c.handleEngineFailure(run) }) }
-	c.engineRequest = run
+	req.OnFailure = func(time.Time) { w.loop.After(w.options.Fleet.Hop.Duration(), func() { c.handleEngineFailure(req) }) }
+	c.engineRequest = req
 	w.loop.After(w.options.Fleet.Hop.Duration(), func() {
-		if c.target == nil || !c.target.Submit(run) {
+		if c.target == nil || !c.target.Submit(req) {
 			w.loop.After(w.options.Fleet.Hop.Duration(), c.handleEngineRefusal)
 		}
 	})
@@ -133,8 +133,8 @@
 }
 
 // handleEvent forwards an output event to the scheduler and the caller.
-func (c *call) handleEvent(run *engine.Request, last bool, running, waiting int) {
-	if c.finished || run != c.engineRequest {
+func (c *call) handleEvent(req *engine.Request, last bool, running, waiting int) {
+	if c.finished || req != c.engineRequest {
 		return
 	}
 	r, now := c.r, c.r.w.loop.Now()
@@ -155,8 +155,8 @@
 }
 
 // handleEngineFailure handles an engine that went down while it held the request.
-func (c *call) handleEngineFailure(run *engine.Request) {
-	if c.finished || run != c.engineRequest {
+func (c *call) handleEngineFailure(req *engine.Request) {
+	if c.finished || req != c.engineRequest {
 		return
 	}
 	c.notifyScheduler(fireflypath.Event{Kind: fireflypath.EventFailed, Tokens: c.events})
--- a/internal/sim/daemon.go
+++ b/internal/sim/daemon.go
@@ -253,9 +253,9 @@
 		return
 	}
 	d.nextWake = at
-	life := d.incarnation
+	incarnation := d.incarnation
 	d.w.loop.At(at, func() {
-		if d.incarnation != life || !d.nextWake.Equal(at) {
+		if d.incarnation != incarnation || !d.nextWake.Equal(at) {
 			return
 		}
 		d.nextWake = time.Time{}
--- a/internal/sim/engine/engine.go
+++ b/internal/sim/engine/engine.go
@@ -132,9 +132,9 @@
 	if completesPrompt {
 		ms += e.cfg.First
 	}
-	life := e.incarnation
+	incarnation := e.incarnation
 	e.loop.After(time.Duration(ms*e.speed*e.slowdown*float64(time.Millisecond)), func() {
-		if e.incarnation == life {
+		if e.incarnation == incarnation {
 			e.finishStep()
 		}
 	})
