--- a/internal/spread/spread.go
+++ b/internal/configsync/configsync.go
@@ -1,5 +1,5 @@
-// Package spread distributes configurations between daemons.
-package spread
+// Package configsync distributes configurations between daemons.
+package configsync
 
 import (
 	"context"
--- a/internal/spread/spread_test.go
+++ b/internal/configsync/configsync_test.go
@@ -14,9 +14,9 @@
 	"go.uber.org/zap"
 
 	"github.com/fireflypath/fireflypath"
+	"github.com/fireflypath/fireflypath/internal/configsync"
 	"github.com/fireflypath/fireflypath/internal/configuration"
 	"github.com/fireflypath/fireflypath/internal/peer"
-	"github.com/fireflypath/fireflypath/internal/spread"
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
@@ -95,8 +95,8 @@
 		local := configuration.New(testkit.NewMapStore(clock), nil, "near", clock, tally.NoopScope, log)
 
 		l := &link{methods: map[string]peer.Handler{}}
-		spread.New(remote, fleet{}, remoteEnd{l}, log)
-		d := spread.New(local, fleet{}, l, log)
+		configsync.New(remote, fleet{}, remoteEnd{l}, log)
+		d := configsync.New(local, fleet{}, l, log)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = d.Run(ctx) }()
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -8,6 +8,7 @@
 	"go.uber.org/zap"
 
 	"github.com/fireflypath/fireflypath"
+	"github.com/fireflypath/fireflypath/internal/configsync"
 	registry "github.com/fireflypath/fireflypath/internal/configuration"
 	"github.com/fireflypath/fireflypath/internal/exchange"
 	"github.com/fireflypath/fireflypath/internal/leaving"
@@ -16,7 +17,6 @@
 	"github.com/fireflypath/fireflypath/internal/peer"
 	"github.com/fireflypath/fireflypath/internal/relief"
 	"github.com/fireflypath/fireflypath/internal/route/evidence"
-	"github.com/fireflypath/fireflypath/internal/spread"
 )
 
 // configuration sets up the source of the configuration in force.
@@ -166,7 +166,7 @@
 	}
 	log, clock := d.deps.Log, d.deps.Clock
 	if d.registry != nil {
-		s := spread.New(d.registry, d.members, d.peers, log)
+		s := configsync.New(d.registry, d.members, d.peers, log)
 		d.background.Go(func() { _ = s.Run(d.ctx) })
 	}
 	single := d.deps.Store == nil && len(d.cfg.Peers.Seeds) == 0
--- a/internal/member/fleet_test.go
+++ b/internal/member/fleet_test.go
@@ -14,10 +14,10 @@
 	"go.uber.org/zap"
 
 	"github.com/fireflypath/fireflypath"
+	"github.com/fireflypath/fireflypath/internal/configsync"
 	"github.com/fireflypath/fireflypath/internal/configuration"
 	"github.com/fireflypath/fireflypath/internal/member"
 	"github.com/fireflypath/fireflypath/internal/peer"
-	"github.com/fireflypath/fireflypath/internal/spread"
 	"github.com/fireflypath/fireflypath/internal/testkit"
 )
 
@@ -79,7 +79,7 @@
 	d.peers = peer.New(f.net.Host(name), nil, d.members.Self, time.Second, d.clock, d.scope, log)
 	d.members.Attach(d.peers)
 	d.configs = configuration.New(f.store, &fireflypath.Config{}, name, d.clock, d.scope, log)
-	s := spread.New(d.configs, d.members, d.peers, log)
+	s := configsync.New(d.configs, d.members, d.peers, log)
 	l, err := f.net.Host(name).Listen(self.PeerAddr)
 	if err != nil {
 		f.t.Fatal(err)
