--- a/internal/decide/split/split_test.go
+++ b/internal/decide/ratelease/ratelease_test.go
@@ -1,4 +1,4 @@
-package split_test
+package ratelease_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/fireflypath/fireflypath/internal/decide/split"
+	"github.com/fireflypath/fireflypath/internal/decide/ratelease"
 )
 
 var start = time.Unix(0, 0)
@@ -17,7 +17,7 @@
 // than a quarter each.
 func TestUnevenDemandIsGranted(t *testing.T) {
 	is := is.New(t)
-	var a split.Allocator
+	var a ratelease.Allocator
 	is.Equal(a.Request(start, 100, "a", 45), 45.0)
 	is.Equal(a.Request(start, 100, "b", 40), 40.0)
 	is.Equal(a.Request(start, 100, "c", 0), 0.0)
@@ -27,7 +27,7 @@
 // the first daemon's lease is renewed.
 func TestRenewalMakesRoomForOtherDaemons(t *testing.T) {
 	is := is.New(t)
-	var a split.Allocator
+	var a ratelease.Allocator
 	is.Equal(a.Request(start, 100, "a", 1000), 100.0)
 	is.Equal(a.Request(start, 100, "b", 50), 0.0) // nothing is left until a renews
 	is.Equal(a.Request(start, 100, "a", 1000), 50.0)
@@ -38,9 +38,9 @@
 // expires.
 func TestExpiredLeaseIsGrantedAgain(t *testing.T) {
 	is := is.New(t)
-	var a split.Allocator
+	var a ratelease.Allocator
 	is.Equal(a.Request(start, 100, "a", 100), 100.0)
-	later := start.Add(split.LeaseDuration)
+	later := start.Add(ratelease.LeaseDuration)
 	is.Equal(a.Request(later, 100, "b", 100), 100.0)
 }
 
@@ -48,7 +48,7 @@
 // otherwise a team would get more than its quota.
 func TestSumStaysWithinTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var a split.Allocator
+		var a ratelease.Allocator
 		now, rate := start, rapid.Float64Range(1, 1000).Draw(t, "rate")
 		leased := map[string]float64{}
 		expiry := map[string]time.Time{}
@@ -60,7 +60,7 @@
 			if granted > wanted || granted < 0 {
 				t.Fatalf("wanted %v, granted %v", wanted, granted)
 			}
-			leased[daemon], expiry[daemon] = granted, now.Add(split.LeaseDuration)
+			leased[daemon], expiry[daemon] = granted, now.Add(ratelease.LeaseDuration)
 			sum := 0.0
 			for name, amount := range leased {
 				if now.Before(expiry[name]) {
--- a/internal/quotas/coordinator.go
+++ b/internal/quotas/coordinator.go
@@ -9,14 +9,14 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/decide/quota"
-	"github.com/fireflypath/fireflypath/internal/decide/split"
+	"github.com/fireflypath/fireflypath/internal/decide/ratelease"
 )
 
 // teamBucket is the quota state of a team that this daemon coordinates.
 type teamBucket struct {
 	bucket *quota.Bucket
 	quota  fireflypath.Quota
-	split  split.Allocator
+	split  ratelease.Allocator
 	// demands holds the demand per second of each reporting daemon.
 	demands map[string]daemonDemand
 	// adopted is true once the level known to the reporters was taken over.
