--- a/internal/fake/engine/answer.go
+++ b/internal/fake/engine/answer.go
@@ -73,14 +73,14 @@
 
 // answerWhole waits until the answer is complete and sends it as one JSON object.
 func (e *Engine) answerWhole(r *fasthttp.RequestCtx, s *stream) {
-	er := &eventReader{engine: e, stream: s}
-	for er.sent <= s.output {
-		n, err := er.waitForEvents()
+	events := &eventReader{engine: e, stream: s}
+	for events.sent <= s.output {
+		n, err := events.waitForEvents()
 		if err != nil {
 			wire.CloseConnection(r)
 			return
 		}
-		er.sent = n
+		events.sent = n
 	}
 	e.markDelivered(s)
 	var text []byte
--- a/internal/fake/engine/stream.go
+++ b/internal/fake/engine/stream.go
@@ -25,7 +25,8 @@
 	cached    int
 	prefilled int
 	emitted   int
-	credit    float64
+	// credit is the budget in tokens carried over to the next step, with its fraction.
+	credit float64
 	// delivered is set once the whole answer was sent to a caller.
 	delivered bool
 	cancelled bool
--- a/internal/fake/wire/wire.go
+++ b/internal/fake/wire/wire.go
@@ -40,12 +40,12 @@
 // blocks until Resume or Close.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		ln, back, closed := l.state()
+		ln, resumed, closed := l.state()
 		if closed {
 			return nil, net.ErrClosed
 		}
 		if ln == nil {
-			<-back
+			<-resumed
 			continue
 		}
 		c, err := ln.Accept()
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -50,6 +50,7 @@
 	}
 }
 
+// sleepContext waits for d and reports false if ctx is done before.
 func sleepContext(ctx context.Context, clock clockwork.Clock, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -46,10 +46,10 @@
 		load.Run(t.Context(), clockwork.NewRealClock(), slices.Values(arrivals), sender{}, tally)
 		r := tally.Report(2 * time.Second)
 		is.Equal([]int{r.Sent, r.Whole, r.InTime, r.Refused, r.Failed}, []int{8, 4, 2, 2, 2})
-		top := r.Tiers[0]
-		is.Equal(top.Goodput, 1.0)
-		is.True(top.First.Max >= 1000 && top.First.Max < 1002) // no request waited for another
-		is.True(top.Answer.P50 < 1002 && top.Answer.Max > 60_000)
+		tier := r.Tiers[0]
+		is.Equal(tier.Goodput, 1.0)
+		is.True(tier.First.Max >= 1000 && tier.First.Max < 1002) // no request waited for another
+		is.True(tier.Answer.P50 < 1002 && tier.Answer.Max > 60_000)
 		is.Equal(r.Codes, []load.CodeCount{{Code: fireflypath.ReasonFull, Run: fireflypath.RunNo, Count: 2, Example: "no room"}})
 		is.Equal(r.Errors, []string{"gone", "gone"})
 	})
--- a/internal/load/print.go
+++ b/internal/load/print.go
@@ -11,10 +11,10 @@
 // Print writes the report as a table.
 func (r Report) Print(w io.Writer) error {
 	rows := []byte(tableHeader)
-	for _, x := range r.Tiers {
+	for _, tier := range r.Tiers {
 		rows = fmt.Appendf(rows, "%s\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n",
-			x.Tier, x.Sent, x.Whole, x.InTime, x.Refused, x.Failed, x.Goodput,
-			x.Answer.P50, x.Answer.P95, x.Answer.P99, x.First.P50, x.First.P95)
+			tier.Tier, tier.Sent, tier.Whole, tier.InTime, tier.Refused, tier.Failed, tier.Goodput,
+			tier.Answer.P50, tier.Answer.P95, tier.Answer.P99, tier.First.P50, tier.First.P95)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	if _, err := t.Write(rows); err != nil {
--- a/internal/load/tally.go
+++ b/internal/load/tally.go
@@ -94,9 +94,9 @@
 // NewTally returns an empty tally for a mix.
 func NewTally(m mix.Mix) *Tally {
 	t := &Tally{tiers: make(map[int]*tierStats), codes: make(map[refusalKey]*CodeCount)}
-	for _, x := range m.Tiers {
-		t.tiers[x.Rank] = &tierStats{
-			report: TierReport{Tier: x.Name, Rank: x.Rank},
+	for _, tier := range m.Tiers {
+		t.tiers[tier.Rank] = &tierStats{
+			report: TierReport{Tier: tier.Name, Rank: tier.Rank},
 			answer: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 			first:  hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 		}
@@ -132,14 +132,14 @@
 	t.codes[k].Count++
 }
 
-func (x *tierStats) addWhole(o Outcome) {
-	x.report.Whole++
+func (s *tierStats) addWhole(o Outcome) {
+	s.report.Whole++
 	if o.Took <= o.Arrival.Deadline {
-		x.report.InTime++
+		s.report.InTime++
 	}
 	// The histograms reject values above maxLatency; the counters include them.
-	_ = x.answer.RecordValue(max(1, o.Took.Microseconds()))
-	_ = x.first.RecordValue(max(1, o.First.Microseconds()))
+	_ = s.answer.RecordValue(max(1, o.Took.Microseconds()))
+	_ = s.first.RecordValue(max(1, o.First.Microseconds()))
 }
 
 // Report summarizes the outcomes so far; d is the length of the period in which
--- a/internal/mix/arrival.go
+++ b/internal/mix/arrival.go
@@ -150,11 +150,11 @@
 }
 
 // drawTokens draws a log-uniform number of tokens.
-func (g *generator) drawTokens(s TokenRange) int {
-	if s.Max <= s.Min {
-		return s.Min
+func (g *generator) drawTokens(r TokenRange) int {
+	if r.Max <= r.Min {
+		return r.Min
 	}
-	lo, hi := math.Log(float64(s.Min)), math.Log(float64(s.Max))
+	lo, hi := math.Log(float64(r.Min)), math.Log(float64(r.Max))
 	return int(math.Round(math.Exp(lo + g.rng.Float64()*(hi-lo))))
 }
 
--- a/internal/mix/mix_test.go
+++ b/internal/mix/mix_test.go
@@ -19,19 +19,19 @@
 			is.Equal(got, slices.Collect(m.Arrivals(o))) // same seed, same arrivals
 			is.True(len(got) > 5600 && len(got) < 6400)  // expected 6000, standard deviation 77
 			teams, tiers := map[string]bool{}, map[int]bool{}
-			least, most, shared := got[0].Cost.Prompt, 0, map[uint64]int{}
+			shortest, longest, firstBlocks := got[0].Cost.Prompt, 0, map[uint64]int{}
 			for i, a := range got {
 				is.Equal(a.Seq, i)
 				teams[a.Team], tiers[a.Rank] = true, true
-				least, most = min(least, a.Cost.Prompt), max(most, a.Cost.Prompt)
+				shortest, longest = min(shortest, a.Cost.Prompt), max(longest, a.Cost.Prompt)
 				if b := a.Blocks(); len(b) > 0 {
-					shared[b[0]]++
+					firstBlocks[b[0]]++
 				}
 			}
 			is.Equal(len(teams), 5)
 			is.Equal(len(tiers), 3)
-			is.True(most > 80*least && most <= 100*least)
-			is.True(len(shared) < len(got)/2) // most prompts share their first block with another
+			is.True(longest > 80*shortest && longest <= 100*shortest)
+			is.True(len(firstBlocks) < len(got)/2) // most prompts share their first block with another
 		})
 	}
 }
--- a/internal/testkit/configs.go
+++ b/internal/testkit/configs.go
@@ -33,87 +33,87 @@
 
 // NewFakeConfigs returns a FakeConfigs with an initial configuration.
 func NewFakeConfigs(cfg *fireflypath.Config, now func() time.Time) *FakeConfigs {
-	l := &FakeConfigs{Now: now, changed: make(chan struct{})}
-	l.current.Store(cfg)
-	return l
+	f := &FakeConfigs{Now: now, changed: make(chan struct{})}
+	f.current.Store(cfg)
+	return f
 }
 
 // Current implements fireflypath.Configs.
-func (l *FakeConfigs) Current() *fireflypath.Config {
-	return l.current.Load()
+func (f *FakeConfigs) Current() *fireflypath.Config {
+	return f.current.Load()
 }
 
 // Changed implements fireflypath.Configs.
-func (l *FakeConfigs) Changed(uint64) <-chan struct{} {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.changed
+func (f *FakeConfigs) Changed(uint64) <-chan struct{} {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.changed
 }
 
 // FailAfter lets n more calls succeed; each later call returns err and has no effect.
-func (l *FakeConfigs) FailAfter(err error, n int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.failure, l.callsUntilFailure = err, n
+func (f *FakeConfigs) FailAfter(err error, n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.failure, f.callsUntilFailure = err, n
 }
 
 // StopFailing reverts FailAfter.
-func (l *FakeConfigs) StopFailing() {
-	l.FailAfter(nil, 0)
+func (f *FakeConfigs) StopFailing() {
+	f.FailAfter(nil, 0)
 }
 
-func (l *FakeConfigs) nextError() error {
-	if l.callsUntilFailure > 0 {
-		l.callsUntilFailure--
+func (f *FakeConfigs) nextError() error {
+	if f.callsUntilFailure > 0 {
+		f.callsUntilFailure--
 		return nil
 	}
-	return l.failure
+	return f.failure
 }
 
 // Commit implements fireflypath.Committer.
-func (l *FakeConfigs) Commit(_ context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (f *FakeConfigs) Commit(_ context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	commit := fireflypath.Commit{ID: c.ID}
-	if err := l.nextError(); err != nil {
+	if err := f.nextError(); err != nil {
 		return commit, err
 	}
-	if line := l.findLine(c.ID); line != nil {
+	if line := f.findLine(c.ID); line != nil {
 		commit.Repeated, commit.Generation = true, line.To
 		return commit, nil
 	}
-	old := l.current.Load()
+	old := f.current.Load()
 	if c.Base != 0 && c.Base != old.Generation {
-		commit.ConflictingID = l.committedFrom(c.Base)
+		commit.ConflictingID = f.committedFrom(c.Base)
 		return commit, errors.Wrap(fireflypath.ErrConflict, "another change was committed first")
 	}
 	next, err := c.Apply(old)
 	if err != nil {
 		return commit, errors.Wrap(err, "change is refused")
 	}
-	l.trail = append(l.trail, fireflypath.AuditLine{
-		ID: c.ID, At: l.Now(), Operator: c.Operator, Command: c.Command,
+	f.trail = append(f.trail, fireflypath.AuditLine{
+		ID: c.ID, At: f.Now(), Operator: c.Operator, Command: c.Command,
 		From: old.Generation, To: next.Generation, Result: "done",
 	})
-	l.current.Store(next)
-	close(l.changed)
-	l.changed = make(chan struct{})
+	f.current.Store(next)
+	close(f.changed)
+	f.changed = make(chan struct{})
 	commit.Generation = next.Generation
-	if err := l.ErrAfterCommit.Swap(nil); err != nil {
+	if err := f.ErrAfterCommit.Swap(nil); err != nil {
 		return commit, *err
 	}
 	return commit, nil
 }
 
 // FindCommit implements fireflypath.Committer.
-func (l *FakeConfigs) FindCommit(_ context.Context, id string) (fireflypath.Commit, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (f *FakeConfigs) FindCommit(_ context.Context, id string) (fireflypath.Commit, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	commit := fireflypath.Commit{ID: id}
-	if err := l.nextError(); err != nil {
+	if err := f.nextError(); err != nil {
 		return commit, err
 	}
-	line := l.findLine(id)
+	line := f.findLine(id)
 	if line == nil {
 		return commit, fireflypath.ErrNotFound
 	}
@@ -122,39 +122,39 @@
 }
 
 // Trail implements fireflypath.Committer.
-func (l *FakeConfigs) Trail(_ context.Context, n int) ([]fireflypath.AuditLine, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := slices.Clone(l.trail)
+func (f *FakeConfigs) Trail(_ context.Context, n int) ([]fireflypath.AuditLine, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	out := slices.Clone(f.trail)
 	slices.Reverse(out)
-	return out[:min(n, len(out))], l.nextError()
+	return out[:min(n, len(out))], f.nextError()
 }
 
 // AppendAudit implements fireflypath.Committer.
-func (l *FakeConfigs) AppendAudit(_ context.Context, line fireflypath.AuditLine) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if err := l.nextError(); err != nil {
+func (f *FakeConfigs) AppendAudit(_ context.Context, line fireflypath.AuditLine) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err := f.nextError(); err != nil {
 		return err
 	}
-	if l.findLine(line.ID) == nil {
-		line.From = l.current.Load().Generation
+	if f.findLine(line.ID) == nil {
+		line.From = f.current.Load().Generation
 		line.To = line.From
-		l.trail = append(l.trail, line)
+		f.trail = append(f.trail, line)
 	}
 	return nil
 }
 
-func (l *FakeConfigs) findLine(id string) *fireflypath.AuditLine {
-	i := slices.IndexFunc(l.trail, func(line fireflypath.AuditLine) bool { return line.ID == id })
+func (f *FakeConfigs) findLine(id string) *fireflypath.AuditLine {
+	i := slices.IndexFunc(f.trail, func(line fireflypath.AuditLine) bool { return line.ID == id })
 	if i < 0 {
 		return nil
 	}
-	return &l.trail[i]
+	return &f.trail[i]
 }
 
-func (l *FakeConfigs) committedFrom(base uint64) string {
-	for _, line := range l.trail {
+func (f *FakeConfigs) committedFrom(base uint64) string {
+	for _, line := range f.trail {
 		if line.From == base && line.To == base+1 {
 			return line.ID
 		}
