--- a/internal/configsync/configsync_test.go
+++ b/internal/configsync/configsync_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package configsync_test
 
 import (
 	"context"
