--- a/internal/decide/allowance/allowance.go
+++ b/internal/decide/retrydetect/detector.go
@@ -1,11 +1,11 @@
-// Package allowance infers how long a caller has been trying from the time that it still
+// Package retrydetect infers how long a caller has been trying from the time that it still
 // allows for the request.
 //
 // Callers retry after a refusal. Their answer was due long ago, but every attempt looks
 // new. Treated as new, these retries are served before callers who can still be served in
 // time, and in an overload every answer is slightly late. In simulated loads of heavy
 // days, detecting them is worth 0.002 to 0.008 of what callers are owed.
-package allowance
+package retrydetect
 
 import "time"
 
--- a/internal/decide/allowance/allowance_test.go
+++ b/internal/decide/retrydetect/detector_test.go
@@ -1,4 +1,4 @@
-package allowance
+package retrydetect
 
 import (
 	"testing"
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"github.com/fireflypath/fireflypath"
-	"github.com/fireflypath/fireflypath/internal/decide/allowance"
+	"github.com/fireflypath/fireflypath/internal/decide/retrydetect"
 	"github.com/fireflypath/fireflypath/internal/digest"
 	"github.com/fireflypath/fireflypath/internal/gate/limits"
 	"github.com/fireflypath/fireflypath/internal/gate/table"
@@ -66,7 +66,7 @@
 	steps        []step
 	mu           sync.Mutex
 	// retryDetectors distinguish callers that retry from new ones, by route.
-	retryDetectors map[string]*allowance.RetryDetector
+	retryDetectors map[string]*retrydetect.RetryDetector
 	// draining is true once a planned shutdown began.
 	draining atomic.Bool
 }
@@ -81,7 +81,7 @@
 func New(deps Deps) *Gate {
 	g := &Gate{
 		deps: deps, headers: deps.Codec.Headers(), ownedHeaders: map[string]bool{}, metrics: newMetrics(deps.Scope),
-		retryDetectors: map[string]*allowance.RetryDetector{},
+		retryDetectors: map[string]*retrydetect.RetryDetector{},
 	}
 	if g.deps.Quarantine == nil {
 		g.deps.Quarantine = noQuarantine{}
--- a/internal/gate/steps.go
+++ b/internal/gate/steps.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/fireflypath/fireflypath"
-	"github.com/fireflypath/fireflypath/internal/decide/allowance"
+	"github.com/fireflypath/fireflypath/internal/decide/retrydetect"
 )
 
 const (
@@ -189,7 +189,7 @@
 	defer g.mu.Unlock()
 	detector := g.retryDetectors[c.route.Name]
 	if detector == nil {
-		detector = &allowance.RetryDetector{}
+		detector = &retrydetect.RetryDetector{}
 		g.retryDetectors[c.route.Name] = detector
 	}
 	return detector.Observe(c.arrived, remaining)
