--- a/internal/decide/retrydetect/detector.go
+++ b/internal/decide/retrydetect/detector.go
@@ -23,9 +23,9 @@
 	minNearMax  = 0.25
 )
 
-// RetryDetector observes the attempts of one kind of request. The zero value is ready to
+// Detector observes the attempts of one kind of request. The zero value is ready to
 // use. It is not safe for concurrent use.
-type RetryDetector struct {
+type Detector struct {
 	current, previous window
 	startedAt         time.Time
 }
@@ -38,7 +38,7 @@
 
 // Observe counts an attempt with the given remaining time and returns for how long its
 // caller has been trying: 0 for a first attempt, or if that is unknown.
-func (r *RetryDetector) Observe(now time.Time, remaining time.Duration) time.Duration {
+func (r *Detector) Observe(now time.Time, remaining time.Duration) time.Duration {
 	if elapsed := now.Sub(r.startedAt); elapsed >= windowLength {
 		r.previous, r.current = r.current, window{}
 		if elapsed >= 2*windowLength {
--- a/internal/decide/retrydetect/detector_test.go
+++ b/internal/decide/retrydetect/detector_test.go
@@ -13,7 +13,7 @@
 // retries are recognized by having 1.2 s less remaining.
 func TestRetriesAreDetected(t *testing.T) {
 	is := is.New(t)
-	var detector RetryDetector
+	var detector Detector
 	now := start
 	for range 20 {
 		is.Equal(detector.Observe(now, 12*time.Second-2*time.Millisecond), time.Duration(0))
@@ -31,7 +31,7 @@
 // served later for it.
 func TestVaryingAllowancesAreNotRetries(t *testing.T) {
 	is := is.New(t)
-	var detector RetryDetector
+	var detector Detector
 	for i := range 200 {
 		remaining := time.Duration(1+i*7%19) * time.Second
 		is.Equal(detector.Observe(start.Add(time.Duration(i)*20*time.Millisecond), remaining), time.Duration(0))
@@ -42,7 +42,7 @@
 // expected to have the new one.
 func TestShorterAllowanceIsLearned(t *testing.T) {
 	is := is.New(t)
-	var detector RetryDetector
+	var detector Detector
 	now := start
 	for range 50 {
 		detector.Observe(now, 12*time.Second)
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -66,7 +66,7 @@
 	steps        []step
 	mu           sync.Mutex
 	// retryDetectors distinguish callers that retry from new ones, by route.
-	retryDetectors map[string]*retrydetect.RetryDetector
+	retryDetectors map[string]*retrydetect.Detector
 	// draining is true once a planned shutdown began.
 	draining atomic.Bool
 }
@@ -81,7 +81,7 @@
 func New(deps Deps) *Gate {
 	g := &Gate{
 		deps: deps, headers: deps.Codec.Headers(), ownedHeaders: map[string]bool{}, metrics: newMetrics(deps.Scope),
-		retryDetectors: map[string]*retrydetect.RetryDetector{},
+		retryDetectors: map[string]*retrydetect.Detector{},
 	}
 	if g.deps.Quarantine == nil {
 		g.deps.Quarantine = noQuarantine{}
--- a/internal/gate/steps.go
+++ b/internal/gate/steps.go
@@ -189,7 +189,7 @@
 	defer g.mu.Unlock()
 	detector := g.retryDetectors[c.route.Name]
 	if detector == nil {
-		detector = &retrydetect.RetryDetector{}
+		detector = &retrydetect.Detector{}
 		g.retryDetectors[c.route.Name] = detector
 	}
 	return detector.Observe(c.arrived, remaining)
--- a/internal/quotas/coordinator.go
+++ b/internal/quotas/coordinator.go
@@ -14,9 +14,9 @@
 
 // teamBucket is the quota state of a team that this daemon coordinates.
 type teamBucket struct {
-	bucket *quota.Bucket
-	quota  fireflypath.Quota
-	split  ratelease.Allocator
+	bucket    *quota.Bucket
+	quota     fireflypath.Quota
+	allocator ratelease.Allocator
 	// demands holds the demand per second of each reporting daemon.
 	demands map[string]daemonDemand
 	// adopted is true once the level known to the reporters was taken over.
@@ -74,7 +74,7 @@
 		if level <= enough {
 			g.UnlimitedTiers, rate = unlimitedTiers(demand, rate)
 		}
-		granted := b.split.Request(now, rate, from, demandHeadroom*float64(usage.Demand.fromTier(g.UnlimitedTiers%Tiers)))
+		granted := b.allocator.Request(now, rate, from, demandHeadroom*float64(usage.Demand.fromTier(g.UnlimitedTiers%Tiers)))
 		if g.UnlimitedTiers < Tiers {
 			g.Rate = granted
 		}
