--- a/internal/trial/baseline.go
+++ b/internal/trial/baseline.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// bounded is the queue of the least policy at one daemon, in requests.
-	bounded = 100
-	// concurrent is how many requests of one daemon the least policy lets a
-	// target hold: twice its even part of a batch, as operators set such limits
-	// to be safe from idle targets.
-	concurrent = (2*batch + daemons - 1) / daemons
+	// baselineQueueLimit is the maximum queue length of the least policy in one daemon.
+	baselineQueueLimit = 100
+	// baselineTargetLimit is how many requests of one daemon the least policy allows at
+	// a target: twice the daemon's even share of a batch, because operators set such
+	// limits high enough to avoid idle targets.
+	baselineTargetLimit = (2*maxBatch + daemons - 1) / daemons
 )
 
-// baseline is a plain gateway: first-in first-out, no tiers, no deadlines.
+// baseline is a plain gateway: a FIFO queue without tiers or deadlines.
 type baseline struct {
-	targets []string
-	held    map[string]int
-	queue   []*fireflypath.Work
-	// limit bounds a target's requests, size the queue; 0 means no bound.
-	limit, size int
-	turn        int
-	running     int
+	targets  []string
+	inFlight map[string]int
+	queue    []*fireflypath.Work
+	// targetLimit bounds a target's requests in flight, queueLimit the queue; 0 means
+	// no limit.
+	targetLimit, queueLimit int
+	next                    int
+	runningTokens           int
 }
 
 func newRoundRobin(seed uint64, _ int, targets []fireflypath.Target) fireflypath.Scheduler {
 	b := newBaseline(targets)
-	b.turn = int(seed % uint64(len(targets)))
+	b.next = int(seed % uint64(len(targets)))
 	return b
 }
 
 func newLeast(seed uint64, _ int, targets []fireflypath.Target) fireflypath.Scheduler {
 	b := newBaseline(targets)
-	b.limit, b.size = concurrent, bounded
-	b.turn = int(seed % uint64(len(targets)))
+	b.targetLimit, b.queueLimit = baselineTargetLimit, baselineQueueLimit
+	b.next = int(seed % uint64(len(targets)))
 	return b
 }
 
 func newBaseline(targets []fireflypath.Target) *baseline {
-	b := &baseline{held: make(map[string]int)}
+	b := &baseline{inFlight: make(map[string]int)}
 	for _, t := range targets {
 		b.targets = append(b.targets, t.Name)
 	}
@@ -48,7 +49,7 @@
 }
 
 func (b *baseline) Offer(_ time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
-	if b.size > 0 && len(b.queue) >= b.size {
+	if b.queueLimit > 0 && len(b.queue) >= b.queueLimit {
 		return append(out, fireflypath.Shed{Work: w, Reason: fireflypath.ReasonFull, RetryAfter: time.Second})
 	}
 	b.queue = append(b.queue, w)
@@ -65,28 +66,28 @@
 	}
 	w := b.queue[0]
 	b.queue = b.queue[1:]
-	b.held[t]++
-	b.running += w.Cost.Tokens()
+	b.inFlight[t]++
+	b.runningTokens += w.Cost.Tokens()
 	p.Work, p.Target, p.Waited = w, t, now.Sub(w.Arrived)
 	return true
 }
 
-// choose takes the next target, or with a limit the one with the least work,
-// from the next one on.
+// choose returns the next target in round-robin order, or with a limit the target below
+// it with the fewest requests in flight, ties broken in round-robin order.
 func (b *baseline) choose() (string, bool) {
 	n := len(b.targets)
 	best := ""
 	for i := range n {
-		t := b.targets[(b.turn+i)%n]
-		if b.limit == 0 {
-			b.turn++
+		t := b.targets[(b.next+i)%n]
+		if b.targetLimit == 0 {
+			b.next++
 			return t, true
 		}
-		if b.held[t] < b.limit && (best == "" || b.held[t] < b.held[best]) {
+		if b.inFlight[t] < b.targetLimit && (best == "" || b.inFlight[t] < b.inFlight[best]) {
 			best = t
 		}
 	}
-	b.turn++
+	b.next++
 	return best, best != ""
 }
 
@@ -98,8 +99,8 @@
 
 func (b *baseline) Observe(_ time.Time, e fireflypath.Event) {
 	if e.Kind == fireflypath.EventDone {
-		b.held[e.Target]--
-		b.running -= e.Work.Cost.Tokens()
+		b.inFlight[e.Target]--
+		b.runningTokens -= e.Work.Cost.Tokens()
 	}
 }
 
--- a/internal/trial/bound.go
+++ b/internal/trial/bound.go
@@ -7,81 +7,82 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// samples is how many arrivals the mean costs of a mix are taken from.
-const samples = 20000
+// capacitySamples is the approximate number of arrivals from which the mean demand of a
+// mix is computed.
+const capacitySamples = 20000
 
-// need is what a request takes of the fleet at least: prefill of what no
-// earlier request shares, and decode.
-type need struct {
+// demand is an amount of prefill and decode, in tokens.
+type demand struct {
 	prefill, decode float64
 }
 
-// supply is what the fleet has in a second: prefill tokens, and decode tokens
-// with full batches.
-func supply() need {
-	var s need
-	for _, g := range generations {
-		s.prefill += prefill / g
-		s.decode += batch / ((stepBase + stepEach*batch) * g)
+// fleetCapacity returns the prefill tokens, and the decode tokens with full batches,
+// that the fleet can process per second.
+func fleetCapacity() demand {
+	var s demand
+	for _, g := range slownessFactors {
+		s.prefill += prefillSpeed / g
+		s.decode += maxBatch / ((stepBase + stepPerRequest*maxBatch) * g)
 	}
 	return s
 }
 
-// least is what an arrival needs if its document is cached. On average half of
-// the allowed output is generated.
-func least(a mix.Arrival) need {
-	return need{prefill: float64(a.Cost.Prompt - a.SharedBlocks*block), decode: float64(a.Cost.MaxOutput) / 2}
+// minDemand returns the least demand of an arrival, with its shared document cached. On
+// average, half of the allowed output is generated.
+func minDemand(a mix.Arrival) demand {
+	return demand{prefill: float64(a.Cost.Prompt - a.SharedBlocks*blockTokens), decode: float64(a.Cost.MaxOutput) / 2}
 }
 
-// capacity is the rate in requests a second at which the scarcer of prefill and
-// decode is used up when nothing is cached, with full batches:
+// coldCapacity is the rate in requests per second at which the scarcer of prefill and
+// decode is used up with empty caches and full batches:
 //
 //	min(sum of prefill speeds / mean prompt, sum of decode speeds / mean output)
 //
-// Loads are multiples of it, so that a plain gateway can carry the steady load.
-func capacity(m mix.Mix) float64 {
-	return rate(m, func(a mix.Arrival) need {
-		return need{prefill: float64(a.Cost.Prompt), decode: least(a).decode}
+// Loads are multiples of it so that a plain gateway can serve the steady load.
+func coldCapacity(m mix.Mix) float64 {
+	return maxRate(m, func(a mix.Arrival) demand {
+		return demand{prefill: float64(a.Cost.Prompt), decode: minDemand(a).decode}
 	})
 }
 
-// warmCapacity is the same with all that is shared cached.
+// warmCapacity is the same with all shared documents cached.
 func warmCapacity(m mix.Mix) float64 {
-	return rate(m, least)
+	return maxRate(m, minDemand)
 }
 
-// rate is at how many requests a second of the mix the supply is used up.
-func rate(m mix.Mix, of func(mix.Arrival) need) float64 {
-	var sum need
+// maxRate returns the rate of the mix, in requests per second, at which the fleet's
+// capacity is used up.
+func maxRate(m mix.Mix, of func(mix.Arrival) demand) float64 {
+	var sum demand
 	n := 0
-	for a := range m.Arrivals(mix.Options{Seed: 1, Rate: samples, Duration: time.Second}) {
+	for a := range m.Arrivals(mix.Options{Seed: 1, Rate: capacitySamples, Duration: time.Second}) {
 		sum.prefill += of(a).prefill
 		sum.decode += of(a).decode
 		n++
 	}
-	s := supply()
+	s := fleetCapacity()
 	return min(s.prefill*float64(n)/sum.prefill, s.decode*float64(n)/sum.decode)
 }
 
-// bound is more than any policy with strict tiers can reach. For each tier, from
-// the highest down, and for each resource R of prefill and decode, it serves
-// the requests with the least need of R first until the supply left is used:
+// upperBound returns an upper bound for policies with strict tiers. For each tier, from the
+// highest down, and for each resource R of prefill and decode, it serves the requests
+// with the smallest demand for R first until the remaining capacity is used up:
 //
-//	left(R) = supply(R) * (span + deadline of the tier) - need(R) of higher tiers
-//	good = min over R of max{n: sum of the n least needs of R <= left(R)}
+//	left(R) = capacity(R) * (span + deadline of the tier) - demand(R) of higher tiers
+//	good = min over R of max{n: sum of the n smallest demands for R <= left(R)}
 //
-// It is clairvoyant: it knows all arrivals and outputs, has no waiting inside
-// the engines and moves work between them at no cost.
-func bound(l load, m mix.Mix, o Options, arrivals []mix.Arrival) []Row {
+// It is clairvoyant: it knows all arrivals and output sizes, has no queueing inside the
+// engines and moves work between them at no cost.
+func upperBound(l load, m mix.Mix, o Options, arrivals []mix.Arrival) []Row {
 	t := newTally(l, m)
-	var used need
+	var used demand
 	for _, tier := range m.Tiers {
 		span := (o.Span + longestDeadline(m, tier.Name)).Seconds()
-		left := supply()
+		left := fleetCapacity()
 		left.prefill = left.prefill*span - used.prefill
 		left.decode = left.decode*span - used.decode
 		before := left
-		serve(t, tier.Name, arrivals, &left)
+		serveTier(t, tier.Name, arrivals, &left)
 		used.prefill += before.prefill - left.prefill
 		used.decode += before.decode - left.decode
 	}
@@ -102,8 +103,9 @@
 	return d
 }
 
-// serve counts one tier in and takes its needs from what is left.
-func serve(t *tally, tier string, arrivals []mix.Arrival, left *need) {
+// serveTier counts the requests of one tier and subtracts their demand from the
+// remaining capacity.
+func serveTier(t *tally, tier string, arrivals []mix.Arrival, left *demand) {
 	var prefills, decodes []float64
 	for _, a := range arrivals {
 		if a.Tier != tier {
@@ -111,24 +113,25 @@
 		}
 		r := &request{arrival: a}
 		t.sent(r)
-		l := least(a)
+		l := minDemand(a)
 		prefills = append(prefills, l.prefill)
 		decodes = append(decodes, l.decode)
 	}
-	n := min(fit(prefills, &left.prefill), fit(decodes, &left.decode))
+	n := min(serveSmallest(prefills, &left.prefill), serveSmallest(decodes, &left.decode))
 	good := 0
 	for _, g := range t.groups {
 		if g.name != tier {
 			continue
 		}
-		g.good = int(float64(g.sent) * part(n, max(len(prefills), 1)))
-		good = g.good
+		g.inTime = int(float64(g.sent) * ratio(n, max(len(prefills), 1)))
+		good = g.inTime
 	}
-	t.groups[0].good += good
+	t.groups[0].inTime += good
 }
 
-// fit is how many of the least needs fit; it takes them from what is left.
-func fit(needs []float64, left *float64) int {
+// serveSmallest returns how many of the smallest amounts fit into the remaining
+// capacity and subtracts them.
+func serveSmallest(needs []float64, left *float64) int {
 	slices.Sort(needs)
 	for i, n := range needs {
 		if n > *left {
--- a/internal/trial/chart/chart_test.go
+++ b/internal/trial/chart/chart_test.go
@@ -11,7 +11,7 @@
 	"github.com/fireflypath/fireflypath/internal/trial"
 )
 
-func TestWriteDrawsEachMeasure(t *testing.T) {
+func TestWriteDrawsEachMetric(t *testing.T) {
 	is := is.New(t)
 	dir := filepath.Join(t.TempDir(), "new")
 	rows := []trial.Row{
@@ -19,7 +19,7 @@
 		{Load: "steady", Mix: "pozo", Policy: "rr", Tier: "all", Goodput: 0.5},
 	}
 	is.NoErr(Write(dir, rows))
-	for _, m := range measures() {
+	for _, m := range metrics() {
 		f, err := os.Open(filepath.Join(dir, "pozo-"+m.file+".png"))
 		is.NoErr(err)
 		img, err := png.Decode(f)
--- a/internal/trial/daemon.go
+++ b/internal/trial/daemon.go
@@ -11,122 +11,122 @@
 )
 
 const (
-	// impatient is the part of refused callers that come back early.
-	impatient = 0.7
-	// attempts bounds a caller's attempts.
-	attempts = 10
-	// hasty is the longest time after which an impatient caller is back.
-	hasty = time.Second
+	// impatientFraction is the fraction of refused callers that retry early.
+	impatientFraction = 0.7
+	// maxAttempts bounds the attempts of one caller.
+	maxAttempts = 10
+	// maxEarlyRetryDelay is the longest delay of an early retry.
+	maxEarlyRetryDelay = time.Second
 )
 
 // request is a caller's request with all its attempts.
 type request struct {
-	arrival  mix.Arrival
-	started  time.Time
-	deadline time.Time
-	prefix   []uint64
-	output   int
-	rnd      *rand.Rand
-	attempts int
-	first    time.Time
-	last     fireflypath.State
-	fresh    int
-	// patient is true if the last attempt came at the time that was told.
+	arrival        mix.Arrival
+	started        time.Time
+	deadline       time.Time
+	prefix         []uint64
+	output         int
+	rnd            *rand.Rand
+	attempts       int
+	firstTokenAt   time.Time
+	lastRefusal    fireflypath.State
+	uncachedTokens int
+	// patient reports whether the last attempt was a retry at the announced time.
 	patient bool
-	// prefilled is true once a target has prefilled the prompt.
+	// prefilled reports whether a target has prefilled the prompt.
 	prefilled bool
 }
 
-// daemon is one entry host with its own scheduler.
+// daemon is one gateway daemon with its own scheduler.
 type daemon struct {
-	fleet  *fleet
-	number int
-	sched  fireflypath.Scheduler
-	place  fireflypath.Placement
-	wake   time.Time
-	waits  map[*fireflypath.Work]*request
-	// flights are kept for the policy that cancels.
-	flights   []flight
-	cancelled time.Time
-	heard     [daemons]share.Demand
-	ledger    share.Ledger
+	fleet     *fleet
+	index     int
+	scheduler fireflypath.Scheduler
+	placement fireflypath.Placement
+	nextWake  time.Time
+	waiting   map[*fireflypath.Work]*request
+	// running holds the dispatched requests, for the policy that cancels.
+	running    []runningRequest
+	lastCancel time.Time
+	demands    [daemons]share.Demand
+	ledger     share.Ledger
 }
 
-// line is the daemon's demand as it tells it to the others.
-func (d *daemon) line() share.Demand {
-	m := d.sched.Demand(d.now())
-	return share.Demand{Name: strconv.Itoa(d.number), Slots: m.Slots, Running: m.RunningRequests, Waiting: m.WaitingRequests}
+// demand returns the daemon's demand as it is sent to the other daemons.
+func (d *daemon) demand() share.Demand {
+	m := d.scheduler.Demand(d.now())
+	return share.Demand{Name: strconv.Itoa(d.index), Slots: m.Slots, Running: m.RunningRequests, Waiting: m.WaitingRequests}
 }
 
-// apply puts the part of the windows in force that may be used now, and again
-// when more may be.
-func (d *daemon) apply() {
-	d.sched.SetShare(d.now(), fireflypath.Share{Default: d.ledger.InUse(d.now())})
-	d.pump()
+// applyShare applies the share of the windows that may be used now, and schedules the
+// next change.
+func (d *daemon) applyShare() {
+	d.scheduler.SetShare(d.now(), fireflypath.Share{Default: d.ledger.InUse(d.now())})
+	d.runScheduler()
 	if at := d.ledger.NextChange(); !at.IsZero() {
 		d.fleet.loop.at(at.Add(time.Microsecond), func() {
-			d.sched.SetShare(d.now(), fireflypath.Share{Default: d.ledger.InUse(d.now())})
-			d.pump()
+			d.scheduler.SetShare(d.now(), fireflypath.Share{Default: d.ledger.InUse(d.now())})
+			d.runScheduler()
 		})
 	}
 }
 
 func (d *daemon) offer(w *fireflypath.Work, r *request) {
-	d.waits[w] = r
-	d.handle(d.sched.Offer(d.now(), w, nil))
-	d.pump()
+	d.waiting[w] = r
+	d.handleSheds(d.scheduler.Offer(d.now(), w, nil))
+	d.runScheduler()
 }
 
 func (d *daemon) observe(e fireflypath.Event) {
-	d.sched.Observe(d.now(), e)
-	d.pump()
+	d.scheduler.Observe(d.now(), e)
+	d.runScheduler()
 }
 
 func (d *daemon) now() time.Time { return d.fleet.loop.now }
 
-// pump dispatches what may be dispatched and sets the next wake-up.
-func (d *daemon) pump() {
-	d.handle(d.sched.Expire(d.now(), nil))
-	for d.sched.Next(d.now(), &d.place) {
-		w := d.place.Work
+// runScheduler dispatches what the scheduler allows and schedules the next wake-up.
+func (d *daemon) runScheduler() {
+	d.handleSheds(d.scheduler.Expire(d.now(), nil))
+	for d.scheduler.Next(d.now(), &d.placement) {
+		w := d.placement.Work
 		if w.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched) {
-			d.dispatch(w, d.place.Target)
+			d.dispatch(w, d.placement.Target)
 		}
 	}
-	d.handle(d.sched.Expire(d.now(), nil))
-	d.cancel()
-	at := d.sched.Wake(d.now())
-	if at.IsZero() || (at.Equal(d.wake) && at.After(d.now())) {
+	d.handleSheds(d.scheduler.Expire(d.now(), nil))
+	d.cancelLowest()
+	at := d.scheduler.Wake(d.now())
+	if at.IsZero() || (at.Equal(d.nextWake) && at.After(d.now())) {
 		return
 	}
-	d.wake = at
+	d.nextWake = at
 	d.fleet.loop.at(at.Add(time.Microsecond), func() {
-		if d.wake.Equal(at) {
-			d.wake = time.Time{}
-			d.pump()
+		if d.nextWake.Equal(at) {
+			d.nextWake = time.Time{}
+			d.runScheduler()
 		}
 	})
 }
 
 func (d *daemon) dispatch(w *fireflypath.Work, target string) {
-	r := d.waits[w]
-	delete(d.waits, w)
-	e := d.fleet.names[target]
+	r := d.waiting[w]
+	delete(d.waiting, w)
+	e := d.fleet.enginesByName[target]
 	sent := d.now()
 	j := &job{work: w, output: r.output}
-	d.flights = append(d.flights, flight{request: r, job: j, engine: e})
-	j.first = func(cached int) {
+	d.running = append(d.running, runningRequest{request: r, job: j, engine: e})
+	j.onFirstToken = func(cached int) {
 		r.prefilled = true
-		r.fresh = w.Cost.Prompt - cached
-		d.fleet.tally.prefilled(r, w.Cost.Prompt, r.fresh)
+		r.uncachedTokens = w.Cost.Prompt - cached
+		d.fleet.tally.prefilled(r, w.Cost.Prompt, r.uncachedTokens)
 		d.fleet.loop.after(hop, func() {
-			r.first = d.now()
+			r.firstTokenAt = d.now()
 			d.observe(fireflypath.Event{Kind: fireflypath.EventFirstOutput, Target: target, Work: w, Sent: sent, Cached: cached})
 		})
 	}
-	j.done = func() {
+	j.onDone = func() {
 		d.fleet.loop.after(hop, func() {
-			d.land(j)
+			d.removeRunning(j)
 			w.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateAnswered)
 			d.fleet.tally.answered(r, d.now())
 			d.observe(fireflypath.Event{
@@ -134,53 +134,53 @@
 			})
 		})
 	}
-	d.fleet.loop.after(hop, func() { e.accept(j) })
+	d.fleet.loop.after(hop, func() { e.enqueue(j) })
 }
 
-// handle writes the refusals, after a relief round where one is due.
-func (d *daemon) handle(sheds []fireflypath.Shed) {
+// handleSheds refuses the shed work, after a relief round where one is required.
+func (d *daemon) handleSheds(sheds []fireflypath.Shed) {
 	for _, s := range sheds {
 		if !s.Relief {
 			d.refuse(s)
 			continue
 		}
-		d.ask(s, len(d.fleet.mix.Tiers)-2, false)
+		d.requestRelief(s, len(d.fleet.mix.Tiers)-2, false)
 	}
 }
 
-// ask is a relief round: it asks the peers for their work of the lowest tier,
-// then of the next, up to the one below the work's, so that no tier gives way
-// before all daemons have given up the ones below it. Each question takes a
-// hop and each answer another.
-func (d *daemon) ask(s fireflypath.Shed, rank int, freed bool) {
+// requestRelief runs a relief round: it asks all daemons to shed work of the lowest
+// tier, then of the next one, up to the tier of the work itself, so that no tier sheds
+// work before all daemons have shed the tiers below it. Each request and each reply
+// takes one hop.
+func (d *daemon) requestRelief(s fireflypath.Shed, rank int, anyShed bool) {
 	d.fleet.loop.after(hop, func() {
 		for _, p := range d.fleet.daemons {
 			if p == d && rank == s.Work.Rank {
 				continue
 			}
-			out := p.sched.Relieve(d.now(), rank, s.Tokens, nil)
-			freed = freed || len(out) > 0
-			p.handle(out)
+			out := p.scheduler.Relieve(d.now(), rank, s.Tokens, nil)
+			anyShed = anyShed || len(out) > 0
+			p.handleSheds(out)
 		}
 		d.fleet.loop.after(hop, func() {
 			if rank > s.Work.Rank {
-				d.ask(s, rank-1, freed)
+				d.requestRelief(s, rank-1, anyShed)
 				return
 			}
-			if freed && s.Reason == fireflypath.ReasonDeadline {
-				d.ask(s, len(d.fleet.mix.Tiers)-2, false)
+			if anyShed && s.Reason == fireflypath.ReasonDeadline {
+				d.requestRelief(s, len(d.fleet.mix.Tiers)-2, false)
 				return
 			}
-			if !freed {
-				d.handle(d.sched.Relieve(d.now(), rank, s.Tokens, nil))
+			if !anyShed {
+				d.handleSheds(d.scheduler.Relieve(d.now(), rank, s.Tokens, nil))
 				d.refuse(s)
 			}
-			d.pump()
+			d.runScheduler()
 		})
 	})
 }
 
-// refuse gives the final answer, unless the work went elsewhere meanwhile.
+// refuse refuses the work for good, unless it was dispatched or withdrawn meanwhile.
 func (d *daemon) refuse(s fireflypath.Shed) {
 	to := fireflypath.StateShed
 	if s.Reason == fireflypath.ReasonDeadline {
@@ -189,29 +189,30 @@
 	if !s.Work.Lifecycle.Transition(fireflypath.StateWaiting, to) {
 		return
 	}
-	d.sched.Withdraw(d.now(), s.Work)
-	r := d.waits[s.Work]
-	delete(d.waits, s.Work)
-	room := s.RetryAfter > 0
-	d.fleet.tally.refused(r, to, room && d.fleet.inverted(s.Work.Rank))
-	if d.fleet.load.retries && room {
+	d.scheduler.Withdraw(d.now(), s.Work)
+	r := d.waiting[s.Work]
+	delete(d.waiting, s.Work)
+	retryable := s.RetryAfter > 0
+	d.fleet.tally.refused(r, to, retryable && d.fleet.lowerTierWaits(s.Work.Rank))
+	if d.fleet.load.retries && retryable {
 		d.retry(r, s.RetryAfter)
 	}
 }
 
-// retry brings a refused caller back, mostly before its time.
+// retry schedules the retry of a refused caller, in most cases before the announced
+// time.
 func (d *daemon) retry(r *request, after time.Duration) {
 	early := false
 	r.patient = true
-	if r.rnd.Float64() < impatient {
+	if r.rnd.Float64() < impatientFraction {
 		early = true
 		r.patient = false
-		after = min(after, time.Duration(r.rnd.Int64N(int64(hasty))))
+		after = min(after, time.Duration(r.rnd.Int64N(int64(maxEarlyRetryDelay))))
 	}
 	at := d.now().Add(after)
-	if r.attempts >= attempts || !at.Before(r.deadline) {
+	if r.attempts >= maxAttempts || !at.Before(r.deadline) {
 		return
 	}
-	d.fleet.tally.again(r)
-	d.fleet.loop.at(at, func() { d.fleet.attempt(r, early) })
+	d.fleet.tally.undoRefusal(r)
+	d.fleet.loop.at(at, func() { d.fleet.startAttempt(r, early) })
 }
--- a/internal/trial/load.go
+++ b/internal/trial/load.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// warm is the time at the start in which nothing is measured: the daemons
-	// learn speeds and the caches fill.
-	warm = 20 * time.Second
-	// calm is the load before and after the pressure of a load, against capacity.
-	calm = 0.6
+	// warmUp is the initial time without measurement, in which daemons learn the speeds
+	// of targets and caches fill.
+	warmUp = 20 * time.Second
+	// baseRate is the rate outside of a load's bursts, as a fraction of the cold
+	// capacity.
+	baseRate = 0.6
 )
 
 // load is a pattern of arrivals and faults.
 type load struct {
 	name string
-	// rate is in parts of the capacity.
-	rate   float64
-	bursts func(m mix.Mix, span time.Duration) []mix.Burst
-	change func(m mix.Mix) mix.Mix
-	// slow names replicas that turn slower by slowFactor in the middle third.
-	slow []int
-	// retries is true if refused callers come back, most of them early.
+	// rate is a fraction of the cold capacity.
+	rate      float64
+	bursts    func(m mix.Mix, span time.Duration) []mix.Burst
+	transform func(m mix.Mix) mix.Mix
+	// slowEngines lists engines that are slower by slowFactor in the middle third.
+	slowEngines []int
+	// retries reports whether refused callers retry, most of them early.
 	retries bool
-	// split names the group of an arrival in addition to its tier.
-	split func(m mix.Mix, a mix.Arrival) string
+	// group returns the name of an arrival's group in addition to its tier.
+	group func(m mix.Mix, a mix.Arrival) string
 }
 
 const slowFactor = 10
@@ -34,33 +35,33 @@
 func loads() []load {
 	return []load{
 		{name: "steady", rate: 0.7},
-		{name: "burst", rate: calm, bursts: everyone(6, 0.4, 0.08)},
-		{name: "hot-team", rate: calm, bursts: hot, split: byTeam},
-		{name: "hot-team-calm", rate: calm, split: byTeam},
-		{name: "hot-prefix", rate: 0.7, change: onePrefix},
-		{name: "slow-target", rate: 0.7, slow: []int{0, 4}},
-		{name: "long-short", rate: 0.8, change: longShort, split: bySize},
-		{name: "overload-1.5", rate: calm, bursts: everyone(1.5/calm, 0, 1)},
-		{name: "overload-3", rate: calm, bursts: everyone(3/calm, 0, 1)},
-		{name: "flood-1.5", rate: calm, bursts: flood(1.5)},
-		{name: "flood-3", rate: calm, bursts: flood(3)},
-		{name: "retry-storm", rate: calm, bursts: everyone(3/calm, 0.2, 0.4), retries: true},
+		{name: "burst", rate: baseRate, bursts: allTeams(6, 0.4, 0.08)},
+		{name: "hot-team", rate: baseRate, bursts: hotTeamBurst, group: groupByTeam},
+		{name: "hot-team-calm", rate: baseRate, group: groupByTeam},
+		{name: "hot-prefix", rate: 0.7, transform: onePrefix},
+		{name: "slow-target", rate: 0.7, slowEngines: []int{0, 4}},
+		{name: "long-short", rate: 0.8, transform: longShort, group: groupBySize},
+		{name: "overload-1.5", rate: baseRate, bursts: allTeams(1.5/baseRate, 0, 1)},
+		{name: "overload-3", rate: baseRate, bursts: allTeams(3/baseRate, 0, 1)},
+		{name: "flood-1.5", rate: baseRate, bursts: flood(1.5)},
+		{name: "flood-3", rate: baseRate, bursts: flood(3)},
+		{name: "retry-storm", rate: baseRate, bursts: allTeams(3/baseRate, 0.2, 0.4), retries: true},
 	}
 }
 
-// everyone raises the rate of all teams in a part of the measured time.
-func everyone(factor, from, part float64) func(mix.Mix, time.Duration) []mix.Burst {
+// allTeams raises the rate of all teams during a part of the measured time.
+func allTeams(factor, from, part float64) func(mix.Mix, time.Duration) []mix.Burst {
 	return func(_ mix.Mix, span time.Duration) []mix.Burst {
-		rest := float64(span - warm)
+		measured := float64(span - warmUp)
 		return []mix.Burst{{
-			Start:    warm + time.Duration(from*rest),
-			Duration: time.Duration(part * rest),
+			Start:    warmUp + time.Duration(from*measured),
+			Duration: time.Duration(part * measured),
 			Factor:   factor,
 		}}
 	}
 }
 
-// hotTeam is a team that shares its tier with another one.
+// hotTeam returns the name of a team that shares its tier with another one.
 func hotTeam(m mix.Mix) string {
 	if m.Name == "pozo" {
 		return "extraction"
@@ -68,22 +69,22 @@
 	return "traders"
 }
 
-// flood makes all teams send so many times what the fleet can do with all that
-// is shared cached. The overload loads are multiples of the capacity with cold
-// caches, which good placement doubles or trebles: they overwhelm a plain gateway,
-// and these overwhelm everybody.
+// flood raises the rate of all teams to a multiple of the capacity with all shared
+// documents cached. The overload loads are multiples of the cold capacity, which good
+// placement doubles or triples: they overload a plain gateway, while flood loads exceed
+// what any policy can serve.
 func flood(times float64) func(m mix.Mix, span time.Duration) []mix.Burst {
 	return func(m mix.Mix, span time.Duration) []mix.Burst {
-		return everyone(times*warmCapacity(m)/(calm*capacity(m)), 0, 1)(m, span)
+		return allTeams(times*warmCapacity(m)/(baseRate*coldCapacity(m)), 0, 1)(m, span)
 	}
 }
 
-// hot makes one team send twelve times as much, which is above capacity.
-func hot(m mix.Mix, span time.Duration) []mix.Burst {
-	return []mix.Burst{{Start: warm, Duration: span - warm, Team: hotTeam(m), Factor: 12}}
+// hotTeamBurst makes one team send twelve times as much, which exceeds the capacity.
+func hotTeamBurst(m mix.Mix, span time.Duration) []mix.Burst {
+	return []mix.Burst{{Start: warmUp, Duration: span - warmUp, Team: hotTeam(m), Factor: 12}}
 }
 
-func byTeam(m mix.Mix, a mix.Arrival) string {
+func groupByTeam(m mix.Mix, a mix.Arrival) string {
 	if a.Team == hotTeam(m) {
 		return "hot"
 	}
@@ -93,7 +94,7 @@
 	return ""
 }
 
-// hotRank is the rank that the hot team and a cold one share.
+// hotRank returns the rank that the hot team shares with a cold one.
 func hotRank(m mix.Mix) int {
 	if m.Name == "pozo" {
 		return 1
@@ -101,7 +102,7 @@
 	return 0
 }
 
-// onePrefix makes all work of a stream begin with the same text.
+// onePrefix makes all requests of a stream begin with the same text.
 func onePrefix(m mix.Mix) mix.Mix {
 	streams := make([]mix.Stream, len(m.Streams))
 	copy(streams, m.Streams)
@@ -115,7 +116,7 @@
 	return m
 }
 
-// longShort mixes questions with work a hundred times longer, in one tier.
+// longShort mixes short questions with work a hundred times longer, in one tier.
 func longShort(m mix.Mix) mix.Mix {
 	first, second := m.Teams[0].Name, m.Teams[1].Name
 	tier := m.Tiers[1].Name
@@ -129,7 +130,7 @@
 	return m
 }
 
-func bySize(_ mix.Mix, a mix.Arrival) string {
+func groupBySize(_ mix.Mix, a mix.Arrival) string {
 	if a.Cost.Prompt > 1000 {
 		return "long"
 	}
--- a/internal/trial/loop.go
+++ b/internal/trial/loop.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// epoch is the start of virtual time; any fixed time does.
+// epoch is the start of virtual time. Its value is arbitrary.
 var epoch = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// loop runs functions in the order of their virtual times, and of their
-// scheduling where times are equal, so that a run is repeatable.
+// loop runs functions in the order of their virtual times, and in scheduling order
+// where times are equal, so that runs are repeatable.
 type loop struct {
 	now   time.Time
 	queue events
@@ -46,7 +46,7 @@
 	return x
 }
 
-// at schedules a function; times that have passed mean now.
+// at schedules a function; a time in the past means now.
 func (l *loop) at(t time.Time, fn func()) {
 	if t.Before(l.now) {
 		t = l.now
@@ -59,7 +59,7 @@
 	l.at(l.now.Add(d), fn)
 }
 
-// run works until the end or until nothing is left.
+// run processes events until the end time or until none is left.
 func (l *loop) run(end time.Time) {
 	for len(l.queue) > 0 && !l.queue[0].at.After(end) {
 		e := heap.Pop(&l.queue).(event)
--- a/internal/trial/policy.go
+++ b/internal/trial/policy.go
@@ -9,19 +9,20 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// policy is a way to decide that is tried.
+// policy is a scheduling policy under test.
 type policy struct {
 	name string
-	// make builds a daemon's scheduler; nil for the bound.
-	make func(seed uint64, lowest int, targets []fireflypath.Target) fireflypath.Scheduler
-	// shares is true if windows are split by demand instead of evenly.
-	shares bool
-	// cancel is true if running work of lower tiers is cancelled for higher work.
-	cancel bool
+	// newScheduler returns a daemon's scheduler; it is nil for the bound.
+	newScheduler func(seed uint64, lowest int, targets []fireflypath.Target) fireflypath.Scheduler
+	// splitByDemand reports whether windows are split by demand instead of evenly.
+	splitByDemand bool
+	// cancels reports whether running work of lower tiers is cancelled for work of
+	// higher ones.
+	cancels bool
 }
 
-// Policies lists the names of the policies in the order of the tables. The
-// first is the shipped one; those that begin with place are it with another
+// Policies returns the names of the policies in the order of the tables. The first is
+// the shipped one; those whose names begin with "place" differ from it only in the
 // choice of targets.
 func Policies() []string {
 	var out []string
@@ -33,17 +34,17 @@
 
 func policies() []policy {
 	return []policy{
-		{name: "shipped", make: placed(place.Scored), shares: true},
-		{name: "rr", make: newRoundRobin},
-		{name: "least", make: newLeast},
+		{name: "shipped", newScheduler: withPlacement(place.Scored), splitByDemand: true},
+		{name: "rr", newScheduler: newRoundRobin},
+		{name: "least", newScheduler: newLeast},
 		{name: "bound"},
-		{name: "cancel", make: placed(place.Scored), shares: true, cancel: true},
-		{name: "static", make: placed(place.Scored)},
-		{name: "place-rr", make: placed(place.RoundRobin), shares: true},
-		{name: "place-least", make: placed(place.LeastRequests), shares: true},
-		{name: "place-two", make: placed(place.PowerOfTwoChoices), shares: true},
-		{name: "place-hash", make: placed(place.PrefixHash), shares: true},
-		{name: "place-ranking", make: placed(place.CachedRanking), shares: true},
+		{name: "cancel", newScheduler: withPlacement(place.Scored), splitByDemand: true, cancels: true},
+		{name: "static", newScheduler: withPlacement(place.Scored)},
+		{name: "place-rr", newScheduler: withPlacement(place.RoundRobin), splitByDemand: true},
+		{name: "place-least", newScheduler: withPlacement(place.LeastRequests), splitByDemand: true},
+		{name: "place-two", newScheduler: withPlacement(place.PowerOfTwoChoices), splitByDemand: true},
+		{name: "place-hash", newScheduler: withPlacement(place.PrefixHash), splitByDemand: true},
+		{name: "place-ranking", newScheduler: withPlacement(place.CachedRanking), splitByDemand: true},
 	}
 }
 
@@ -56,7 +57,7 @@
 	return policy{}, errors.Wrapf(ErrUnknown, "policy %q", name)
 }
 
-func placed(kind place.Policy) func(uint64, int, []fireflypath.Target) fireflypath.Scheduler {
+func withPlacement(kind place.Policy) func(uint64, int, []fireflypath.Target) fireflypath.Scheduler {
 	return func(seed uint64, lowest int, targets []fireflypath.Target) fireflypath.Scheduler {
 		return sched.New(sched.Config{
 			Pool:       fireflypath.Pool{Name: mix.Models, Kind: fireflypath.KindEngine},
--- a/internal/trial/tally.go
+++ b/internal/trial/tally.go
@@ -9,73 +9,74 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// all is the row of all tiers together.
-const all = "all"
+// allTiers is the name of the row for all tiers together.
+const allTiers = "all"
 
 // tally counts what callers received, by tier and group.
 type tally struct {
 	load   load
 	mix    mix.Mix
-	groups []*group
-	// returned counts the answers to callers that came back when they were told
-	// to, welcome those that were let in.
-	returned, welcome int
+	groups []*callerGroup
+	// retriedOnTime counts the outcomes of retries made at the announced time,
+	// admittedOnTime those of them that were answered.
+	retriedOnTime, admittedOnTime int
 }
 
-type group struct {
-	name       string
-	sent, good int
-	refused    int
-	expired    int
-	inversions int
-	prompt     int
-	fresh      int
-	wasted     int
-	whole      []time.Duration
-	first      []time.Duration
+type callerGroup struct {
+	name            string
+	sent, inTime    int
+	refused         int
+	expired         int
+	inversions      int
+	promptTokens    int
+	uncachedTokens  int
+	wastedTokens    int
+	answerTimes     []time.Duration
+	firstTokenTimes []time.Duration
 }
 
 func newTally(l load, m mix.Mix) *tally {
 	t := &tally{load: l, mix: m}
-	t.groups = append(t.groups, &group{name: all})
+	t.groups = append(t.groups, &callerGroup{name: allTiers})
 	for _, tier := range m.Tiers {
-		t.groups = append(t.groups, &group{name: tier.Name})
+		t.groups = append(t.groups, &callerGroup{name: tier.Name})
 	}
 	return t
 }
 
-// each visits the groups of a request; requests of the warm-up have none.
-func (t *tally) each(r *request, fn func(g *group)) {
-	if r.arrival.At < warm {
+// forEachGroup calls fn for the groups of a request; requests that arrived during the
+// warm-up have none.
+func (t *tally) forEachGroup(r *request, fn func(g *callerGroup)) {
+	if r.arrival.At < warmUp {
 		return
 	}
 	split := ""
-	if t.load.split != nil {
-		split = t.load.split(t.mix, r.arrival)
+	if t.load.group != nil {
+		split = t.load.group(t.mix, r.arrival)
 	}
 	found := split == ""
 	for _, g := range t.groups {
-		if g.name == all || g.name == r.arrival.Tier || g.name == split {
+		if g.name == allTiers || g.name == r.arrival.Tier || g.name == split {
 			fn(g)
 		}
 		found = found || g.name == split
 	}
 	if !found {
-		g := &group{name: split}
+		g := &callerGroup{name: split}
 		t.groups = append(t.groups, g)
 		fn(g)
 	}
 }
 
 func (t *tally) sent(r *request) {
-	t.each(r, func(g *group) { g.sent++ })
+	t.forEachGroup(r, func(g *callerGroup) { g.sent++ })
 }
 
 func (t *tally) refused(r *request, to fireflypath.State, inverted bool) {
 	if r.patient {
-		t.returned++
+		t.retriedOnTime++
 	}
-	t.each(r, func(g *group) {
+	t.forEachGroup(r, func(g *callerGroup) {
 		if to == fireflypath.StateExpired {
 			g.expired++
 		} else {
@@ -85,13 +86,13 @@
 			g.inversions++
 		}
 	})
-	r.last = to
+	r.lastRefusal = to
 }
 
-// again takes a refusal back whose caller tries once more.
-func (t *tally) again(r *request) {
-	t.each(r, func(g *group) {
-		if r.last == fireflypath.StateExpired {
+// undoRefusal removes a refusal from the counts whose caller retries.
+func (t *tally) undoRefusal(r *request) {
+	t.forEachGroup(r, func(g *callerGroup) {
+		if r.lastRefusal == fireflypath.StateExpired {
 			g.expired--
 		} else {
 			g.refused--
@@ -99,33 +100,33 @@
 	})
 }
 
-func (t *tally) prefilled(r *request, prompt, fresh int) {
-	t.each(r, func(g *group) {
-		g.prompt += prompt
-		g.fresh += fresh
+func (t *tally) prefilled(r *request, prompt, uncached int) {
+	t.forEachGroup(r, func(g *callerGroup) {
+		g.promptTokens += prompt
+		g.uncachedTokens += uncached
 	})
 }
 
-// cut counts the prefill of work that was cancelled.
-func (t *tally) cut(r *request) {
+// cancelled counts the prefill of cancelled work as wasted.
+func (t *tally) cancelled(r *request) {
 	if r.prefilled {
-		t.each(r, func(g *group) { g.wasted += r.fresh })
+		t.forEachGroup(r, func(g *callerGroup) { g.wastedTokens += r.uncachedTokens })
 	}
 }
 
 func (t *tally) answered(r *request, now time.Time) {
 	if r.patient {
-		t.returned++
-		t.welcome++
+		t.retriedOnTime++
+		t.admittedOnTime++
 	}
-	t.each(r, func(g *group) {
-		g.whole = append(g.whole, now.Sub(r.started))
-		g.first = append(g.first, r.first.Sub(r.started))
+	t.forEachGroup(r, func(g *callerGroup) {
+		g.answerTimes = append(g.answerTimes, now.Sub(r.started))
+		g.firstTokenTimes = append(g.firstTokenTimes, r.firstTokenAt.Sub(r.started))
 		if now.After(r.deadline) {
-			g.wasted += r.fresh
+			g.wastedTokens += r.uncachedTokens
 			return
 		}
-		g.good++
+		g.inTime++
 	})
 }
 
@@ -135,27 +136,27 @@
 		if g.sent == 0 {
 			continue
 		}
-		slices.Sort(g.whole)
-		slices.Sort(g.first)
+		slices.Sort(g.answerTimes)
+		slices.Sort(g.firstTokenTimes)
 		out = append(out, Row{
 			Load: o.Load, Mix: o.Mix, Policy: o.Policy, Seed: o.Seed, Tier: g.name,
-			Sent: g.sent, Goodput: part(g.good, g.sent), Refused: g.refused, Expired: g.expired,
-			P50: quantile(g.whole, 0.5), P99: quantile(g.whole, 0.99), First99: quantile(g.first, 0.99),
-			Wasted: part(g.wasted, g.fresh), Hit: part(g.prompt-g.fresh, g.prompt), Inversions: g.inversions,
+			Sent: g.sent, Goodput: ratio(g.inTime, g.sent), Refused: g.refused, Expired: g.expired,
+			P50: quantile(g.answerTimes, 0.5), P99: quantile(g.answerTimes, 0.99), First99: quantile(g.firstTokenTimes, 0.99),
+			Wasted: ratio(g.wastedTokens, g.uncachedTokens), Hit: ratio(g.promptTokens-g.uncachedTokens, g.promptTokens), Inversions: g.inversions,
 		})
 	}
 	return out
 }
 
-// part is a/b to four places, 0 if b is 0.
-func part(a, b int) float64 {
+// ratio returns a/b rounded to four decimals, or 0 if b is 0.
+func ratio(a, b int) float64 {
 	if b == 0 {
 		return 0
 	}
 	return math.Round(float64(a)/float64(b)*1e4) / 1e4
 }
 
-// quantile is in milliseconds to one place.
+// quantile returns a quantile in milliseconds, rounded to one decimal.
 func quantile(sorted []time.Duration, q float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -1,4 +1,5 @@
-// Package trial drives the decision modules against small fake engines in virtual time.
+// Package trial runs the scheduling modules against simple simulated engines in virtual
+// time.
 package trial
 
 import (
@@ -10,51 +11,54 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// ErrUnknown is the name of a load, mix or policy that does not exist.
+// ErrUnknown is returned for the name of a load, mix or policy that does not exist.
 var ErrUnknown = errors.New("unknown name")
 
-// Span is how long requests arrive in a run, the warm-up included.
+// Span is the duration over which requests arrive in a run, including the warm-up.
 const Span = 120 * time.Second
 
-// Options choose one run.
+// Options configure one run.
 type Options struct {
 	Load   string
 	Mix    string
 	Policy string
 	Seed   uint64
-	// Span is how long requests arrive; 0 takes the package's Span.
+	// Span is the duration over which requests arrive; 0 means the package's Span.
 	Span time.Duration
 }
 
-// Row is what the callers of one tier, or of one group of callers, received.
+// Row summarizes what the callers of one tier or group received.
 type Row struct {
 	Load   string `json:"load"`
 	Mix    string `json:"mix"`
 	Policy string `json:"policy"`
 	Seed   uint64 `json:"seed"`
-	// Tier is a tier's name, "all", or a group: hot and cold teams, short and long work.
+	// Tier is a tier's name, "all", or a group: hot and cold teams, short and long
+	// work.
 	Tier string `json:"tier"`
-	// Sent counts requests, not a caller's repeated attempts.
+	// Sent counts requests, not attempts.
 	Sent int `json:"sent"`
-	// Goodput is the part of Sent that was answered whole and in time.
+	// Goodput is the fraction of Sent that was answered completely and in time.
 	Goodput float64 `json:"goodput"`
-	// Refused and Expired count requests that did not run: for want of room, and
-	// because their deadline was out of reach.
+	// Refused counts requests that did not run for lack of capacity, Expired those that
+	// did not run because their deadline was out of reach.
 	Refused int `json:"refused"`
 	Expired int `json:"expired"`
-	// P50 and P99 are of whole answers, from arrival to end, First99 to the first token.
+	// P50 and P99 are of the time from arrival to the end of the answer, First99 is of
+	// the time to the first token.
 	P50     float64 `json:"p50_ms"`
 	P99     float64 `json:"p99_ms"`
 	First99 float64 `json:"first_p99_ms"`
-	// Wasted is the part of the prefilled tokens whose answer came too late.
+	// Wasted is the fraction of the prefilled tokens whose answer was cancelled or came
+	// too late.
 	Wasted float64 `json:"wasted_prefill"`
-	// Hit is the part of the prompt tokens found in prefix caches.
+	// Hit is the fraction of the prompt tokens found in prefix caches.
 	Hit float64 `json:"prefix_hit"`
-	// Inversions counts refusals while lower work waited at any daemon.
+	// Inversions counts refusals while work of a lower tier waited in any daemon.
 	Inversions int `json:"inversions"`
 }
 
-// Loads lists the names of the loads in the order of the tables.
+// Loads returns the names of the loads in the order of the tables.
 func Loads() []string {
 	var out []string
 	for _, l := range loads() {
@@ -63,12 +67,12 @@
 	return out
 }
 
-// Mixes lists the names of the mixes.
+// Mixes returns the names of the mixes.
 func Mixes() []string {
 	return []string{"pozo", "meelwerk"}
 }
 
-// Run tries one policy under one load. The same options give the same rows.
+// Run runs one policy under one load. Equal options give equal rows.
 func Run(o Options) ([]Row, error) {
 	l, err := findLoad(o.Load)
 	if err != nil {
@@ -85,13 +89,13 @@
 	if o.Span == 0 {
 		o.Span = Span
 	}
-	m = models(m)
-	if l.change != nil {
-		m = l.change(m)
+	m = modelStreams(m)
+	if l.transform != nil {
+		m = l.transform(m)
 	}
-	arrivals := generate(l, m, o)
-	if p.make == nil {
-		return bound(l, m, o, arrivals), nil
+	arrivals := generateArrivals(l, m, o)
+	if p.newScheduler == nil {
+		return upperBound(l, m, o, arrivals), nil
 	}
 	f := newFleet(l, m, p, o)
 	f.run(arrivals)
@@ -107,8 +111,9 @@
 	return load{}, errors.Wrapf(ErrUnknown, "load %q", name)
 }
 
-// models leaves out the work for plain services, which no fake engine runs.
-func models(m mix.Mix) mix.Mix {
+// modelStreams removes the work for plain services, which the simulated engines do not
+// run.
+func modelStreams(m mix.Mix) mix.Mix {
 	var streams []mix.Stream
 	for _, s := range m.Streams {
 		if s.Pool == mix.Models {
@@ -119,9 +124,9 @@
 	return m
 }
 
-// generate draws the arrivals of a run; they do not depend on the policy.
-func generate(l load, m mix.Mix, o Options) []mix.Arrival {
-	opts := mix.Options{Seed: o.Seed, Rate: l.rate * capacity(m), Duration: o.Span}
+// generateArrivals draws the arrivals of a run; they do not depend on the policy.
+func generateArrivals(l load, m mix.Mix, o Options) []mix.Arrival {
+	opts := mix.Options{Seed: o.Seed, Rate: l.rate * coldCapacity(m), Duration: o.Span}
 	if l.bursts != nil {
 		opts.Bursts = l.bursts(m, o.Span)
 	}
@@ -132,7 +137,7 @@
 	return out
 }
 
-// random makes a generator for one purpose of a run.
-func random(seed, purpose uint64) *rand.Rand {
+// newRand returns a generator for one purpose of a run.
+func newRand(seed, purpose uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, purpose))
 }
