--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -188,10 +188,10 @@
 }
 
 const (
-	poison       = digest.Digest(1)
-	other        = digest.Digest(2)
-	hotKey       = digest.Digest(3)
-	firstHealthy = digest.Digest(100)
+	poisonRequest = digest.Digest(1)
+	other         = digest.Digest(2)
+	hotRequest    = digest.Digest(3)
+	firstHealthy  = digest.Digest(100)
 )
 
 // A poison request crashes every target that runs it: at any rate, alone or several in
@@ -207,8 +207,8 @@
 		timeToCrash   time.Duration
 		targets       int
 		// attempts is how often a request is sent, including retries by daemons.
-		attempts   int
-		withHotKey bool
+		attempts       int
+		withHotRequest bool
 	}{
 		{name: "once a second", interval: time.Second, perInterval: 1, distinct: 1, timeToCrash: 100 * time.Millisecond, targets: 12},
 		{name: "rarely", interval: 6 * time.Second, perInterval: 1, distinct: 1, timeToCrash: 100 * time.Millisecond, targets: 12},
@@ -218,7 +218,7 @@
 		{name: "long runs", interval: 2 * time.Second, perInterval: 1, distinct: 1, timeToCrash: 1500 * time.Millisecond, targets: 12},
 		{name: "unrelated crashes", interval: 4 * time.Second, perInterval: 1, distinct: 1, crashInterval: 3 * time.Second, timeToCrash: 100 * time.Millisecond, targets: 12},
 		{name: "three targets", interval: 3 * time.Second, perInterval: 1, distinct: 1, timeToCrash: 60 * time.Millisecond, targets: 3},
-		{name: "beside a hot key", interval: time.Second, perInterval: 1, distinct: 1, timeToCrash: 100 * time.Millisecond, targets: 12, withHotKey: true},
+		{name: "beside a hot request", interval: time.Second, perInterval: 1, distinct: 1, timeToCrash: 100 * time.Millisecond, targets: 12, withHotRequest: true},
 		{name: "retried immediately", interval: 2 * time.Second, perInterval: 1, distinct: 1, timeToCrash: 20 * time.Millisecond, targets: 6, attempts: 3},
 		{name: "many targets", interval: time.Second, perInterval: 1, distinct: 2, crashInterval: 2 * time.Second, timeToCrash: 100 * time.Millisecond, targets: 200},
 	} {
@@ -231,7 +231,7 @@
 					if i%int(c.interval/tick) == 0 {
 						for range c.perInterval {
 							for d := range c.distinct {
-								p.send(run{digest: poison + digest.Digest(d), poison: true}, c.timeToCrash)
+								p.send(run{digest: poisonRequest + digest.Digest(d), poison: true}, c.timeToCrash)
 							}
 						}
 					}
@@ -242,14 +242,14 @@
 						p.sendHealthy(next)
 						next++
 					}
-					if c.withHotKey && i%8 == 0 {
-						p.sendHealthy(hotKey)
+					if c.withHotRequest && i%8 == 0 {
+						p.sendHealthy(hotRequest)
 					}
 					p.step()
 				}
 				for d := range c.distinct {
-					p.is.True(!p.held[poison+digest.Digest(d)].IsZero())
-					p.is.True(p.lateCrashes(poison+digest.Digest(d)) <= maxLateCrashes)
+					p.is.True(!p.held[poisonRequest+digest.Digest(d)].IsZero())
+					p.is.True(p.lateCrashes(poisonRequest+digest.Digest(d)) <= maxLateCrashes)
 				}
 				p.is.Equal(len(p.held), c.distinct) // no healthy request is held
 			}
@@ -276,7 +276,7 @@
 			if i%5 == 0 {
 				p.sendHealthy(next)
 				next++
-				p.sendHealthy(hotKey)
+				p.sendHealthy(hotRequest)
 			}
 			p.step()
 		}
@@ -309,7 +309,7 @@
 }
 
 // One request makes up most of the load, so it is running on every target that crashes.
-func TestHotKeyIsNotHeld(t *testing.T) {
+func TestHotRequestIsNotHeld(t *testing.T) {
 	for _, every := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 5 * time.Second} {
 		t.Run(every.String(), func(t *testing.T) {
 			for seed := range uint64(12) {
@@ -320,7 +320,7 @@
 						p.crash(p.rnd.IntN(len(p.targets)))
 					}
 					if i%4 == 0 {
-						p.sendHealthy(hotKey)
+						p.sendHealthy(hotRequest)
 					}
 					if i%20 == 0 {
 						p.sendHealthy(next)
@@ -340,7 +340,7 @@
 	for i := range n {
 		now = now.Add(time.Second)
 		started := now.Add(-100 * time.Millisecond)
-		detector.RecordCrash(now, quarantine.Crash{Digest: poison, Pool: "p", Target: fmt.Sprint(from, i), PoolSize: 12, Started: started, Ended: now})
+		detector.RecordCrash(now, quarantine.Crash{Digest: poisonRequest, Pool: "p", Target: fmt.Sprint(from, i), PoolSize: 12, Started: started, Ended: now})
 	}
 	return now
 }
@@ -371,7 +371,7 @@
 	now = crashTargets(detector, now.Add(time.Hour), 1, "b") // one more is enough, even if another request ran there
 	detector.RecordCrash(now, quarantine.Crash{Digest: other, Pool: "p", Target: "b0", PoolSize: 12, Started: now.Add(-time.Second), Ended: now})
 	v, now = evaluate(detector, now)
-	is.Equal(v.Digest, poison)
+	is.Equal(v.Digest, poisonRequest)
 	is.Equal(v.State, quarantine.Held)
 	is.Equal(v.Holds, 2)
 	is.True(v.Until.After(now.Add(119 * time.Minute)))
@@ -391,16 +391,16 @@
 		}
 	}
 	for _, target := range []string{"t1", "t2", "t3"} {
-		crash(target, poison, other)
+		crash(target, poisonRequest, other)
 	}
 	v, evaluated := evaluate(detector, now)
 	is.Equal(v.State, quarantine.Suspect) // either one may be the poison request
 	now = evaluated
-	crash("t4", poison)
+	crash("t4", poisonRequest)
 	v, now = evaluate(detector, now)
 	is.Equal(v.State, quarantine.Held)
-	is.Equal(v.Digest, poison)
-	crash("t5", other, poison) // sent before the hold took effect
+	is.Equal(v.Digest, poisonRequest)
+	crash("t5", other, poisonRequest) // sent before the hold took effect
 	v, _ = evaluate(detector, now)
 	is.True(v.State != quarantine.Held)
 }
@@ -422,10 +422,10 @@
 	now := crashTargets(detector, time.Unix(1000, 0), 3, "a")
 	v, now := evaluate(detector, now)
 	is.Equal(v.State, quarantine.Held)
-	v, known := detector.RecordSuccess(now, poison) // sent before the hold took effect
+	v, known := detector.RecordSuccess(now, poisonRequest) // sent before the hold took effect
 	is.True(known)
 	is.Equal(v.State, quarantine.Cleared)
-	_, known = detector.RecordSuccess(now, poison)
+	_, known = detector.RecordSuccess(now, poisonRequest)
 	is.True(!known)
 }
 
@@ -434,7 +434,7 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
-	detector.ApplyVerdict(now, quarantine.Verdict{Digest: poison, Pool: "p", State: quarantine.Held, Until: now.Add(time.Hour), Holds: 2})
+	detector.ApplyVerdict(now, quarantine.Verdict{Digest: poisonRequest, Pool: "p", State: quarantine.Held, Until: now.Add(time.Hour), Holds: 2})
 	now = crashTargets(detector, now, 3, "a")
 	v, now := evaluate(detector, now)
 	is.Equal(v.State, quarantine.State("")) // it is held already
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	poison  = digest.Digest(1)
-	healthy = digest.Digest(2)
+	poisonRequest = digest.Digest(1)
+	healthy       = digest.Digest(2)
 	// stepInterval is the time between two steps of all daemons, in which a heartbeat crosses
 	// one connection.
 	stepInterval = 50 * time.Millisecond
@@ -207,7 +207,9 @@
 	return n
 }
 
-func (f *fleet) allHold() bool { return f.countHolding(poison) == len(f.daemons)-len(f.unreachable) }
+func (f *fleet) allHold() bool {
+	return f.countHolding(poisonRequest) == len(f.daemons)-len(f.unreachable)
+}
 
 // Each daemon sees one of the crashes that a request causes. All must hold it, in fleets of any
 // size: a daemon that does not would send it to the next target.
@@ -216,12 +218,12 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			f := newFleet(t, n)
 			for i := range 3 {
-				f.crashTarget(f.daemons[i*(n-1)/2], poison, fmt.Sprint("t", i))
+				f.crashTarget(f.daemons[i*(n-1)/2], poisonRequest, fmt.Sprint("t", i))
 			}
 			f.is.True(f.stepUntil(f.allHold))
 			f.is.Equal(f.countHolding(healthy), 0)
 			f.is.True(f.calls.Load() <= 3*2) // one report of each daemon to each coordinator
-			remaining, _ := f.daemons[0].q.Held(poison)
+			remaining, _ := f.daemons[0].q.Held(poisonRequest)
 			f.is.True(remaining > 59*time.Minute && remaining <= time.Hour)
 		})
 	}
@@ -231,7 +233,7 @@
 func TestLostCoordinatorIsReplaced(t *testing.T) {
 	f := newFleet(t, 9)
 	for i := range 3 {
-		f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
+		f.crashTarget(f.daemons[i], poisonRequest, fmt.Sprint("t", i))
 		if i == 1 {
 			f.unreachable[coordinator.Choose(f.daemons[0].Live(), 1)[0].Name] = true
 		}
@@ -244,7 +246,7 @@
 func TestHeldRequestSurvivesFleetRestart(t *testing.T) {
 	f := newFleet(t, 9)
 	for i := range 3 {
-		f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
+		f.crashTarget(f.daemons[i], poisonRequest, fmt.Sprint("t", i))
 	}
 	f.is.True(f.stepUntil(f.allHold))
 	f.is.True(f.stepUntil(func() bool { return len(f.store.Snapshot()) == 1 }))
@@ -261,7 +263,7 @@
 	f := newFleet(t, 9)
 	f.store.SetFault(func(string, string) testkit.Fault { return testkit.Fault{Before: fireflypath.ErrUnavailable} })
 	for i := range 3 {
-		f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
+		f.crashTarget(f.daemons[i], poisonRequest, fmt.Sprint("t", i))
 	}
 	f.is.True(f.stepUntil(f.allHold))
 	f.store.SetFault(nil)
@@ -308,18 +310,18 @@
 		t.Run(via, func(t *testing.T) {
 			f := newFleet(t, 9)
 			for i := range 3 {
-				f.crashTarget(f.daemons[i], poison, fmt.Sprint("t", i))
+				f.crashTarget(f.daemons[i], poisonRequest, fmt.Sprint("t", i))
 			}
 			f.is.True(f.stepUntil(func() bool { return f.allHold() && len(f.store.Snapshot()) == 1 }))
 			f.is.Equal(len(f.daemons[4].q.List()), 1)
 			if via == "daemon" {
-				f.is.True(f.daemons[4].q.Release(poison))
-				f.is.True(!f.daemons[4].q.Release(poison))
+				f.is.True(f.daemons[4].q.Release(poisonRequest))
+				f.is.True(!f.daemons[4].q.Release(poisonRequest))
 			} else {
-				f.is.NoErr(f.store.Delete(t.Context(), quarantine.Prefix+poison.String(), fireflypath.AnyRevision))
+				f.is.NoErr(f.store.Delete(t.Context(), quarantine.Prefix+poisonRequest.String(), fireflypath.AnyRevision))
 			}
-			f.is.True(f.stepUntil(func() bool { return f.countHolding(poison) == 0 && len(f.store.Snapshot()) == 0 }))
-			f.is.True(!f.stepUntil(func() bool { return f.countHolding(poison) > 0 })) // and it is not held again
+			f.is.True(f.stepUntil(func() bool { return f.countHolding(poisonRequest) == 0 && len(f.store.Snapshot()) == 0 }))
+			f.is.True(!f.stepUntil(func() bool { return f.countHolding(poisonRequest) > 0 })) // and it is not held again
 		})
 	}
 }
@@ -332,7 +334,7 @@
 	}
 	f.unreachable["d0"] = false
 	for i := range 3 {
-		f.crashTarget(f.daemons[0], poison, fmt.Sprint("t", i))
+		f.crashTarget(f.daemons[0], poisonRequest, fmt.Sprint("t", i))
 	}
 	f.unreachable = map[string]bool{}
 	f.is.True(f.stepUntil(f.allHold))
@@ -343,12 +345,12 @@
 	f := newFleet(t, 1)
 	for _, e := range []fireflypath.Entry{
 		{Key: quarantine.Prefix + "x"},
-		{Key: quarantine.Prefix + poison.String(), Value: []byte("{")},
-		{Key: quarantine.Prefix + poison.String(), Deleted: true},
+		{Key: quarantine.Prefix + poisonRequest.String(), Value: []byte("{")},
+		{Key: quarantine.Prefix + poisonRequest.String(), Deleted: true},
 	} {
 		f.daemons[0].q.ApplyStoreEntry(e)
 	}
-	f.is.Equal(f.countHolding(poison), 0)
+	f.is.Equal(f.countHolding(poisonRequest), 0)
 	f.is.Equal(len(f.daemons[0].q.List()), 0)
 }
 
@@ -383,10 +385,10 @@
 	for b.Loop() {
 		f := &fleet{clock: clockwork.NewFakeClock()}
 		d := f.measuredDaemon(&report)
-		d.q.TargetCrashed(poison, target("i-0123456789"), f.clock.Now())
+		d.q.TargetCrashed(poisonRequest, target("i-0123456789"), f.clock.Now())
 		d.q.Step(b.Context())
 		var m peer.Heartbeat
-		d.q.ApplyStoreEntry(fireflypath.Entry{Key: quarantine.Prefix + poison.String(), Value: []byte(`{"pool":"pool-name","until":1796288695573,"targets":3,"times":1,"number":2}`)})
+		d.q.ApplyStoreEntry(fireflypath.Entry{Key: quarantine.Prefix + poisonRequest.String(), Value: []byte(`{"pool":"pool-name","until":1796288695573,"targets":3,"times":1,"number":2}`)})
 		d.source("d1", &m)
 		text, err := json.Marshal(m)
 		if err != nil {
@@ -453,7 +455,7 @@
 		q.TargetCrashed(request, target(name), sent)
 	}
 	for i := range 5 {
-		crash(poison, fmt.Sprint("t", i))
+		crash(poisonRequest, fmt.Sprint("t", i))
 	}
 	<-store.called // the request is held and being saved
 	crash(healthy, "t5")
