--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -10,13 +10,13 @@
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/configsync"
 	registry "github.com/fireflypath/fireflypath/internal/configuration"
-	"github.com/fireflypath/fireflypath/internal/exchange"
 	"github.com/fireflypath/fireflypath/internal/leaving"
 	"github.com/fireflypath/fireflypath/internal/member"
 	"github.com/fireflypath/fireflypath/internal/order"
 	"github.com/fireflypath/fireflypath/internal/peer"
 	"github.com/fireflypath/fireflypath/internal/relief"
 	"github.com/fireflypath/fireflypath/internal/route/evidence"
+	"github.com/fireflypath/fireflypath/internal/windowshare"
 )
 
 // configuration sets up the source of the configuration in force.
@@ -170,7 +170,7 @@
 		d.background.Go(func() { _ = s.Run(d.ctx) })
 	}
 	single := d.deps.Store == nil && len(d.cfg.Peers.Seeds) == 0
-	d.exchange = exchange.New(d.members, d.peers, d.deps.Configs,
+	d.exchange = windowshare.New(d.members, d.peers, d.deps.Configs,
 		&sharedLimits{d.pools, &d.rules, d.deps.Configs, clock}, single, clock, d.scope)
 	d.pools.SetInitialShare(d.exchange.InitialShare)
 	d.leavingTracker = leaving.New(d.cfg.Name, d.cellSize, d.peers, d.reportLeavingByPeers, d.reportStayingByPeers, clock, d.scope)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,7 +25,6 @@
 	"github.com/fireflypath/fireflypath/internal/directory"
 	"github.com/fireflypath/fireflypath/internal/dispatch"
 	"github.com/fireflypath/fireflypath/internal/engine"
-	"github.com/fireflypath/fireflypath/internal/exchange"
 	"github.com/fireflypath/fireflypath/internal/gate"
 	gatelimits "github.com/fireflypath/fireflypath/internal/gate/limits"
 	"github.com/fireflypath/fireflypath/internal/http1"
@@ -38,6 +37,7 @@
 	"github.com/fireflypath/fireflypath/internal/route/evidence"
 	"github.com/fireflypath/fireflypath/internal/route/pools"
 	"github.com/fireflypath/fireflypath/internal/service"
+	"github.com/fireflypath/fireflypath/internal/windowshare"
 	"github.com/fireflypath/fireflypath/pkg/settings"
 )
 
@@ -83,7 +83,7 @@
 	members        *member.Membership
 	peers          *peer.Endpoint
 	peerListener   net.Listener
-	exchange       *exchange.Exchange
+	exchange       *windowshare.Exchange
 	leavingTracker *leaving.Tracker
 	orders         *order.Issuer
 
--- a/internal/exchange/demand.go
+++ b/internal/windowshare/demand.go
@@ -1,4 +1,4 @@
-package exchange
+package windowshare
 
 import (
 	"github.com/fireflypath/fireflypath"
--- a/internal/exchange/exchange.go
+++ b/internal/windowshare/manager.go
@@ -1,9 +1,9 @@
-// Package exchange splits the concurrency windows of targets between daemons.
+// Package windowshare splits the concurrency windows of targets between daemons.
 //
 // Daemons exchange their demand for each pool. Each daemon computes the same split from it
 // and uses its own fraction of the windows. A daemon that is short of slots borrows from
 // idle ones until the next exchange.
-package exchange
+package windowshare
 
 import (
 	"context"
--- a/internal/exchange/exchange_test.go
+++ b/internal/windowshare/manager_test.go
@@ -1,4 +1,4 @@
-package exchange_test
+package windowshare_test
 
 import (
 	"context"
@@ -15,17 +15,17 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/decide/rules"
-	"github.com/fireflypath/fireflypath/internal/exchange"
 	"github.com/fireflypath/fireflypath/internal/member"
 	"github.com/fireflypath/fireflypath/internal/peer"
 	"github.com/fireflypath/fireflypath/internal/testkit"
+	"github.com/fireflypath/fireflypath/internal/windowshare"
 )
 
 // daemon is an Exchange with its peers and a fake route.
 type daemon struct {
 	members  *member.Membership
 	peers    *peer.Endpoint
-	exchange *exchange.Exchange
+	exchange *windowshare.Exchange
 	stop     func()
 
 	mu       sync.Mutex
@@ -103,7 +103,7 @@
 		d.members = member.New(self, nil, []string{"d0:1"}, time.Second, clock, tally.NoopScope, log)
 		d.peers = peer.New(net.Host(name), nil, d.members.Self, time.Second, clock, tally.NoopScope, log)
 		d.members.Attach(d.peers)
-		d.exchange = exchange.New(d.members, d.peers, d, d, false, clock, tally.NoopScope)
+		d.exchange = windowshare.New(d.members, d.peers, d, d, false, clock, tally.NoopScope)
 		l, err := net.Host(name).Listen(self.PeerAddr)
 		if err != nil {
 			t.Fatal(err)
