--- a/internal/daemon/quarantine.go
+++ b/internal/daemon/quarantine.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/decide/poison"
 	"github.com/fireflypath/fireflypath/internal/quarantine"
 )
 
@@ -26,7 +26,7 @@
 	if cfg.Disabled {
 		return nil
 	}
-	policy := decide.Config{MinCrashes: cfg.Targets, HoldTime: cfg.Duration.Std()}
+	policy := poison.Config{MinCrashes: cfg.Targets, HoldTime: cfg.Duration.Std()}
 	if policy.MinCrashes == 0 {
 		policy.MinCrashes = defaultMinCrashes
 	}
--- a/internal/decide/quarantine/attribution.go
+++ b/internal/decide/poison/attribution.go
@@ -1,4 +1,4 @@
-package quarantine
+package poison
 
 import (
 	"math"
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/poison/detector.go
@@ -1,4 +1,4 @@
-// Package quarantine detects poison requests: requests that crash every target that runs
+// Package poison detects poison requests: requests that crash every target that runs
 // them.
 //
 // A poison request, also called a query of death, is repeated by its caller and crashes
@@ -10,7 +10,7 @@
 // A request is held if it was running at crash after crash, in runs one after the other,
 // more often than by chance and than any other request there, and if no target ever
 // completed it.
-package quarantine
+package poison
 
 import (
 	"cmp"
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/poison/detector_test.go
@@ -1,4 +1,4 @@
-package quarantine_test
+package poison_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/decide/poison"
 	"github.com/fireflypath/fireflypath/internal/digest"
 )
 
@@ -42,12 +42,12 @@
 	restartTime  time.Duration
 	targets      []target
 	incarnations int
-	detector     *quarantine.Detector
+	detector     *poison.Detector
 	// attempts is how often a request is sent to targets, including its caller's retries.
 	attempts int
 	retries  []run
 	served   map[digest.Digest]time.Time
-	states   map[digest.Digest]quarantine.State
+	states   map[digest.Digest]poison.State
 	held     map[digest.Digest]time.Time
 	crashes  map[digest.Digest][]time.Time
 }
@@ -64,8 +64,8 @@
 	p := &pool{
 		is: is.New(t), rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), restartTime: 2 * time.Second, attempts: 4,
 		targets:  make([]target, targets),
-		detector: quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour}),
-		served:   map[digest.Digest]time.Time{}, states: map[digest.Digest]quarantine.State{},
+		detector: poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour}),
+		served:   map[digest.Digest]time.Time{}, states: map[digest.Digest]poison.State{},
 		held: map[digest.Digest]time.Time{}, crashes: map[digest.Digest][]time.Time{},
 	}
 	for i := range p.targets {
@@ -106,7 +106,7 @@
 	t := p.targets[i]
 	p.restart(i, p.now.Add(p.restartTime))
 	for _, r := range t.runs {
-		p.detector.RecordCrash(p.now, quarantine.Crash{Digest: r.digest, Pool: "p", Target: t.incarnation, PoolSize: len(p.targets), Started: r.started, Ended: p.now})
+		p.detector.RecordCrash(p.now, poison.Crash{Digest: r.digest, Pool: "p", Target: t.incarnation, PoolSize: len(p.targets), Started: r.started, Ended: p.now})
 		p.crashes[r.digest] = append(p.crashes[r.digest], p.now)
 		if r.attempts < p.attempts {
 			p.retries = append(p.retries, r)
@@ -150,10 +150,10 @@
 	verdicts, _ := p.detector.Evaluate(p.now, confirmation, nil)
 	for _, v := range verdicts {
 		p.states[v.Digest] = v.State
-		if v.State == quarantine.Held {
+		if v.State == poison.Held {
 			p.held[v.Digest] = p.now
 		}
-		if at, ok := p.served[v.Digest]; ok && v.State == quarantine.Suspect && p.now.Sub(at) < time.Minute {
+		if at, ok := p.served[v.Digest]; ok && v.State == poison.Suspect && p.now.Sub(at) < time.Minute {
 			p.reportSuccess(v.Digest)
 		}
 	}
@@ -336,17 +336,17 @@
 
 // crashTargets reports n crashes, one per second, each on a target that had just started
 // the poison request and ran nothing else.
-func crashTargets(detector *quarantine.Detector, now time.Time, n int, from string) time.Time {
+func crashTargets(detector *poison.Detector, now time.Time, n int, from string) time.Time {
 	for i := range n {
 		now = now.Add(time.Second)
 		started := now.Add(-100 * time.Millisecond)
-		detector.RecordCrash(now, quarantine.Crash{Digest: poisonRequest, Pool: "p", Target: fmt.Sprint(from, i), PoolSize: 12, Started: started, Ended: now})
+		detector.RecordCrash(now, poison.Crash{Digest: poisonRequest, Pool: "p", Target: fmt.Sprint(from, i), PoolSize: 12, Started: started, Ended: now})
 	}
 	return now
 }
 
-func evaluate(detector *quarantine.Detector, now time.Time) (quarantine.Verdict, time.Time) {
-	var last quarantine.Verdict
+func evaluate(detector *poison.Detector, now time.Time) (poison.Verdict, time.Time) {
+	var last poison.Verdict
 	for range 100 {
 		now = now.Add(tick)
 		verdicts, _ := detector.Evaluate(now, confirmation, nil)
@@ -359,20 +359,20 @@
 
 func TestRepeatedHoldLastsLonger(t *testing.T) {
 	is := is.New(t)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := crashTargets(detector, time.Unix(1000, 0), 3, "a")
 	v, now := evaluate(detector, now)
-	is.Equal(v.State, quarantine.Held)
+	is.Equal(v.State, poison.Held)
 	is.Equal(v.Crashes, 3)
 	is.True(v.Until.After(now.Add(59 * time.Minute)))
 
 	now = crashTargets(detector, now, 2, "late") // sent before the hold took effect
 	_, now = evaluate(detector, now)
 	now = crashTargets(detector, now.Add(time.Hour), 1, "b") // one more is enough, even if another request ran there
-	detector.RecordCrash(now, quarantine.Crash{Digest: other, Pool: "p", Target: "b0", PoolSize: 12, Started: now.Add(-time.Second), Ended: now})
+	detector.RecordCrash(now, poison.Crash{Digest: other, Pool: "p", Target: "b0", PoolSize: 12, Started: now.Add(-time.Second), Ended: now})
 	v, now = evaluate(detector, now)
 	is.Equal(v.Digest, poisonRequest)
-	is.Equal(v.State, quarantine.Held)
+	is.Equal(v.State, poison.Held)
 	is.Equal(v.Holds, 2)
 	is.True(v.Until.After(now.Add(119 * time.Minute)))
 }
@@ -381,50 +381,50 @@
 // it three times. It used to be held for an hour.
 func TestRequestRetriedWithPoisonIsNotHeld(t *testing.T) {
 	is := is.New(t)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := time.Unix(1000, 0)
 	crash := func(target string, requests ...digest.Digest) {
 		started := now
 		now = now.Add(20 * time.Millisecond)
 		for _, d := range requests {
-			detector.RecordCrash(now, quarantine.Crash{Digest: d, Pool: "p", Target: target, PoolSize: 12, Started: started, Ended: now})
+			detector.RecordCrash(now, poison.Crash{Digest: d, Pool: "p", Target: target, PoolSize: 12, Started: started, Ended: now})
 		}
 	}
 	for _, target := range []string{"t1", "t2", "t3"} {
 		crash(target, poisonRequest, other)
 	}
 	v, evaluated := evaluate(detector, now)
-	is.Equal(v.State, quarantine.Suspect) // either one may be the poison request
+	is.Equal(v.State, poison.Suspect) // either one may be the poison request
 	now = evaluated
 	crash("t4", poisonRequest)
 	v, now = evaluate(detector, now)
-	is.Equal(v.State, quarantine.Held)
+	is.Equal(v.State, poison.Held)
 	is.Equal(v.Digest, poisonRequest)
 	crash("t5", other, poisonRequest) // sent before the hold took effect
 	v, _ = evaluate(detector, now)
-	is.True(v.State != quarantine.Held)
+	is.True(v.State != poison.Held)
 }
 
 // A target breaks its responses without crashing, for example because connections are
 // reset.
 func TestRetractedCrashIsNotCounted(t *testing.T) {
 	is := is.New(t)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := crashTargets(detector, time.Unix(1000, 0), 3, "a")
 	detector.RetractCrash("a1")
 	v, _ := evaluate(detector, now)
-	is.Equal(v.State, quarantine.Suspect)
+	is.Equal(v.State, poison.Suspect)
 }
 
 func TestCompletedRequestIsCleared(t *testing.T) {
 	is := is.New(t)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := crashTargets(detector, time.Unix(1000, 0), 3, "a")
 	v, now := evaluate(detector, now)
-	is.Equal(v.State, quarantine.Held)
+	is.Equal(v.State, poison.Held)
 	v, known := detector.RecordSuccess(now, poisonRequest) // sent before the hold took effect
 	is.True(known)
-	is.Equal(v.State, quarantine.Cleared)
+	is.Equal(v.State, poison.Cleared)
 	_, known = detector.RecordSuccess(now, poisonRequest)
 	is.True(!known)
 }
@@ -433,11 +433,11 @@
 func TestVerdictOfAnotherDaemonApplies(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
-	detector.ApplyVerdict(now, quarantine.Verdict{Digest: poisonRequest, Pool: "p", State: quarantine.Held, Until: now.Add(time.Hour), Holds: 2})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector.ApplyVerdict(now, poison.Verdict{Digest: poisonRequest, Pool: "p", State: poison.Held, Until: now.Add(time.Hour), Holds: 2})
 	now = crashTargets(detector, now, 3, "a")
 	v, now := evaluate(detector, now)
-	is.Equal(v.State, quarantine.State("")) // it is held already
+	is.Equal(v.State, poison.State("")) // it is held already
 	now = crashTargets(detector, now.Add(time.Hour), 1, "b")
 	v, _ = evaluate(detector, now)
 	is.Equal(v.Holds, 3)
@@ -447,7 +447,7 @@
 // future.
 func TestHeldVerdictsAreValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		detector := quarantine.New(quarantine.Config{MinCrashes: 2, HoldTime: time.Minute})
+		detector := poison.New(poison.Config{MinCrashes: 2, HoldTime: time.Minute})
 		now := time.Unix(1000, 0)
 		for i := range 100 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond)
@@ -458,11 +458,11 @@
 			case 1:
 				detector.RetractCrash(fmt.Sprint(rapid.IntRange(0, i).Draw(t, "target")))
 			default:
-				detector.RecordCrash(now, quarantine.Crash{Digest: d, Pool: "p", Target: fmt.Sprint(i), Started: now.Add(-time.Second), Ended: now})
+				detector.RecordCrash(now, poison.Crash{Digest: d, Pool: "p", Target: fmt.Sprint(i), Started: now.Add(-time.Second), Ended: now})
 			}
 			verdicts, _ := detector.Evaluate(now, confirmation, nil)
 			for _, v := range verdicts {
-				if v.State == quarantine.Held && (v.Crashes < 1 || !v.Until.After(now)) {
+				if v.State == poison.Held && (v.Crashes < 1 || !v.Until.After(now)) {
 					t.Fatalf("%+v", v)
 				}
 			}
@@ -472,10 +472,10 @@
 
 func BenchmarkFailureDomainLoss(b *testing.B) {
 	for b.Loop() {
-		detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+		detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 		now := time.Unix(1000, 0)
 		for i := range 600 {
-			detector.RecordCrash(now, quarantine.Crash{
+			detector.RecordCrash(now, poison.Crash{
 				Digest: digest.Digest(i + 1), Pool: "p", Target: fmt.Sprint(i / 8), Started: now.Add(-time.Second), Ended: now,
 			})
 		}
--- a/internal/quarantine/entries.go
+++ b/internal/quarantine/entries.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"github.com/fireflypath/fireflypath"
-	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/decide/poison"
 	"github.com/fireflypath/fireflypath/internal/digest"
 	"github.com/fireflypath/fireflypath/internal/peer"
 )
@@ -27,7 +27,7 @@
 
 // entry is the state of a request as known to all daemons.
 type entry struct {
-	decide.Verdict
+	poison.Verdict
 	// version increases with each change of the entry, at any daemon.
 	version uint64
 	// seq numbers the changes applied by this daemon; it decides which peers still need the
@@ -39,7 +39,7 @@
 
 // statePrecedence decides between entries of the same version, which arise when two
 // coordinators decide at the same time.
-var statePrecedence = map[decide.State]int{decide.Suspect: 1, decide.Held: 2, decide.Cleared: 3}
+var statePrecedence = map[poison.State]int{poison.Suspect: 1, poison.Held: 2, poison.Cleared: 3}
 
 // supersedes reports whether e replaces o.
 func (e entry) supersedes(o entry) bool {
@@ -47,16 +47,16 @@
 }
 
 // recordVerdict stores a verdict made by this daemon. The caller holds mu.
-func (q *Quarantine) recordVerdict(v decide.Verdict) {
+func (q *Quarantine) recordVerdict(v poison.Verdict) {
 	old := (*q.entries.Load())[v.Digest]
-	if v.State == decide.Suspect {
+	if v.State == poison.Suspect {
 		v.Until = q.deps.Clock.Now().Add(suspectTTL)
 	}
-	if v.State == decide.Cleared {
+	if v.State == poison.Cleared {
 		v.Until = q.deps.Clock.Now()
 	}
 	e := entry{Verdict: v, version: old.version + 1, stored: old.stored}
-	if v.State == decide.Held || old.stored || old.State == decide.Held {
+	if v.State == poison.Held || old.stored || old.State == poison.Held {
 		q.unsaved[v.Digest] = true
 		notify(q.saveWake)
 	}
@@ -82,7 +82,7 @@
 // prune removes outdated entries, and if there are still too many, those that end first.
 func prune(list map[digest.Digest]entry, now time.Time) {
 	maps.DeleteFunc(list, func(_ digest.Digest, e entry) bool {
-		return now.Sub(e.Until) > retention || e.State == decide.Suspect && now.After(e.Until)
+		return now.Sub(e.Until) > retention || e.State == poison.Suspect && now.After(e.Until)
 	})
 	for len(list) > maxEntries {
 		var first digest.Digest
@@ -100,9 +100,9 @@
 	held, suspects := 0, 0
 	for _, e := range list {
 		switch {
-		case e.State == decide.Suspect:
+		case e.State == poison.Suspect:
 			suspects++
-		case e.State == decide.Held && now.Before(e.Until):
+		case e.State == poison.Held && now.Before(e.Until):
 			held++
 		}
 	}
@@ -114,11 +114,11 @@
 func (q *Quarantine) logEntry(e entry) {
 	fields := []zap.Field{zap.Stringer("digest", e.Digest), zap.String("pool", e.Pool), zap.Int("targets", e.Crashes)}
 	switch e.State {
-	case decide.Suspect:
+	case poison.Suspect:
 		q.deps.Log.Info("suspected poison request, targets crashed while running it", fields...)
-	case decide.Held:
+	case poison.Held:
 		q.deps.Log.Warn("poison request held, it crashes targets", append(fields, zap.Time("until", e.Until), zap.Int("times", e.Holds))...)
-	case decide.Cleared:
+	case poison.Cleared:
 		q.deps.Log.Info("request cleared, it was answered or released", fields...)
 	}
 }
@@ -134,7 +134,7 @@
 	}
 	q.setEntry(e)
 	q.detector.ApplyVerdict(now, e.Verdict)
-	if e.State != decide.Cleared && q.recentAnswers.contains(now, e.Digest) {
+	if e.State != poison.Cleared && q.recentAnswers.contains(now, e.Digest) {
 		q.reports.add(now, observation{served: e.Digest})
 		q.wakeStep()
 	}
@@ -183,11 +183,11 @@
 	changed := false
 	for _, h := range b.QuarantineEntries {
 		d, err := digest.Parse(h.Digest)
-		if err != nil || statePrecedence[decide.State(h.State)] == 0 {
+		if err != nil || statePrecedence[poison.State(h.State)] == 0 {
 			continue
 		}
-		changed = q.mergeEntry(entry{version: h.Version, Verdict: decide.Verdict{
-			Digest: d, Pool: h.Pool, State: decide.State(h.State), Until: time.UnixMilli(h.Until), Crashes: h.Crashes, Holds: h.HoldCount,
+		changed = q.mergeEntry(entry{version: h.Version, Verdict: poison.Verdict{
+			Digest: d, Pool: h.Pool, State: poison.State(h.State), Until: time.UnixMilli(h.Until), Crashes: h.Crashes, Holds: h.HoldCount,
 		}}) || changed
 	}
 	if changed {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 
 	"github.com/fireflypath/fireflypath"
-	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/decide/poison"
 	"github.com/fireflypath/fireflypath/internal/digest"
 	"github.com/fireflypath/fireflypath/internal/peer"
 )
@@ -75,7 +75,7 @@
 	stepWake, saveWake chan struct{}
 
 	mu       sync.Mutex
-	detector *decide.Detector
+	detector *poison.Detector
 	// detectorIdle is true while the detector has nothing to evaluate.
 	detectorIdle bool
 	// lastSeq numbers the changes of entries; sentSeq is the last change sent to each peer.
@@ -95,10 +95,10 @@
 }
 
 // New returns a quarantine connected to the endpoint, which must not be serving yet.
-func New(cfg decide.Config, deps Deps) *Quarantine {
+func New(cfg poison.Config, deps Deps) *Quarantine {
 	scope := deps.Scope.SubScope("quarantine")
 	q := &Quarantine{
-		deps: deps, detector: decide.New(cfg), detectorIdle: true, stepWake: make(chan struct{}, 1), saveWake: make(chan struct{}, 1),
+		deps: deps, detector: poison.New(cfg), detectorIdle: true, stepWake: make(chan struct{}, 1), saveWake: make(chan struct{}, 1),
 		sentSeq: map[string]uint64{}, unsaved: map[digest.Digest]bool{}, reports: newReportLog(), recentAnswers: newAnswerSet(),
 		metrics: metrics{
 			held: scope.Gauge("held"), suspects: scope.Gauge("suspects"), refused: scope.Counter("refused"),
@@ -118,7 +118,7 @@
 // Held returns for how much longer the request is refused, and whether it is.
 func (q *Quarantine) Held(d digest.Digest) (time.Duration, bool) {
 	e, ok := (*q.entries.Load())[d]
-	if !ok || e.State != decide.Held {
+	if !ok || e.State != poison.Held {
 		return 0, false
 	}
 	remaining := e.Until.Sub(q.deps.Clock.Now())
@@ -135,7 +135,7 @@
 	now := q.deps.Clock.Now()
 	q.metrics.crashes.Inc(1)
 	q.mu.Lock()
-	q.reports.recordCrash(now, decide.Crash{
+	q.reports.recordCrash(now, poison.Crash{
 		Digest: d, Pool: t.Pool, Target: t.Identity(), PoolSize: q.deps.PoolSize(t.Pool), Started: sent, Ended: now,
 	})
 	q.mu.Unlock()
@@ -146,7 +146,7 @@
 func (q *Quarantine) Served(d digest.Digest, t fireflypath.Target, sent time.Time) {
 	now := q.deps.Clock.Now()
 	e, ok := (*q.entries.Load())[d]
-	listed := ok && e.State != decide.Cleared
+	listed := ok && e.State != poison.Cleared
 	q.mu.Lock()
 	q.recentAnswers.add(now, d)
 	changed := q.reports.retractCrashes(now, t.Identity(), sent)
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/decide/coordinator"
-	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/decide/poison"
 	"github.com/fireflypath/fireflypath/internal/digest"
 	"github.com/fireflypath/fireflypath/internal/peer"
 	"github.com/fireflypath/fireflypath/internal/quarantine"
@@ -113,7 +113,7 @@
 	f.daemons, f.storeSeen = nil, map[string]fireflypath.Entry{}
 	for i := range n {
 		d := &daemon{fleet: f, name: fmt.Sprint("d", i)}
-		d.q = quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
+		d.q = quarantine.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
 			Self: d.name, Peers: d, Members: d, Store: f.store, PoolSize: func(string) int { return 12 },
 			Clock: f.clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 		})
@@ -374,7 +374,7 @@
 }
 
 func newStandalone() *quarantine.Quarantine {
-	return quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
+	return quarantine.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
 		Self: "d", PoolSize: func(string) int { return 12 }, Clock: clockwork.NewRealClock(), Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
 }
@@ -415,7 +415,7 @@
 // measuredDaemon returns a daemon that stores the size of its reports in report.
 func (f *fleet) measuredDaemon(report *int) *daemon {
 	d := &daemon{fleet: f, name: "d0"}
-	d.q = quarantine.New(decide.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
+	d.q = quarantine.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour}, quarantine.Deps{
 		Self: "d0", Peers: &measuringPeers{daemon: d, size: report}, Members: d, PoolSize: func(string) int { return 12 },
 		Clock: f.clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
@@ -440,7 +440,7 @@
 func TestUnresponsiveStoreDoesNotDelayReports(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	store := &unresponsiveStore{called: make(chan struct{}, 1), end: make(chan struct{})}
-	q := quarantine.New(decide.Config{MinCrashes: 2, HoldTime: time.Hour}, quarantine.Deps{
+	q := quarantine.New(poison.Config{MinCrashes: 2, HoldTime: time.Hour}, quarantine.Deps{
 		Self: "d", Store: store, PoolSize: func(string) int { return 12 }, Clock: clock, Scope: tally.NoopScope, Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -11,7 +11,7 @@
 
 	"github.com/fireflypath/fireflypath"
 	"github.com/fireflypath/fireflypath/internal/decide/coordinator"
-	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/decide/poison"
 	"github.com/fireflypath/fireflypath/internal/digest"
 )
 
@@ -34,7 +34,7 @@
 type observation struct {
 	seq         uint64
 	recordedAt  time.Time
-	crash       *decide.Crash
+	crash       *poison.Crash
 	served      digest.Digest
 	aliveTarget string
 }
@@ -62,7 +62,7 @@
 	}
 }
 
-func (r *reportLog) recordCrash(now time.Time, c decide.Crash) {
+func (r *reportLog) recordCrash(now time.Time, c poison.Crash) {
 	r.add(now, observation{crash: &c})
 }
 
@@ -243,8 +243,8 @@
 }
 
 // toCrash converts the ages in the message to times of this daemon's clock.
-func (c crashMessage) toCrash(now time.Time, d digest.Digest) decide.Crash {
-	return decide.Crash{
+func (c crashMessage) toCrash(now time.Time, d digest.Digest) poison.Crash {
+	return poison.Crash{
 		Digest: d, Pool: c.Pool, Target: c.Target, PoolSize: c.PoolSize,
 		Started: now.Add(-time.Duration(c.StartedAgo) * time.Millisecond),
 		Ended:   now.Add(-time.Duration(c.EndedAgo) * time.Millisecond),
@@ -255,9 +255,9 @@
 // else. The caller holds mu.
 func (q *Quarantine) clearRequest(now time.Time, d digest.Digest) bool {
 	v, known := q.detector.RecordSuccess(now, d)
-	if e, ok := (*q.entries.Load())[d]; ok && e.State != decide.Cleared {
+	if e, ok := (*q.entries.Load())[d]; ok && e.State != poison.Cleared {
 		v, known = e.Verdict, true
-		v.State = decide.Cleared
+		v.State = poison.Cleared
 	}
 	if known {
 		q.recordVerdict(v)
--- a/internal/quarantine/store.go
+++ b/internal/quarantine/store.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"github.com/fireflypath/fireflypath"
-	decide "github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/decide/poison"
 	"github.com/fireflypath/fireflypath/internal/digest"
 	"github.com/fireflypath/fireflypath/internal/logs"
 )
@@ -46,8 +46,8 @@
 		q.deps.Log.Warn("ignored invalid quarantine entry in the store", zap.String("key", e.Key), logs.Err(err))
 		return
 	}
-	changed := q.mergeEntry(entry{version: r.Version, stored: true, Verdict: decide.Verdict{
-		Digest: d, Pool: r.Pool, State: decide.Held, Until: time.UnixMilli(r.Until), Crashes: r.Crashes, Holds: r.Holds,
+	changed := q.mergeEntry(entry{version: r.Version, stored: true, Verdict: poison.Verdict{
+		Digest: d, Pool: r.Pool, State: poison.Held, Until: time.UnixMilli(r.Until), Crashes: r.Crashes, Holds: r.Holds,
 	}})
 	q.setStored(d, true)
 	if changed {
@@ -62,9 +62,9 @@
 		return
 	}
 	q.setStored(d, false)
-	if old.State == decide.Held {
+	if old.State == poison.Held {
 		cleared := old
-		cleared.State, cleared.version, cleared.stored = decide.Cleared, old.version+1, false
+		cleared.State, cleared.version, cleared.stored = poison.Cleared, old.version+1, false
 		q.mergeEntry(cleared)
 		q.flushPeers()
 	}
@@ -129,7 +129,7 @@
 	for d, e := range list {
 		expired := deleteOld && e.stored && now.Sub(e.Until) > retention/2
 		if expired {
-			e.State = decide.Cleared
+			e.State = poison.Cleared
 		}
 		if expired || q.unsaved[d] {
 			out = append(out, e)
@@ -143,7 +143,7 @@
 	ctx, cancel := context.WithTimeout(ctx, saveTimeout)
 	defer cancel()
 	key := Prefix + e.Digest.String()
-	if e.State != decide.Held {
+	if e.State != poison.Held {
 		return q.deps.Store.Delete(ctx, key, fireflypath.AnyRevision)
 	}
 	b, err := json.Marshal(storedEntry{Pool: e.Pool, Until: e.Until.UnixMilli(), Crashes: e.Crashes, Holds: e.Holds, Version: e.version})
