--- a/internal/decide/cell/layout_test.go
+++ b/internal/decide/cell/layout_test.go
@@ -18,7 +18,7 @@
 
 func TestLayoutProperties(t *testing.T) {
 	tests := []struct {
-		daemons, cells, links int
+		daemons, cells, maxNeighbours int
 	}{
 		{1, 1, 0}, {2, 1, 1}, {9, 1, 8}, {12, 1, 11}, {13, 2, 12}, {36, 4, 20}, {90, 8, 24}, {370, 32, 28},
 	}
@@ -31,9 +31,9 @@
 			targets := names("t", 2700)
 			served := map[string]int{}
 			for _, d := range daemons {
-				links := l.Neighbours(d)
-				is.True(len(links) <= tt.links) // the number of connections stays small in any fleet
-				for _, o := range links {
+				neighbours := l.Neighbours(d)
+				is.True(len(neighbours) <= tt.maxNeighbours) // the number of connections stays small in any fleet
+				for _, o := range neighbours {
 					is.True(slices.Contains(l.Neighbours(o), d)) // connections are mutual
 				}
 				assigned, sharedWith := l.AssignedTargets(d, targets)
--- a/internal/decide/dispatcher/dispatcher.go
+++ b/internal/decide/dispatcher/dispatcher.go
@@ -140,27 +140,27 @@
 }
 
 // Apply processes a message of a daemon that has a session.
-func (d *Dispatcher) Apply(now time.Time, daemon string, news *fireflypath.DispatchUpdate) {
+func (d *Dispatcher) Apply(now time.Time, daemon string, update *fireflypath.DispatchUpdate) {
 	s := d.sessions[daemon]
 	if s == nil {
 		return
 	}
-	for i := range news.InFlight {
-		f := &news.InFlight[i]
+	for i := range update.InFlight {
+		f := &update.InFlight[i]
 		e := d.addEntry(now, daemon, s, &f.Offer)
 		e.work.Lifecycle.Transition(fireflypath.StateWaiting, fireflypath.StateDispatched)
 		d.scheduler.AddInFlight(now, &e.work, f.Target, now.Add(-f.Sent.Std()), f.Began)
 	}
-	for i := range news.Progress {
-		d.applyProgress(now, s, &news.Progress[i])
+	for i := range update.Progress {
+		d.applyProgress(now, s, &update.Progress[i])
 	}
-	for _, n := range news.Withdrawn {
+	for _, n := range update.Withdrawn {
 		if e := s.entries[n]; e != nil {
 			d.withdraw(now, e)
 		}
 	}
-	for i := range news.Offers {
-		e := d.addEntry(now, daemon, s, &news.Offers[i])
+	for i := range update.Offers {
+		e := d.addEntry(now, daemon, s, &update.Offers[i])
 		d.sheds = d.scheduler.Offer(now, &e.work, d.sheds[:0])
 		d.refuseShed(now)
 	}
--- a/internal/decide/dispatcher/dispatcher_test.go
+++ b/internal/decide/dispatcher/dispatcher_test.go
@@ -40,11 +40,11 @@
 // offerBurst offers n requests of a rank, numbered from first, and returns the
 // decisions.
 func offerBurst(d *dispatcher.Dispatcher, now time.Time, daemon string, first, n, rank int) []fireflypath.Decision {
-	var news fireflypath.DispatchUpdate
+	var update fireflypath.DispatchUpdate
 	for i := range n {
-		news.Offers = append(news.Offers, newOffer(uint64(first+i), rank))
+		update.Offers = append(update.Offers, newOffer(uint64(first+i), rank))
 	}
-	d.Apply(now, daemon, &news)
+	d.Apply(now, daemon, &update)
 	return d.TakeDecisions(daemon)
 }
 
--- a/internal/decide/place/chooser_test.go
+++ b/internal/decide/place/chooser_test.go
@@ -39,9 +39,9 @@
 		{Target: 9, Hash: 3, Requests: 2, Score: 2},
 	}
 	tests := []struct {
-		name string
-		kind Policy
-		want []int
+		name   string
+		policy Policy
+		want   []int
 	}{
 		{"round robin in order of target index", RoundRobin, []int{1, 0, 2, 1}},
 		{"fewest outstanding requests", LeastRequests, []int{1, 1, 1, 1}},
@@ -50,7 +50,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			c := New(tt.kind, 1)
+			c := New(tt.policy, 1)
 			for _, want := range tt.want {
 				is.Equal(c.Choose(0, candidates), want)
 			}
--- a/internal/decide/remote/expire.go
+++ b/internal/decide/remote/expire.go
@@ -10,7 +10,7 @@
 func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	out = s.Local.Expire(now, out)
 	for n, w := range s.pending {
-		if now.Before(expiresAt(w).Add(replyGrace)) {
+		if now.Before(callerGivesUpAt(w).Add(replyGrace)) {
 			continue
 		}
 		s.withdrawPending(n, w)
@@ -26,8 +26,8 @@
 // another dispatcher decides.
 const retryAfter = 300 * time.Millisecond
 
-// expiresAt is when the caller of a waiting request gives up.
-func expiresAt(w *fireflypath.Work) time.Time {
+// callerGivesUpAt is when the caller of a waiting request gives up.
+func callerGivesUpAt(w *fireflypath.Work) time.Time {
 	if !w.PatienceEnds.IsZero() && w.PatienceEnds.Before(w.Deadline) {
 		return w.PatienceEnds
 	}
@@ -38,7 +38,7 @@
 func (s *Scheduler) Wake(now time.Time) time.Time {
 	next := s.Local.Wake(now)
 	for _, w := range s.pending {
-		if due := expiresAt(w).Add(replyGrace); next.IsZero() || due.Before(next) {
+		if due := callerGivesUpAt(w).Add(replyGrace); next.IsZero() || due.Before(next) {
 			next = due
 		}
 	}
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -46,15 +46,15 @@
 	numbers map[*fireflypath.Work]uint64
 	pending map[uint64]*fireflypath.Work
 	// placements were decided by the dispatcher and not yet returned by Next.
-	placements []placement
-	targets    map[string]fireflypath.Target
-	outbox     fireflypath.DispatchUpdate
-	newsReady  chan struct{}
+	placements  []placement
+	targets     map[string]fireflypath.Target
+	outbox      fireflypath.DispatchUpdate
+	updateReady chan struct{}
 }
 
 type placement struct {
-	work *fireflypath.Work
-	turn fireflypath.Decision
+	work     *fireflypath.Work
+	decision fireflypath.Decision
 }
 
 var _ fireflypath.Scheduler = (*Scheduler)(nil)
@@ -62,7 +62,7 @@
 // New returns a detached scheduler.
 func New(local Local) *Scheduler {
 	return &Scheduler{
-		Local: local, newsReady: make(chan struct{}, 1), numbers: map[*fireflypath.Work]uint64{}, pending: map[uint64]*fireflypath.Work{},
+		Local: local, updateReady: make(chan struct{}, 1), numbers: map[*fireflypath.Work]uint64{}, pending: map[uint64]*fireflypath.Work{},
 		targets: map[string]fireflypath.Target{},
 	}
 }
@@ -122,12 +122,12 @@
 	return out
 }
 
-// NewsReady signals that there is news for the dispatcher.
-func (s *Scheduler) NewsReady() <-chan struct{} { return s.newsReady }
+// UpdateReady signals that there is news for the dispatcher.
+func (s *Scheduler) UpdateReady() <-chan struct{} { return s.updateReady }
 
 func (s *Scheduler) signal() {
 	select {
-	case s.newsReady <- struct{}{}:
+	case s.updateReady <- struct{}{}:
 	default:
 	}
 }
@@ -138,8 +138,8 @@
 // HasPending reports whether requests wait for the dispatcher.
 func (s *Scheduler) HasPending() bool { return len(s.pending) > 0 }
 
-// News takes the messages not yet sent to the dispatcher.
-func (s *Scheduler) News() fireflypath.DispatchUpdate {
+// TakeUpdate takes the messages not yet sent to the dispatcher.
+func (s *Scheduler) TakeUpdate() fireflypath.DispatchUpdate {
 	out := s.outbox
 	s.outbox = fireflypath.DispatchUpdate{}
 	return out
@@ -164,19 +164,19 @@
 
 // ApplyDecisions applies the dispatcher's decisions. Refusals are appended to out;
 // placements are returned by Next.
-func (s *Scheduler) ApplyDecisions(now time.Time, turns []fireflypath.Decision, out []fireflypath.Shed) []fireflypath.Shed {
-	for _, t := range turns {
-		w := s.pending[t.Number]
+func (s *Scheduler) ApplyDecisions(now time.Time, decisions []fireflypath.Decision, out []fireflypath.Shed) []fireflypath.Shed {
+	for _, d := range decisions {
+		w := s.pending[d.Number]
 		if w == nil {
 			continue // taken back in the meantime; the dispatcher was informed
 		}
-		delete(s.pending, t.Number)
-		if t.Target != "" {
-			s.placements = append(s.placements, placement{work: w, turn: t})
+		delete(s.pending, d.Number)
+		if d.Target != "" {
+			s.placements = append(s.placements, placement{work: w, decision: d})
 			continue
 		}
 		delete(s.numbers, w)
-		out = append(out, fireflypath.Shed{Work: w, Reason: t.Reason, Detail: t.Detail, RetryAfter: t.Retry.Std()})
+		out = append(out, fireflypath.Shed{Work: w, Reason: d.Reason, Detail: d.Detail, RetryAfter: d.Retry.Std()})
 	}
 	return out
 }
@@ -217,17 +217,17 @@
 	for len(s.placements) > 0 {
 		next := s.placements[0]
 		s.placements = s.placements[1:]
-		t, ok := s.targets[next.turn.Target]
+		t, ok := s.targets[next.decision.Target]
 		if !ok || t.Drained {
 			// The target is unknown here, or this daemon already knows that it is leaving,
 			// and then sends it nothing.
 			s.resubmit(next.work)
 			continue
 		}
-		s.AddInFlight(now, next.work, next.turn.Target, now, false)
+		s.AddInFlight(now, next.work, next.decision.Target, now, false)
 		*p = fireflypath.Placement{
-			Work: next.work, Target: t.Name, Waited: now.Sub(next.work.Arrived), PromptAhead: next.turn.PromptAhead,
-			TimeToFirst: next.turn.TimeToFirst.Std(), Considered: p.Considered[:0],
+			Work: next.work, Target: t.Name, Waited: now.Sub(next.work.Arrived), PromptAhead: next.decision.PromptAhead,
+			TimeToFirst: next.decision.TimeToFirst.Std(), Considered: p.Considered[:0],
 		}
 		return true
 	}
--- a/internal/decide/reserve/reserve.go
+++ b/internal/decide/reserve/reserve.go
@@ -18,9 +18,9 @@
 	// arrivalWindow is the time constant of the arrival rates: a few times the longest run
 	// of short requests.
 	arrivalWindow = 10 * time.Second
-	// holdSmoothing is the weight of a new hold time in the average, which covers about
+	// slotTimeWeight is the weight of a new hold time in the average, which covers about
 	// fifty requests.
-	holdSmoothing = 0.02
+	slotTimeWeight = 0.02
 	// deviations is how many standard deviations of the number in flight are kept free;
 	// one is enough for Poisson arrivals five times out of six.
 	deviations = 1
@@ -29,9 +29,9 @@
 // Reserve estimates the slots that each tier needs by Little's law: arrivals per second
 // times the time for which a request holds a slot.
 type Reserve struct {
-	arrivals    [fair.Ranks]rate.Meter
-	holdSeconds [fair.Ranks]float64
-	running     [fair.Ranks]int
+	arrivals [fair.Ranks]rate.Meter
+	slotTime [fair.Ranks]float64
+	running  [fair.Ranks]int
 }
 
 // New returns a Reserve that keeps no slots free yet.
@@ -56,10 +56,10 @@
 // RecordEnd counts a request that releases its slot.
 func (r *Reserve) RecordEnd(rank int, held time.Duration) {
 	r.running[rank]--
-	if r.holdSeconds[rank] == 0 {
-		r.holdSeconds[rank] = held.Seconds()
+	if r.slotTime[rank] == 0 {
+		r.slotTime[rank] = held.Seconds()
 	}
-	r.holdSeconds[rank] += holdSmoothing * (held.Seconds() - r.holdSeconds[rank])
+	r.slotTime[rank] += slotTimeWeight * (held.Seconds() - r.slotTime[rank])
 }
 
 // SlotsAbove is the number of slots to keep free for tiers above a rank.
@@ -67,7 +67,7 @@
 	slots := 0.0
 	for i := range rank {
 		r.arrivals[i].Advance(now, true)
-		need := r.arrivals[i].Rate() * r.holdSeconds[i]
+		need := r.arrivals[i].Rate() * r.slotTime[i]
 		slots += max(need+deviations*math.Sqrt(need)-float64(r.running[i]), 0)
 	}
 	return slots
--- a/internal/decide/sched/admit.go
+++ b/internal/decide/sched/admit.go
@@ -41,7 +41,7 @@
 	r := rankOf(w)
 	s.cfg.LowestRank = max(s.cfg.LowestRank, r)
 	if w.RetriedEarly {
-		s.damper.RecordEarly(now, w.Team)
+		s.backoff.RecordEarly(now, w.Team)
 	}
 	s.arrivalRates[r].Add(now, w.Cost.Tokens())
 	s.reserve.RecordArrival(now, r)
@@ -165,7 +165,7 @@
 		d = minRetryAfter
 	}
 	d = min(max(d, minRetryAfter), maxRetryAfter)
-	d = s.damper.Extend(now, w.Team, d)
+	d = s.backoff.Extend(now, w.Team, d)
 	return d + time.Duration(retryJitter*s.rng.Float64()*float64(d))
 }
 
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -53,7 +53,7 @@
 	case fireflypath.EventLeaving:
 		s.targets[i].leaving = true
 	case fireflypath.EventStaying:
-		s.observeBack(i)
+		s.observeStaying(i)
 	}
 	s.updateAvailability(i)
 }
@@ -167,9 +167,9 @@
 	}
 }
 
-// observeBack discards what was learned about a target's window and slowness
+// observeStaying discards what was learned about a target's window and slowness
 // when it returns to service.
-func (s *Scheduler) observeBack(i int32) {
+func (s *Scheduler) observeStaying(i int32) {
 	t := &s.targets[i]
 	t.leaving = false
 	t.window.Reset()
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -57,7 +57,7 @@
 	queue       *fair.Queue
 	chooser     *place.Chooser
 	prefixIndex *prefix.Index
-	damper      *retry.Backoff
+	backoff     *retry.Backoff
 	margin      deadline.Margin
 	rng         *rand.Rand
 
@@ -168,7 +168,7 @@
 		queue:        fair.New(),
 		chooser:      place.New(cfg.Placement, cfg.Seed),
 		prefixIndex:  prefix.New(),
-		damper:       retry.New(),
+		backoff:      retry.New(),
 		reserve:      reserve.New(),
 		longPrefills: longprefill.New(),
 		rng:          rand.New(rand.NewPCG(cfg.Seed, 2)),
--- a/internal/decide/slots/refuse.go
+++ b/internal/decide/slots/refuse.go
@@ -10,8 +10,8 @@
 	"github.com/fireflypath/fireflypath/internal/decide/place"
 )
 
-// leavesAt returns when the caller of a waiting request gives up.
-func leavesAt(w *fireflypath.Work) time.Time {
+// callerGivesUpAt returns when the caller of a waiting request gives up.
+func callerGivesUpAt(w *fireflypath.Work) time.Time {
 	if !w.PatienceEnds.IsZero() && w.PatienceEnds.Before(w.Deadline) {
 		return w.PatienceEnds
 	}
@@ -23,7 +23,7 @@
 	if w.PatienceEnds.IsZero() {
 		return w.Deadline.Add(-expiryMargin)
 	}
-	return w.Arrived.Add(time.Duration(s.tuning.MaxWaitFraction * float64(leavesAt(w).Sub(w.Arrived))))
+	return w.Arrived.Add(time.Duration(s.tuning.MaxWaitFraction * float64(callerGivesUpAt(w).Sub(w.Arrived))))
 }
 
 // expectedWait returns how long the request would wait, if it can be estimated.
--- a/internal/decide/slots/slots.go
+++ b/internal/decide/slots/slots.go
@@ -104,7 +104,7 @@
 	s.floor.CountOffered(now, w.Rank)
 	s.completions.Advance(now, len(s.waiting) > 0)
 	wait, known := s.expectedWait(now, w)
-	if known && wait > time.Duration(s.tuning.MaxWaitFraction*float64(leavesAt(w).Sub(now))) && !s.admitStarved(now, w) {
+	if known && wait > time.Duration(s.tuning.MaxWaitFraction*float64(callerGivesUpAt(w).Sub(now))) && !s.admitStarved(now, w) {
 		return append(out, s.shed(now, w, fmt.Sprintf("turn expected in %v", wait.Round(time.Millisecond))))
 	}
 	s.waiting = append(s.waiting, w)
--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -47,7 +47,7 @@
 		case <-ctx.Done():
 			c.endSession(c.dispatcher, c.currentSession())
 			return
-		case <-c.sched.NewsReady():
+		case <-c.sched.UpdateReady():
 		case <-t.Chan():
 		}
 	}
@@ -61,7 +61,7 @@
 	var changes fireflypath.DispatchUpdate
 	waiting := false
 	c.pool.Update(func(_ time.Time, out []fireflypath.Shed) []fireflypath.Shed {
-		changes, waiting = c.sched.News(), c.sched.HasPending()
+		changes, waiting = c.sched.TakeUpdate(), c.sched.HasPending()
 		return out
 	})
 	interval := idleHeartbeat
--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -176,7 +176,7 @@
 	h := c.w.Header()
 	drop := connectionNamed(a.Header)
 	for name, values := range a.Header {
-		if !connectionHeaders[name] && !drop[name] {
+		if !hopByHopResponseHeaders[name] && !drop[name] {
 			h[name] = values
 		}
 	}
@@ -191,8 +191,8 @@
 	c.w.WriteHeader(a.Status)
 }
 
-// connectionHeaders are the hop-by-hop response headers.
-var connectionHeaders = map[string]bool{
+// hopByHopResponseHeaders are the hop-by-hop response headers.
+var hopByHopResponseHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
 	"Trailer": true, "Upgrade": true, "Content-Length": true,
 }
--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// retryAfterTargetRefusal is the retry delay for callers whose request was refused by
+	// defaultRetryAfter is the retry delay for callers whose request was refused by
 	// a target: new requests are routed elsewhere by then.
-	retryAfterTargetRefusal = 300 * time.Millisecond
+	defaultRetryAfter = 300 * time.Millisecond
 	// maxUnsentAttempts is the number of targets tried without sending a byte.
 	maxUnsentAttempts = 4
 )
@@ -61,7 +61,7 @@
 		if reason := g.retryDenied(c, out); reason != "" {
 			g.deps.Log.Info("request not retried", zap.String("request", c.id), zap.String("route", c.route.Name),
 				zap.String("target", att.target.Name), zap.String("result", att.result), zap.String("why", reason), zap.Stringer("digest", c.digest))
-			return g.finishFailed(c, notRun(fireflypath.ReasonTargetRefused, "no target gave an answer: "+att.result, retryAfterTargetRefusal))
+			return g.finishFailed(c, notRun(fireflypath.ReasonTargetRefused, "no target gave an answer: "+att.result, defaultRetryAfter))
 		}
 		g.metrics.retries.Inc(1)
 		g.deps.Log.Info("request retried at another target", zap.String("request", c.id), zap.String("route", c.route.Name),
@@ -93,7 +93,7 @@
 		return &refusal{reason: fireflypath.ReasonWithdrawn, detail: "the caller left", callerGone: true}
 	}
 	if !c.mayHaveRun {
-		return notRun(fireflypath.ReasonDeadline, "the request's time is over", retryAfterTargetRefusal)
+		return notRun(fireflypath.ReasonDeadline, "the request's time is over", defaultRetryAfter)
 	}
 	return &refusal{status: http.StatusGatewayTimeout, reason: reasonTimeout, detail: "the request's time is over"}
 }
@@ -154,7 +154,7 @@
 	att.Draft = draft.New(g.deps.Recorder, &att.Work, c.cfg.Generation)
 	pool := g.deps.Pools.Pool(c.cfg, c.pool)
 	if pool == nil {
-		return nil, notRun(fireflypath.ReasonNoPool, "the pool was removed", retryAfterTargetRefusal)
+		return nil, notRun(fireflypath.ReasonNoPool, "the pool was removed", defaultRetryAfter)
 	}
 	if !g.deps.Pools.ReserveBytes(&att.Work) {
 		return nil, notRun(fireflypath.ReasonFull, "the waiting requests take up all memory allowed", time.Second)
@@ -186,7 +186,7 @@
 func (g *Gate) waitRefusal(c *call, att *attempt, err error) *refusal {
 	var ref *fireflypath.Refusal
 	if !errors.As(err, &ref) {
-		return notRun(fireflypath.ReasonFull, err.Error(), retryAfterTargetRefusal)
+		return notRun(fireflypath.ReasonFull, err.Error(), defaultRetryAfter)
 	}
 	att.result = string(ref.Code)
 	if ref.Code == fireflypath.ReasonWithdrawn {
@@ -260,7 +260,7 @@
 		return nil
 	}
 	g.markNotRun(att)
-	return notRun(fireflypath.ReasonTargetRefused, "no target takes connections", retryAfterTargetRefusal)
+	return notRun(fireflypath.ReasonTargetRefused, "no target takes connections", defaultRetryAfter)
 }
 
 // markFailed ends an attempt that may have run.
@@ -296,8 +296,8 @@
 	})
 }
 
-// hopByHop are the request headers that apply to a single connection.
-var hopByHop = []string{
+// hopByHopRequestHeaders are the request headers that apply to a single connection.
+var hopByHopRequestHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect",
 }
@@ -307,7 +307,7 @@
 	h := make(http.Header, len(c.r.Header)+3)
 	drop := connectionNamed(c.r.Header)
 	for name, values := range c.r.Header {
-		if !g.ownedHeaders[name] && !drop[name] {
+		if !g.droppedHeaders[name] && !drop[name] {
 			h[name] = values
 		}
 	}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -59,12 +59,12 @@
 type Gate struct {
 	deps    Deps
 	headers fireflypath.Headers
-	// ownedHeaders are the headers of callers that are not forwarded.
-	ownedHeaders map[string]bool
-	tables       table.Cache
-	metrics      *metrics
-	steps        []step
-	mu           sync.Mutex
+	// droppedHeaders are the headers of callers that are not forwarded.
+	droppedHeaders map[string]bool
+	tables         table.Cache
+	metrics        *metrics
+	steps          []step
+	mu             sync.Mutex
 	// retryDetectors distinguish callers that retry from new ones, by route.
 	retryDetectors map[string]*retrydetect.Detector
 	// draining is true once a planned shutdown began.
@@ -80,20 +80,20 @@
 // New returns a gate with the given dependencies.
 func New(deps Deps) *Gate {
 	g := &Gate{
-		deps: deps, headers: deps.Codec.Headers(), ownedHeaders: map[string]bool{}, metrics: newMetrics(deps.Scope),
+		deps: deps, headers: deps.Codec.Headers(), droppedHeaders: map[string]bool{}, metrics: newMetrics(deps.Scope),
 		retryDetectors: map[string]*retrydetect.Detector{},
 	}
 	if g.deps.Quarantine == nil {
 		g.deps.Quarantine = noQuarantine{}
 	}
 	for _, name := range g.headers.DaemonOnly {
-		g.ownedHeaders[http1.CanonicalHeader(name)] = true
+		g.droppedHeaders[http1.CanonicalHeader(name)] = true
 	}
-	for _, name := range hopByHop {
-		g.ownedHeaders[name] = true
+	for _, name := range hopByHopRequestHeaders {
+		g.droppedHeaders[name] = true
 	}
-	g.ownedHeaders[http1.CanonicalHeader(g.headers.Key)] = true
-	g.ownedHeaders[http1.CanonicalHeader(g.headers.Deadline)] = true
+	g.droppedHeaders[http1.CanonicalHeader(g.headers.Key)] = true
+	g.droppedHeaders[http1.CanonicalHeader(g.headers.Deadline)] = true
 	g.steps = []step{
 		{"match", g.matchRoute},
 		{"identify", g.identifyTeam},
--- a/internal/gate/limits/limits_test.go
+++ b/internal/gate/limits/limits_test.go
@@ -20,7 +20,7 @@
 	is := is.New(t)
 	const daemons, requests, allowance = 295, 40, 630
 	cfg := limits.Config{Ratio: 0.2, Window: 10 * time.Second, Allowance: allowance}
-	repeats := 0
+	retries := 0
 	for range daemons {
 		l := limits.New(cfg, 8, 1.0/8)
 		l.Apply(start, &fireflypath.Config{})
@@ -29,13 +29,13 @@
 			l.CountRequest(now, "p")
 			for range 7 {
 				if l.TakeRetry(now, "p") {
-					repeats++
+					retries++
 				}
 			}
 		}
 	}
-	is.True(repeats > 0)
-	is.True(float64(repeats) <= 0.2*daemons*requests+allowance)
+	is.True(retries > 0)
+	is.True(float64(retries) <= 0.2*daemons*requests+allowance)
 }
 
 // The allowance lets a daemon with few requests retry when targets fail at low load.
--- a/internal/quarantine/entries.go
+++ b/internal/quarantine/entries.go
@@ -20,9 +20,9 @@
 	// retention is how long an entry is kept after its end. While it is kept, a request that
 	// is sent again crashes one target before it is held, not three.
 	retention = 24 * time.Hour
-	// maxEntries limits the entries kept, maxPerBeat those in one heartbeat.
-	maxEntries = 1024
-	maxPerBeat = 32
+	// maxEntries limits the entries kept, maxPerHeartbeat those in one heartbeat.
+	maxEntries      = 1024
+	maxPerHeartbeat = 32
 )
 
 // entry is the state of a request as known to all daemons.
@@ -141,8 +141,8 @@
 	return true
 }
 
-// addToBeat adds the entries that a peer has not been sent to a heartbeat.
-func (q *Quarantine) addToBeat(to string, b *peer.Heartbeat) {
+// addToHeartbeat adds the entries that a peer has not been sent to a heartbeat.
+func (q *Quarantine) addToHeartbeat(to string, b *peer.Heartbeat) {
 	unsent, more := q.unsentEntries(to)
 	for _, e := range unsent {
 		b.QuarantineEntries = append(b.QuarantineEntries, peer.QuarantineEntry{
@@ -171,15 +171,15 @@
 	}
 	slices.SortFunc(unsent, func(a, b entry) int { return cmp.Compare(a.seq, b.seq) })
 	q.sentSeq[to] = q.lastSeq
-	if len(unsent) <= maxPerBeat {
+	if len(unsent) <= maxPerHeartbeat {
 		return unsent, false
 	}
-	q.sentSeq[to] = unsent[maxPerBeat-1].seq
-	return unsent[:maxPerBeat], true
+	q.sentSeq[to] = unsent[maxPerHeartbeat-1].seq
+	return unsent[:maxPerHeartbeat], true
 }
 
-// receiveBeat applies the entries in a peer's heartbeat and forwards new ones.
-func (q *Quarantine) receiveBeat(_ string, b *peer.Heartbeat) {
+// receiveHeartbeat applies the entries in a peer's heartbeat and forwards new ones.
+func (q *Quarantine) receiveHeartbeat(_ string, b *peer.Heartbeat) {
 	changed := false
 	for _, h := range b.QuarantineEntries {
 		d, err := digest.Parse(h.Digest)
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -108,8 +108,8 @@
 	q.entries.Store(&map[digest.Digest]entry{})
 	if deps.Peers != nil {
 		deps.Peers.Handle(methodReport, q.handleReport)
-		deps.Peers.AddSource(q.addToBeat)
-		deps.Peers.AddSink(q.receiveBeat)
+		deps.Peers.AddSource(q.addToHeartbeat)
+		deps.Peers.AddSink(q.receiveHeartbeat)
 		deps.Peers.OnConnect(q.peerConnected)
 	}
 	return q
@@ -146,11 +146,11 @@
 func (q *Quarantine) Served(d digest.Digest, t fireflypath.Target, sent time.Time) {
 	now := q.deps.Clock.Now()
 	e, ok := (*q.entries.Load())[d]
-	listed := ok && e.State != poison.Cleared
+	hasEntry := ok && e.State != poison.Cleared
 	q.mu.Lock()
 	q.recentAnswers.add(now, d)
 	changed := q.reports.retractCrashes(now, t.Identity(), sent)
-	changed = q.reports.recordServed(now, d, listed) || changed
+	changed = q.reports.recordServed(now, d, hasEntry) || changed
 	q.mu.Unlock()
 	if changed {
 		q.wakeStep()
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -134,14 +134,14 @@
 	for i, d := range f.daemons {
 		for k := range peersPerDaemon {
 			o := f.daemons[(i+1+k*k*7)%len(f.daemons)]
-			f.sendBeat(d, o)
-			f.sendBeat(o, d)
+			f.sendHeartbeat(d, o)
+			f.sendHeartbeat(o, d)
 		}
 	}
 	f.deliverStoreChanges()
 }
 
-func (f *fleet) sendBeat(from, to *daemon) {
+func (f *fleet) sendHeartbeat(from, to *daemon) {
 	if from == to || f.unreachable[from.name] || f.unreachable[to.name] {
 		return
 	}
@@ -381,7 +381,7 @@
 
 // BenchmarkMessageSize reports the wire size of one report and of one changed entry.
 func BenchmarkMessageSize(b *testing.B) {
-	var report, beat int
+	var report, heartbeat int
 	for b.Loop() {
 		f := &fleet{clock: clockwork.NewFakeClock()}
 		d := f.measuredDaemon(&report)
@@ -394,10 +394,10 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		beat = len(text)
+		heartbeat = len(text)
 	}
 	b.ReportMetric(float64(report), "B/report")
-	b.ReportMetric(float64(beat), "B/change")
+	b.ReportMetric(float64(heartbeat), "B/change")
 }
 
 // BenchmarkAnswerSet measures the memory of a full set of recent answers.
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -68,8 +68,8 @@
 
 // recordServed records a complete answer to a request that has an entry or for which this
 // daemon recorded a crash. It reports whether there is something new to send.
-func (r *reportLog) recordServed(now time.Time, d digest.Digest, listed bool) bool {
-	if !listed && !slices.ContainsFunc(r.observations, func(o observation) bool { return o.crash != nil && o.crash.Digest == d }) {
+func (r *reportLog) recordServed(now time.Time, d digest.Digest, hasEntry bool) bool {
+	if !hasEntry && !slices.ContainsFunc(r.observations, func(o observation) bool { return o.crash != nil && o.crash.Digest == d }) {
 		return false
 	}
 	r.observations = slices.DeleteFunc(r.observations, func(o observation) bool { return o.crash != nil && o.crash.Digest == d })
--- a/internal/sim/dispatch.go
+++ b/internal/sim/dispatch.go
@@ -98,7 +98,7 @@
 	if c.node == nil || c.awaitingReply {
 		return
 	}
-	updates := c.scheduler.News()
+	updates := c.scheduler.TakeUpdate()
 	if updates.Empty() {
 		return
 	}
