--- a/cmd/fireflypath/soak.go
+++ b/cmd/fireflypath/soak.go
@@ -19,7 +19,7 @@
 func newSoakCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "soak",
-		Usage: "run daemon processes under random faults and check the guarantees",
+		Usage: "run daemon processes under random faults and check the invariants",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "program", Usage: "`FILE` of the daemon's executable", Value: "target/fireflypathd"},
 			&cli.IntFlag{Name: "seeds", Usage: "number of runs", Value: 1},
@@ -69,11 +69,11 @@
 	if err := printSoak(w, faults, checked); err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(w, "soak: seeds=%d requests=%d broken=%d\n", c.Int("seeds"), requests, failedSeeds); err != nil {
+	if _, err := fmt.Fprintf(w, "soak: seeds=%d requests=%d failed=%d\n", c.Int("seeds"), requests, failedSeeds); err != nil {
 		return err
 	}
 	if failedSeeds > 0 {
-		return exitError{error: errors.Newf("%d seeds violated a guarantee", failedSeeds), code: exitRefused}
+		return exitError{error: errors.Newf("%d seeds violated an invariant", failedSeeds), code: exitRefused}
 	}
 	return nil
 }
@@ -92,8 +92,8 @@
 	if _, err := fmt.Fprintf(w, "seed %d violated %d checks, logs in %s\n", seed, len(violations), dir); err != nil {
 		return err
 	}
-	for _, b := range violations[:min(len(violations), maxPrintedViolations)] {
-		if _, err := fmt.Fprintf(w, "  %s\n", b); err != nil {
+	for _, v := range violations[:min(len(violations), maxPrintedViolations)] {
+		if _, err := fmt.Fprintf(w, "  %s\n", v); err != nil {
 			return err
 		}
 	}
@@ -107,8 +107,8 @@
 			return err
 		}
 	}
-	for _, p := range soak.Invariants() {
-		if _, err := fmt.Fprintf(tw, "%s\t%d checks\n", p, checked[p]); err != nil {
+	for _, name := range soak.Invariants() {
+		if _, err := fmt.Fprintf(tw, "%s\t%d checks\n", name, checked[name]); err != nil {
 			return err
 		}
 	}
--- a/internal/certificate/certificate.go
+++ b/internal/certificate/certificate.go
@@ -61,7 +61,8 @@
 	return c.pair.Load(), nil
 }
 
-// reload loads the pair if the files changed. It runs in the one handshake that won the check.
+// reload loads the pair if the files changed. Of the handshakes that find a check due at the same
+// time, only one calls it.
 func (c *Certificate) reload() {
 	s, err := c.stat()
 	if err == nil && *s == *c.loaded.Load() {
--- a/internal/command/compile.go
+++ b/internal/command/compile.go
@@ -58,12 +58,12 @@
 // assignments collects the field values that a set command assigns to an element.
 type assignments[T any] []func(*T)
 
-func (ch *assignments[T]) add(f func(*T)) {
-	*ch = append(*ch, f)
+func (a *assignments[T]) add(f func(*T)) {
+	*a = append(*a, f)
 }
 
-func (ch assignments[T]) apply(v *T) {
-	for _, f := range ch {
+func (a assignments[T]) apply(v *T) {
+	for _, f := range a {
 		f(v)
 	}
 }
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -1,5 +1,5 @@
 // Package http1 is an HTTP/1.1 client that sends requests to targets and never retries
-// one by itself.
+// one by itself. It is the client of package gate; packages engine and service use package send.
 package http1
 
 import (
--- a/internal/keys/keyring_test.go
+++ b/internal/keys/keyring_test.go
@@ -14,8 +14,8 @@
 // staticConfigs returns a configuration that the test can replace.
 type staticConfigs struct{ cfg *fireflypath.Config }
 
-func (f *staticConfigs) Current() *fireflypath.Config              { return f.cfg }
-func (f *staticConfigs) Changed(generation uint64) <-chan struct{} { return nil }
+func (s *staticConfigs) Current() *fireflypath.Config              { return s.cfg }
+func (s *staticConfigs) Changed(generation uint64) <-chan struct{} { return nil }
 
 func TestOperator(t *testing.T) {
 	is := is.New(t)
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -19,11 +19,11 @@
 	buf       bytes.Buffer
 }
 
-func (s *blockedWriter) Write(b []byte) (int, error) {
-	<-s.unblocked
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.buf.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblocked
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buf.Write(b)
 }
 
 // The reader of the log stops reading. Lines must be dropped and counted: if writers
--- a/internal/operator/api_test.go
+++ b/internal/operator/api_test.go
@@ -43,15 +43,15 @@
 
 const heldDigest = digest.Digest(0xab)
 
-func (h *fakeQuarantine) List() []quarantine.Row {
-	if h.released.Load() {
+func (q *fakeQuarantine) List() []quarantine.Row {
+	if q.released.Load() {
 		return nil
 	}
 	return []quarantine.Row{{Digest: heldDigest.String(), State: "held", Targets: 3}}
 }
 
-func (h *fakeQuarantine) Release(d digest.Digest) bool {
-	return d == heldDigest && h.released.CompareAndSwap(false, true)
+func (q *fakeQuarantine) Release(d digest.Digest) bool {
+	return d == heldDigest && q.released.CompareAndSwap(false, true)
 }
 
 type fakeMembers struct{ list []fireflypath.Member }
@@ -69,7 +69,7 @@
 	return o.err
 }
 
-func startDaemon(t *testing.T, name string, l *testkit.FakeConfigs, clock clockwork.Clock, o fireflypath.Orderer) testDaemon {
+func startDaemon(t *testing.T, name string, configs *testkit.FakeConfigs, clock clockwork.Clock, o fireflypath.Orderer) testDaemon {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +78,7 @@
 	d := testDaemon{addr: ln.Addr().String(), ring: record.New(1 << 20), peers: &fakeMembers{}, held: &fakeQuarantine{}}
 	d.peers.list = []fireflypath.Member{{Name: name, OperatorAddr: d.addr}}
 	app := fiber.New()
-	newAPI(name, l, clock, o, &d).Register(app)
+	newAPI(name, configs, clock, o, &d).Register(app)
 	done := make(chan error, 1)
 	go func() { done <- app.Listener(ln, fiber.ListenConfig{DisableStartupMessage: true}) }()
 	t.Cleanup(func() {
@@ -90,10 +90,10 @@
 	return d
 }
 
-func newAPI(name string, l *testkit.FakeConfigs, clock clockwork.Clock, o fireflypath.Orderer, d *testDaemon) *operator.API {
+func newAPI(name string, configs *testkit.FakeConfigs, clock clockwork.Clock, o fireflypath.Orderer, d *testDaemon) *operator.API {
 	return operator.New(operator.Deps{
 		Sources: eval.Sources{
-			Name: name, Configs: l, Committer: l, Members: d.peers, Recorder: d.ring, Clock: clock,
+			Name: name, Configs: configs, Committer: configs, Members: d.peers, Recorder: d.ring, Clock: clock,
 			Views:   func() []fireflypath.TargetView { return nil },
 			Demands: func() []fireflypath.Demand { return nil },
 		},
@@ -101,7 +101,7 @@
 	})
 }
 
-func newLedger(clock clockwork.Clock) *testkit.FakeConfigs {
+func newConfigs(clock clockwork.Clock) *testkit.FakeConfigs {
 	return testkit.NewFakeConfigs(&fireflypath.Config{Generation: 1}, clock.Now)
 }
 
@@ -134,14 +134,14 @@
 func TestCommandsAreExecutedAndAudited(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
-	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
+	configs := newConfigs(clock)
+	c := newClient(startDaemon(t, "d1", configs, clock, nil).addr)
 	result := execute(c, setupCommands)
 	is.Equal(result.Outcome, wire.OutcomeDone)
 	is.Equal(result.Generation, uint64(2))
 	repeated := c.Execute(wire.CommandRequest{ID: result.ID, Text: setupCommands})
 	is.True(repeated.Repeated)
-	is.Equal(l.Current().Generation, uint64(2)) // not executed twice
+	is.Equal(configs.Current().Generation, uint64(2)) // not executed twice
 	other := c.Execute(wire.CommandRequest{ID: result.ID, Text: "drain target e1"})
 	is.Equal(other.Outcome, wire.OutcomeRefused) // the ID belongs to another command
 	is.True(strings.Contains(other.Detail, setupCommands))
@@ -161,7 +161,7 @@
 	planned := execute(c, "plan drain target e1")
 	is.Equal(planned.Plan.Lines, []string{"~ target e1 drained false -> true"})
 	is.Equal(len(planned.Plan.BreakingChanges), 1)
-	is.True(!l.Current().Targets[0].Drained)
+	is.True(!configs.Current().Targets[0].Drained)
 }
 
 // Two operators each write a change against generation 2. One is committed; the other
@@ -169,8 +169,8 @@
 func TestConflictingChanges(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
-	one, two := newClient(startDaemon(t, "d1", l, clock, nil).addr), newClient(startDaemon(t, "d2", l, clock, nil).addr)
+	configs := newConfigs(clock)
+	one, two := newClient(startDaemon(t, "d1", configs, clock, nil).addr), newClient(startDaemon(t, "d2", configs, clock, nil).addr)
 	execute(one, setupCommands)
 	results := make(chan wire.CommandResult, 2)
 	go func() { results <- execute(one, "at 2 set pool chat models m,n") }()
@@ -193,15 +193,15 @@
 func TestLostStoreResponseIsUnknownThenSettled(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
-	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
+	configs := newConfigs(clock)
+	c := newClient(startDaemon(t, "d1", configs, clock, nil).addr)
 	unknown := fireflypath.ErrUnknown
-	l.ErrAfterCommit.Store(&unknown)
-	l.FailAfter(fireflypath.ErrUnavailable, 1) // the first call still succeeds
+	configs.ErrAfterCommit.Store(&unknown)
+	configs.FailAfter(fireflypath.ErrUnavailable, 1) // the first call still succeeds
 	result := execute(c, setupCommands)
 	is.Equal(result.Outcome, wire.OutcomeUnknown)
 	is.True(strings.Contains(ask(t, c, "settle "+result.ID), "cannot be read now"))
-	l.StopFailing()
+	configs.StopFailing()
 	is.Equal(ask(t, c, "settle "+result.ID), "done: in force from generation 2")
 }
 
@@ -210,15 +210,15 @@
 func TestCommandIsUnavailableWithoutStore(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
-	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
+	configs := newConfigs(clock)
+	c := newClient(startDaemon(t, "d1", configs, clock, nil).addr)
 	execute(c, setupCommands)
-	l.FailAfter(fireflypath.ErrUnavailable, 0)
+	configs.FailAfter(fireflypath.ErrUnavailable, 0)
 	result := execute(c, "drain target e1")
 	is.Equal(result.Outcome, wire.OutcomeUnavailable)
 	is.True(strings.Contains(result.Detail, "nothing was changed"))
 	is.True(strings.Contains(ask(t, c, "targets"), "e1"))
-	l.StopFailing()
+	configs.StopFailing()
 	is.True(strings.HasPrefix(ask(t, c, "settle "+result.ID), "not done"))
 }
 
@@ -227,12 +227,12 @@
 func TestUnreachableDaemons(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
+	configs := newConfigs(clock)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	is.NoErr(ln.Close())
 	closedAddr := ln.Addr().String()
-	is.Equal(execute(newClient(closedAddr, startDaemon(t, "d1", l, clock, nil).addr), setupCommands).Outcome, wire.OutcomeDone)
+	is.Equal(execute(newClient(closedAddr, startDaemon(t, "d1", configs, clock, nil).addr), setupCommands).Outcome, wire.OutcomeDone)
 	is.Equal(execute(newClient(closedAddr), setupCommands).Outcome, wire.OutcomeUnavailable)
 	_, err = newClient(closedAddr).Query("teams")
 	is.True(errors.Is(err, client.ErrUnreachable))
@@ -262,9 +262,9 @@
 func TestOrders(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
+	configs := newConfigs(clock)
 	o := &fakeOrderer{}
-	c := newClient(startDaemon(t, "d1", l, clock, o).addr)
+	c := newClient(startDaemon(t, "d1", configs, clock, o).addr)
 	execute(c, setupCommands)
 	result := execute(c, "load target e1 model m")
 	is.Equal(result.Outcome, wire.OutcomeDone)
@@ -279,7 +279,7 @@
 
 	// An order that cannot be audited is not sent.
 	n := len(o.taken)
-	l.FailAfter(fireflypath.ErrUnavailable, 0)
+	configs.FailAfter(fireflypath.ErrUnavailable, 0)
 	is.Equal(execute(c, "load target e1 model m").Outcome, wire.OutcomeUnavailable)
 	is.Equal(len(o.taken), n)
 }
@@ -287,8 +287,8 @@
 func TestRolesAndInvalidKeys(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
-	addr := startDaemon(t, "d1", l, clock, &fakeOrderer{}).addr
+	configs := newConfigs(clock)
+	addr := startDaemon(t, "d1", configs, clock, &fakeOrderer{}).addr
 	askKey, askHash := keys.Generate()
 	key, hash := keys.Generate()
 	cyKey, cyHash := keys.Generate()
@@ -328,8 +328,8 @@
 func TestWhyIsForwardedOnce(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
-	one, two := startDaemon(t, "d1", l, clock, nil), startDaemon(t, "d2", l, clock, nil)
+	configs := newConfigs(clock)
+	one, two := startDaemon(t, "d1", configs, clock, nil), startDaemon(t, "d2", configs, clock, nil)
 	one.peers.list = append(one.peers.list, two.peers.list...)
 	two.peers.list = one.peers.list
 	two.ring.Keep(&fireflypath.Record{ID: "d2.X", Team: "traders", State: "answered"})
@@ -347,8 +347,8 @@
 func TestEachMergesCountsAndReportsMissingDaemons(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
-	one, two := startDaemon(t, "d1", l, clock, nil), startDaemon(t, "d2", l, clock, nil)
+	configs := newConfigs(clock)
+	one, two := startDaemon(t, "d1", configs, clock, nil), startDaemon(t, "d2", configs, clock, nil)
 	one.peers.list = append(one.peers.list, two.peers.list...)
 	for i, ring := range []*record.Ring{one.ring, two.ring, two.ring} {
 		ring.Keep(&fireflypath.Record{ID: fmt.Sprint("d.", i), Tier: "gold", State: "answered"})
@@ -387,7 +387,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			app := fiber.New()
-			newAPI("d1", newLedger(clock), clock, nil, &testDaemon{ring: record.New(0), peers: &fakeMembers{}, held: &fakeQuarantine{}}).Register(app)
+			newAPI("d1", newConfigs(clock), clock, nil, &testDaemon{ring: record.New(0), peers: &fakeMembers{}, held: &fakeQuarantine{}}).Register(app)
 			var c fasthttp.RequestCtx
 			c.Init2(&fakeConn{from: tc.from, to: tc.to}, nil, false)
 			c.Request.SetRequestURI(wire.PathAsk)
@@ -414,25 +414,25 @@
 func TestRepeatWithIDOlderThanTrailIsRefused(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClockAt(time.Now())
-	l := newLedger(clock)
-	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
+	configs := newConfigs(clock)
+	c := newClient(startDaemon(t, "d1", configs, clock, nil).addr)
 	oldID := ulid.MustNew(ulid.Timestamp(clock.Now().Add(-48*time.Hour)), ulid.DefaultEntropy()).String()
 	is.Equal(c.Execute(wire.CommandRequest{ID: oldID, Text: setupCommands}).Outcome, wire.OutcomeDone)
 	for i := range eval.SettleSearchLines {
-		is.NoErr(l.AppendAudit(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), At: clock.Now()}))
+		is.NoErr(configs.AppendAudit(t.Context(), fireflypath.AuditLine{ID: fmt.Sprint("n", i), At: clock.Now()}))
 	}
 	result := c.Execute(wire.CommandRequest{ID: oldID, Text: setupCommands})
 	is.Equal(result.Outcome, wire.OutcomeRefused)
 	is.True(strings.Contains(result.Detail, "older than the trail"))
-	is.Equal(l.Current().Generation, uint64(2))
+	is.Equal(configs.Current().Generation, uint64(2))
 }
 
 // An operator releases a held request, which is then no longer held.
 func TestHeldRequestIsReleased(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := newLedger(clock)
-	c := newClient(startDaemon(t, "d1", l, clock, nil).addr)
+	configs := newConfigs(clock)
+	c := newClient(startDaemon(t, "d1", configs, clock, nil).addr)
 	rows, err := c.HeldRequests()
 	is.NoErr(err)
 	is.Equal(len(rows), 1)
--- a/internal/query/eval/live.go
+++ b/internal/query/eval/live.go
@@ -93,7 +93,7 @@
 }
 
 func (e *Evaluator) changes(ctx context.Context) (*table.Table, error) {
-	lines, err := e.src.Committer.Trail(ctx, maxTrailLines)
+	lines, err := e.src.Committer.Trail(ctx, maxAuditLines)
 	if err != nil && len(lines) == 0 {
 		return nil, errors.Wrapf(ErrAuditTrail, "%v", err)
 	}
@@ -105,8 +105,8 @@
 			table.Str(l.Result), table.Str(l.Command),
 		})
 	}
-	if len(lines) == maxTrailLines {
-		t.Notes = append(t.Notes, fmt.Sprintf("only the newest %d lines were read", maxTrailLines))
+	if len(lines) == maxAuditLines {
+		t.Notes = append(t.Notes, fmt.Sprintf("only the newest %d lines were read", maxAuditLines))
 	}
 	if err != nil {
 		t.Notes = append(t.Notes, "the platform's service cannot be read now, later changes may be missing: "+err.Error())
--- a/internal/query/eval/settle.go
+++ b/internal/query/eval/settle.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	// SettleSearchLines is the number of trail lines that are searched for a command: two hours
+	// SettleSearchLines is the number of audit lines that are searched for a command: two hours
 	// at the required 4,200 changes per day, and no more than a Committer searches.
 	SettleSearchLines = 384
 	// maxClockSkew is the assumed maximum clock error of the client that generated an id.
 	maxClockSkew = 5 * time.Minute
 )
 
-// ResultOrdered is the result in the first trail line of an order, written before the order is sent.
+// ResultOrdered is the result in the first audit line of an order, written before the order is sent.
 const ResultOrdered = "ordered"
 
-// RefusalLineID returns the id of the trail line of a refused command. It differs from the
+// RefusalLineID returns the id of the audit line of a refused command. It differs from the
 // command's id: a commit that finds its own id in the trail assumes that it was done.
 func RefusalLineID(id string) string {
 	return id + "/refused"
 }
 
-// ResultLineID returns the id of the trail line with an order's result.
+// ResultLineID returns the id of the audit line with an order's result.
 func ResultLineID(id string) string {
 	return id + "/result"
 }
--- a/internal/query/eval/tables.go
+++ b/internal/query/eval/tables.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxTrailLines is the number of trail lines that a query on changes reads: two days at the
+	// maxAuditLines is the number of audit lines that a query on changes reads: two days at the
 	// required 4,200 changes per day, about 3 MB.
-	maxTrailLines = 10_000
+	maxAuditLines = 10_000
 	// hashPrefixLength is how much of a key's hash is shown, which is enough for "revoke key".
 	hashPrefixLength = 12
 )
--- a/internal/record/ring_test.go
+++ b/internal/record/ring_test.go
@@ -190,7 +190,7 @@
 }
 
 // Prints how long a record with 12 considered targets is kept at constant rates. Fails if fewer
-// records are kept than OPERATORS.md promises.
+// records are kept than OPERATORS.md states.
 func TestRetention(t *testing.T) {
 	is := is.New(t)
 	r := record.New(0)
--- a/internal/route/relay/assemble.go
+++ b/internal/route/relay/assemble.go
@@ -92,7 +92,7 @@
 
 // assemble combines the events of a streamed completion into one JSON answer, for
 // a caller that did not ask for a stream.
-func (l *Relay) assemble(f *follower, c fireflypath.Chunk, err error) error {
+func (rl *Relay) assemble(f *follower, c fireflypath.Chunk, err error) error {
 	var a assembler
 	for err == nil {
 		if err = a.addEvents(c.Data); err == nil {
@@ -100,15 +100,15 @@
 		}
 	}
 	if !errors.Is(err, io.EOF) {
-		return l.fail(f, err)
+		return rl.fail(f, err)
 	}
 	body, err := json.Marshal(a.completion(f))
 	if err != nil {
-		return l.fail(f, err)
+		return rl.fail(f, err)
 	}
 	f.request.Reply.Header = map[string]string{"Content-Type": "application/json"}
 	f.request.Reply.Body = body
-	l.complete(f)
+	rl.complete(f)
 	return nil
 }
 
--- a/internal/route/relay/body.go
+++ b/internal/route/relay/body.go
@@ -25,8 +25,8 @@
 	ended       bool
 }
 
-func newStreamBody(l *Relay, f *follower, first fireflypath.Chunk, err error, eventStream bool) *streamBody {
-	b := &streamBody{relay: l, follower: f, pending: first.Data, err: err, eventStream: eventStream}
+func newStreamBody(relay *Relay, f *follower, first fireflypath.Chunk, err error, eventStream bool) *streamBody {
+	b := &streamBody{relay: relay, follower: f, pending: first.Data, err: err, eventStream: eventStream}
 	if err != nil && !errors.Is(err, io.EOF) {
 		b.fail()
 	}
--- a/internal/route/relay/relay.go
+++ b/internal/route/relay/relay.go
@@ -42,27 +42,27 @@
 }
 
 // Run sets the reply. A streamed reply ends after Run has returned.
-func (l *Relay) Run(ctx context.Context, r *request.Request) error {
-	f := newFollower(ctx, l.clock, r)
+func (rl *Relay) Run(ctx context.Context, r *request.Request) error {
+	f := newFollower(ctx, rl.clock, r)
 	first, err := f.start()
 	if err != nil && (f.answer == nil || !errors.Is(err, io.EOF)) {
-		return l.fail(f, err)
+		return rl.fail(f, err)
 	}
 	head := f.head()
 	r.Reply = request.Reply{Status: head.Status, Header: head.Header, Length: -1}
 	switch {
 	case r.Pool.Kind == fireflypath.KindEngine && head.Status == statusOK && !r.Call.Stream:
-		return l.assemble(f, first, err)
+		return rl.assemble(f, first, err)
 	case r.Pool.Kind == fireflypath.KindEngine && head.Status == statusOK:
-		return l.stream(f, first, err)
+		return rl.stream(f, first, err)
 	default:
-		return l.plain(f, first, err)
+		return rl.plain(f, first, err)
 	}
 }
 
 // stream passes events on. An answer that is already complete is written as one
 // body, which saves a write for a short answer.
-func (l *Relay) stream(f *follower, first fireflypath.Chunk, err error) error {
+func (rl *Relay) stream(f *follower, first fireflypath.Chunk, err error) error {
 	events := append([]byte(nil), first.Data...)
 	for err == nil && f.ready() && len(events) < maxBuffered {
 		var c fireflypath.Chunk
@@ -71,24 +71,24 @@
 	}
 	if errors.Is(err, io.EOF) {
 		f.request.Reply.Body = events
-		l.complete(f)
+		rl.complete(f)
 		return nil
 	}
-	f.request.Reply.Stream = newStreamBody(l, f, fireflypath.Chunk{Data: events}, err, true)
+	f.request.Reply.Stream = newStreamBody(rl, f, fireflypath.Chunk{Data: events}, err, true)
 	return nil
 }
 
 const statusOK = 200
 
 // plain passes on an answer that is not an event stream.
-func (l *Relay) plain(f *follower, first fireflypath.Chunk, err error) error {
+func (rl *Relay) plain(f *follower, first fireflypath.Chunk, err error) error {
 	r := f.request
 	if n, ok := f.answer.(interface{ Length() int }); ok {
 		r.Reply.Length = n.Length()
 	}
 	if r.Reply.Length > maxBuffered || r.Reply.Length < 0 && err == nil {
 		// An answer of unknown length may arrive slowly, so its chunks are not buffered.
-		r.Reply.Stream = newStreamBody(l, f, first, err, false)
+		r.Reply.Stream = newStreamBody(rl, f, first, err, false)
 		return nil
 	}
 	body := append([]byte(nil), first.Data...)
@@ -98,29 +98,29 @@
 		body = append(body, c.Data...)
 	}
 	if !errors.Is(err, io.EOF) {
-		return l.fail(f, err)
+		return rl.fail(f, err)
 	}
 	r.Reply.Body = body
-	l.complete(f)
+	rl.complete(f)
 	return nil
 }
 
 // complete ends a request whose answer was read completely.
-func (l *Relay) complete(f *follower) {
+func (rl *Relay) complete(f *follower) {
 	r := f.request
 	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateAnswered)
 	r.Owner.Notify(r, fireflypath.EventDone, f.cachedTokens())
 	f.close()
-	l.ended(r, nil)
+	rl.ended(r, nil)
 }
 
 // fail ends a request whose answer cannot be completed and returns its refusal.
-func (l *Relay) fail(f *follower, err error) error {
+func (rl *Relay) fail(f *follower, err error) error {
 	r := f.request
 	if f.ctx.Err() != nil {
 		f.close()
 		f.cancelTarget()
-		return l.withdraw(f)
+		return rl.withdraw(f)
 	}
 	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
 	r.Owner.Notify(r, fireflypath.EventFailed, f.cachedTokens())
@@ -130,19 +130,19 @@
 		Detail: "the answer of " + r.Target.Name + " was lost: " + err.Error(),
 		ID:     r.Work.ID, Generation: r.Config.Generation,
 	}
-	l.ended(r, refusal)
+	rl.ended(r, refusal)
 	return refusal
 }
 
 // callerLeft ends the answer of a caller that left. The answer to work that may not
 // be cancelled is read to its end, because a target may treat a closed connection
 // as a cancellation.
-func (l *Relay) callerLeft(f *follower) {
+func (rl *Relay) callerLeft(f *follower) {
 	r := f.request
 	if r.Work.Idempotent {
 		f.close()
 		f.cancelTarget()
-		_ = l.withdraw(f)
+		_ = rl.withdraw(f)
 		return
 	}
 	for {
@@ -151,11 +151,11 @@
 		}
 	}
 	f.close()
-	_ = l.withdraw(f)
+	_ = rl.withdraw(f)
 }
 
 // withdraw ends a request whose caller left while it ran.
-func (l *Relay) withdraw(f *follower) error {
+func (rl *Relay) withdraw(f *follower) error {
 	r := f.request
 	r.Work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
 	r.Owner.Notify(r, fireflypath.EventFailed, f.cachedTokens())
@@ -163,6 +163,6 @@
 		Code: fireflypath.ReasonWithdrawn, Tier: r.Work.Tier, Run: fireflypath.RunUnknown,
 		Detail: "the caller left while the request ran", ID: r.Work.ID, Generation: r.Config.Generation,
 	}
-	l.ended(r, refusal)
+	rl.ended(r, refusal)
 	return refusal
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -99,7 +99,7 @@
 	}
 	if revokedAt, isRevoked := h.revoked[s.key]; isRevoked && s.key != "" {
 		late := s.sentAt.Sub(revokedAt)
-		h.checkLocked(invariantRevoked, late <= revokeTime, "%s was sent %v after its key was revoked and ran on %s", id, late, target)
+		h.checkLocked(invariantRevoked, late <= revocationDelay, "%s was sent %v after its key was revoked and ran on %s", id, late, target)
 	}
 }
 
--- a/internal/soak/prober.go
+++ b/internal/soak/prober.go
@@ -15,8 +15,8 @@
 const (
 	// probeInterval is the time between two probes of a daemon's configuration.
 	probeInterval = 100 * time.Millisecond
-	// requestMargin is added to forceTime for the duration of the probe itself.
-	requestMargin = 300 * time.Millisecond
+	// probeMargin is added to activationDelay for the duration of the probe itself.
+	probeMargin = 300 * time.Millisecond
 	// rollbackMargin is how long an older configuration may still be served after a
 	// newer one was observed.
 	rollbackMargin = 250 * time.Millisecond
@@ -78,9 +78,9 @@
 		case status == http.StatusNotFound && p.newest() != n:
 			// A newer configuration removed the route during the probe.
 		case status == http.StatusNotFound && n == seen:
-			p.history.check(invariantVersion, false, "%s took version %d back", d.name, n)
-		case status == http.StatusNotFound && sentAt.Sub(createdAt) > forceTime+requestMargin && stable():
-			p.history.check(invariantVersion, false, "%s does not know version %d after %v", d.name, n, sentAt.Sub(createdAt))
+			p.history.check(invariantVersion, false, "%s stopped serving version %d", d.name, n)
+		case status == http.StatusNotFound && sentAt.Sub(createdAt) > activationDelay+probeMargin && stable():
+			p.history.check(invariantVersion, false, "%s does not serve version %d after %v", d.name, n, sentAt.Sub(createdAt))
 		}
 		p.history.check(invariantVersion, true, "")
 		if seen > 1 && time.Since(seenAt) > rollbackMargin {
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -19,10 +19,10 @@
 
 // Times in the daemons' settings, which the invariants depend on.
 const (
-	revokeTime = 5 * time.Second
-	forceTime  = 2 * time.Second
-	drainTime  = 2 * time.Second
-	graceTime  = 4 * time.Second
+	revocationDelay  = 5 * time.Second
+	activationDelay  = 2 * time.Second
+	drainTime        = 2 * time.Second
+	terminationGrace = 4 * time.Second
 	// stableTime is how long after a fault a daemon may exceed these times.
 	stableTime = 4 * time.Second
 )
@@ -69,7 +69,7 @@
 		"platform": map[string]any{"addr": p.addr(), "timeout": "800ms"},
 		"peers":    map[string]any{"seeds": seeds, "plain": true},
 		"gate": map[string]any{
-			"revoked": revokeTime.String(), "force": forceTime.String(), "grace": graceTime.String(),
+			"revoked": revocationDelay.String(), "force": activationDelay.String(), "grace": terminationGrace.String(),
 			"retries": map[string]any{"ratio": 1, "window": "10s", "allowance": 100},
 			"quotas":  map[string]any{},
 		},
@@ -170,9 +170,9 @@
 	select {
 	case <-done:
 		return err
-	case <-time.After(2 * graceTime):
+	case <-time.After(2 * terminationGrace):
 	}
-	late := fmt.Errorf("%s, process %d, still runs %v after %s", p.name, pid, 2*graceTime, s)
+	late := fmt.Errorf("%s, process %d, still runs %v after %s", p.name, pid, 2*terminationGrace, s)
 	err = errors.Join(err, late, p.signal(syscall.SIGKILL))
 	select {
 	case <-done:
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -283,11 +283,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := Result{Seed: r.options.Seed, Requests: len(h.requests), Faults: r.faults, Checked: map[string]int{}}
-	for _, p := range invariants {
-		out.Checked[string(p)] = h.checked[p]
+	for _, inv := range invariants {
+		out.Checked[string(inv)] = h.checked[inv]
 	}
-	for _, b := range h.violations {
-		out.Violations = append(out.Violations, string(b.invariant)+": "+b.detail)
+	for _, v := range h.violations {
+		out.Violations = append(out.Violations, string(v.invariant)+": "+v.detail)
 	}
 	return out
 }
@@ -307,8 +307,8 @@
 // Invariants returns the descriptions of the invariants in the order of reports.
 func Invariants() []string {
 	var out []string
-	for _, p := range invariants {
-		out = append(out, string(p))
+	for _, inv := range invariants {
+		out = append(out, string(inv))
 	}
 	return out
 }
--- a/internal/soak/target.go
+++ b/internal/soak/target.go
@@ -48,7 +48,7 @@
 	rnd *rand.Rand
 }
 
-func newTarget(name, pool string, life int, l *history, ps *ports, seed uint64) (*target, error) {
+func newTarget(name, pool string, incarnation int, h *history, ps *ports, seed uint64) (*target, error) {
 	ln, err := ps.listen()
 	if err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	t := &target{
-		name: name, pool: pool, incarnation: life, headers: platform.Codec{}.Headers(), history: l, ln: ln, proxy: p,
+		name: name, pool: pool, incarnation: incarnation, headers: platform.Codec{}.Headers(), history: h, ln: ln, proxy: p,
 		rnd: rand.New(rand.NewPCG(seed, 3)),
 	}
 	t.srv = &http.Server{Handler: t, ReadHeaderTimeout: time.Minute}
