--- a/cmd/fireflypath/demo.go
+++ b/cmd/fireflypath/demo.go
@@ -59,18 +59,18 @@
 		return demo.Options{}, errors.Newf("no mix is named %q", c.String("mix"))
 	}
 	o := demo.Options{
-		Mix:     m,
-		Daemons: c.Int("daemons"),
-		Kill:    c.Int("kill"),
-		Rate:    c.Float("rate"),
-		For:     c.Duration("for"),
-		Seed:    c.Uint64("seed"),
-		Quiet:   c.Bool("quiet"),
+		Mix:      m,
+		Daemons:  c.Int("daemons"),
+		Kill:     c.Int("kill"),
+		Rate:     c.Float("rate"),
+		Duration: c.Duration("for"),
+		Seed:     c.Uint64("seed"),
+		NoFaults: c.Bool("quiet"),
 	}
 	if o.Kill < 0 {
 		o.Kill = o.Daemons / 4
 	}
-	if o.Daemons < 1 || o.Kill >= o.Daemons || o.Rate <= 0 || o.For <= 0 {
+	if o.Daemons < 1 || o.Kill >= o.Daemons || o.Rate <= 0 || o.Duration <= 0 {
 		return o, errors.New("need a daemon that is not killed, and rate and time above 0")
 	}
 	return o, nil
@@ -86,8 +86,8 @@
 	if err != nil {
 		return err
 	}
-	if !r.Good() {
-		return errors.Newf("%d lost, %d twice, %d refused as not run although they ran", r.Lost, r.Twice, r.Untrue)
+	if !r.Passed() {
+		return errors.Newf("%d lost, %d twice, %d refused as not run although they ran", r.Lost, r.Duplicates, r.FalseRefusals)
 	}
 	return nil
 }
--- a/cmd/fireflypath/simulate.go
+++ b/cmd/fireflypath/simulate.go
@@ -138,14 +138,14 @@
 	if shared, err = shared.Apply(object); err != nil {
 		return err
 	}
-	o.Make = func(p fireflypath.Pool, seed uint64) fireflypath.Scheduler { return slots.New(p, seed, alone) }
+	o.NewScheduler = func(p fireflypath.Pool, seed uint64) fireflypath.Scheduler { return slots.New(p, seed, alone) }
 	switch s.Policy {
 	case policySlots:
-		o.Dispatch = func(p fireflypath.Pool, seed uint64) dispatcher.Scheduler { return slots.New(p, seed, shared) }
+		o.NewDispatcherScheduler = func(p fireflypath.Pool, seed uint64) dispatcher.Scheduler { return slots.New(p, seed, shared) }
 	case policyAlone:
 	case policyLeast, policyRoundRobin:
 		least := s.Policy == policyLeast
-		o.Make = func(_ fireflypath.Pool, seed uint64) fireflypath.Scheduler { return baseline.New(least, seed) }
+		o.NewScheduler = func(_ fireflypath.Pool, seed uint64) fireflypath.Scheduler { return baseline.New(least, seed) }
 	default:
 		return errors.Newf("unknown policy %q", s.Policy)
 	}
@@ -226,10 +226,10 @@
 		if _, err := fmt.Fprintf(tw, "%s\t%s\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t\n", g.mix, g.load, g.policy,
 			mean(func(r *simulation) float64 { return r.Worth }), mean(func(r *simulation) float64 { return r.Whole }),
 			mean(func(r *simulation) float64 { return r.Window }), mean(func(r *simulation) float64 { return r.Class }),
-			mean(func(r *simulation) float64 { return r.Again }),
+			mean(func(r *simulation) float64 { return r.RefusalPenalty }),
 			mean(fraction(func(k *sim.Kind) int { return k.InTime })), mean(fraction(func(k *sim.Kind) int { return k.Late })),
 			mean(fraction(func(k *sim.Kind) int { return k.Refused })), mean(fraction(func(k *sim.Kind) int { return k.Failed })),
-			mean(fraction(func(k *sim.Kind) int { return k.Left }))); err != nil {
+			mean(fraction(func(k *sim.Kind) int { return k.CallerLeft }))); err != nil {
 			return err
 		}
 	}
--- a/cmd/fireflypath/trial.go
+++ b/cmd/fireflypath/trial.go
@@ -109,7 +109,7 @@
 	for _, r := range rows {
 		_, err := fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%s\t%d\t%.4f\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.4f\t%.3f\t%d\t\n",
 			r.Load, r.Mix, r.Policy, r.Seed, r.Tier, r.Sent, r.Goodput, r.Refused, r.Expired,
-			r.P50, r.P99, r.First99, r.Wasted, r.Hit, r.Inversions)
+			r.P50, r.P99, r.FirstTokenP99, r.Wasted, r.PrefixHit, r.Inversions)
 		if err != nil {
 			return err
 		}
--- a/internal/demo/calls.go
+++ b/internal/demo/calls.go
@@ -12,7 +12,7 @@
 	team := d.options.Mix.Teams[0]
 	b := fmt.Appendf(nil, "\nplatform    http://%s\n", d.platform.Addr())
 	for i, x := range d.daemons {
-		if i >= d.options.Kill || d.options.Quiet {
+		if i >= d.options.Kill || d.options.NoFaults {
 			b = fmt.Appendf(b, "entry%-6d callers http://%s  operators http://%s\n", i+1, x.CallerAddr(), x.OperatorAddr())
 		}
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -28,11 +28,11 @@
 	Kill    int
 	// Rate is the number of requests per second before the burst.
 	Rate float64
-	// For is the duration over which requests arrive.
-	For  time.Duration
-	Seed uint64
-	// Quiet disables the faults and the burst.
-	Quiet bool
+	// Duration is the duration over which requests arrive.
+	Duration time.Duration
+	Seed     uint64
+	// NoFaults disables the faults and the burst.
+	NoFaults bool
 }
 
 // Demo is a running demo. Its fields are set by the start steps in their order.
@@ -100,12 +100,12 @@
 
 // send sends the requests while it injects the faults, and waits for all answers.
 func (d *Demo) send(ctx context.Context) error {
-	o := mix.Options{Seed: d.options.Seed, Rate: d.options.Rate, Duration: d.options.For}
-	if !d.options.Quiet {
+	o := mix.Options{Seed: d.options.Seed, Rate: d.options.Rate, Duration: d.options.Duration}
+	if !d.options.NoFaults {
 		o.Bursts = []mix.Burst{d.burst()}
 	}
 	var faults conc.WaitGroup
-	if !d.options.Quiet {
+	if !d.options.NoFaults {
 		faults.Go(func() { d.injectFaults(ctx) })
 	}
 	d.callers = newCallers(d)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -21,7 +21,7 @@
 func TestDemoUnderFaults(t *testing.T) {
 	is := is.New(t)
 	d := demo.New(demo.Options{
-		Mix: mix.Pozo(), Daemons: 4, Kill: 2, Rate: 40, For: 3 * time.Second, Seed: 7,
+		Mix: mix.Pozo(), Daemons: 4, Kill: 2, Rate: 40, Duration: 3 * time.Second, Seed: 7,
 	}, clockwork.NewRealClock())
 	defer d.Close()
 	r, err := d.Run(t.Context())
@@ -30,8 +30,8 @@
 	is.Equal(r.Load.Sent, r.Load.Whole+r.Load.Refused+r.Lost)
 	is.Equal(r.Load.Errors, nil)
 	is.Equal(r.Lost, 0)
-	is.Equal(r.Twice, 0)
-	is.Equal(r.Untrue, 0)
+	is.Equal(r.Duplicates, 0)
+	is.Equal(r.FalseRefusals, 0)
 }
 
 // Guards against demos on a shared loopback address: after a daemon is killed, the
@@ -41,7 +41,7 @@
 func TestDemoListensOnExclusiveLoopbackAddress(t *testing.T) {
 	is := is.New(t)
 	d := demo.New(demo.Options{
-		Mix: mix.Pozo(), Daemons: 3, Rate: 40, For: 100 * time.Millisecond, Seed: 7, Quiet: true,
+		Mix: mix.Pozo(), Daemons: 3, Rate: 40, Duration: 100 * time.Millisecond, Seed: 7, NoFaults: true,
 	}, clockwork.NewRealClock())
 	defer d.Close()
 	_, err := d.Run(t.Context())
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -30,7 +30,7 @@
 }
 
 func (d *Demo) fractionOfRun(f float64) time.Duration {
-	return time.Duration(f * float64(d.options.For))
+	return time.Duration(f * float64(d.options.Duration))
 }
 
 // burst returns a sudden increase in the requests of one large team.
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -15,14 +15,14 @@
 	// Lost counts requests whose callers finally got neither a complete answer nor a
 	// refusal.
 	Lost int `json:"lost"`
-	// Twice counts request IDs that were sent to targets more than once, and request
+	// Duplicates counts request IDs that were sent to targets more than once, and request
 	// IDs and idempotency keys that targets ran more than once.
-	Twice int `json:"twice"`
-	// Untrue counts refusals that state that the request did not run although it did.
-	Untrue int `json:"untrue"`
-	// Late counts the requests sent to the leaving target later than 3 s after it began
+	Duplicates int `json:"twice"`
+	// FalseRefusals counts refusals that state that the request did not run although it did.
+	FalseRefusals int `json:"untrue"`
+	// SentAfterLeaving counts the requests sent to the leaving target later than 3 s after it began
 	// to leave; -1 if the demo ended before that.
-	Late int `json:"late"`
+	SentAfterLeaving int `json:"late"`
 	// Prefill is the number of prompt tokens prefilled, Wasted that of those prefilled
 	// for nothing.
 	Prefill int `json:"prefill"`
@@ -38,15 +38,15 @@
 	Wasted int    `json:"wasted"`
 }
 
-// Good reports whether no request was lost, run twice or wrongly reported as not run.
-func (r Report) Good() bool {
-	return r.Lost == 0 && r.Twice == 0 && r.Untrue == 0
+// Passed reports whether no request was lost, run twice or wrongly reported as not run.
+func (r Report) Passed() bool {
+	return r.Lost == 0 && r.Duplicates == 0 && r.FalseRefusals == 0
 }
 
 // audit compares the counters of the targets with what callers received.
 func (d *Demo) audit() Report {
-	l := d.tally.Report(d.options.For)
-	r := Report{Load: l, Lost: l.Failed, Late: -1}
+	l := d.tally.Report(d.options.Duration)
+	r := Report{Load: l, Lost: l.Failed, SentAfterLeaving: -1}
 	dispatches, runs, keys, waste := make(map[string]int), make(map[string]int), make(map[string]int), make(map[string]int)
 	for _, e := range d.engines {
 		c := e.Counts()
@@ -64,16 +64,16 @@
 		addCounts(runs, c.Runs)
 		addCounts(keys, c.Keys)
 	}
-	r.Twice = countDuplicates(dispatches, runs) + countDuplicates(keys)
+	r.Duplicates = countDuplicates(dispatches, runs) + countDuplicates(keys)
 	for _, id := range d.callers.notRun {
-		r.Untrue += min(1, runs[id])
+		r.FalseRefusals += min(1, runs[id])
 	}
 	for _, t := range d.options.Mix.Tiers {
 		r.Tiers = append(r.Tiers, TierWaste{t.Name, waste[t.Name]})
 	}
 	r.Tiers = append(r.Tiers, TierWaste{"", waste[""]})
 	if t := d.leaving.target; t != nil && d.leaving.dispatchesAtLimit >= 0 {
-		r.Late = sumCounts(t.Counts().Dispatches) - d.leaving.dispatchesAtLimit
+		r.SentAfterLeaving = sumCounts(t.Counts().Dispatches) - d.leaving.dispatchesAtLimit
 	}
 	return r
 }
@@ -129,10 +129,10 @@
 	}
 	b = fmt.Appendf(b, "prefill: %d tokens, %d wasted (%.1f%%)\n",
 		r.Prefill, r.Wasted, 100*float64(r.Wasted)/float64(max(1, r.Prefill)))
-	b = fmt.Appendf(b, "refused as not run, but ran: %d\n", r.Untrue)
-	if r.Late >= 0 {
-		b = fmt.Appendf(b, "sent to the leaving target after 3 s: %d\n", r.Late)
+	b = fmt.Appendf(b, "refused as not run, but ran: %d\n", r.FalseRefusals)
+	if r.SentAfterLeaving >= 0 {
+		b = fmt.Appendf(b, "sent to the leaving target after 3 s: %d\n", r.SentAfterLeaving)
 	}
 	return fmt.Appendf(b, "demo: sent=%d whole=%d refused=%d lost=%d twice=%d\n",
-		r.Load.Sent, r.Load.Whole, r.Load.Refused, r.Lost, r.Twice)
+		r.Load.Sent, r.Load.Whole, r.Load.Refused, r.Lost, r.Duplicates)
 }
--- a/internal/sim/daemon.go
+++ b/internal/sim/daemon.go
@@ -62,9 +62,9 @@
 // reset gives the daemon a new scheduler with empty state.
 func (d *daemon) reset() {
 	d.incarnation++
-	d.scheduler = d.w.options.Make(d.pool(), xxhash.Sum64String(d.name+"/"+poolName))
+	d.scheduler = d.w.options.NewScheduler(d.pool(), xxhash.Sum64String(d.name+"/"+poolName))
 	d.dispatchClient, d.dispatcher = nil, nil
-	if local, ok := d.scheduler.(remote.Local); ok && d.w.options.Dispatch != nil {
+	if local, ok := d.scheduler.(remote.Local); ok && d.w.options.NewDispatcherScheduler != nil {
 		r := remote.New(local)
 		d.scheduler = r
 		d.dispatchClient = &dispatchClient{d: d, scheduler: r, sessionID: uint64(d.incarnation) << 32}
--- a/internal/sim/dispatch.go
+++ b/internal/sim/dispatch.go
@@ -27,7 +27,7 @@
 
 func newDispatcherNode(d *daemon) *dispatcherNode {
 	w := d.w
-	k := &dispatcherNode{d: d, Dispatcher: dispatcher.New(poolName, w.options.Dispatch(d.pool(), uint64(d.index)+1)), incarnation: d.incarnation}
+	k := &dispatcherNode{d: d, Dispatcher: dispatcher.New(poolName, w.options.NewDispatcherScheduler(d.pool(), uint64(d.index)+1)), incarnation: d.incarnation}
 	k.SetTargets(w.loop.Now(), w.targetList())
 	k.SetShare(w.loop.Now(), d.share)
 	return k
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -25,13 +25,13 @@
 
 // Options configure one run.
 type Options struct {
-	Fleet fleet.Fleet
-	Load  load.Load
-	Seed  uint64
-	Make  SchedulerFactory
-	// Dispatch returns the scheduler of a dispatcher that decides for a group of
+	Fleet        fleet.Fleet
+	Load         load.Load
+	Seed         uint64
+	NewScheduler SchedulerFactory
+	// NewDispatcherScheduler returns the scheduler of a dispatcher that decides for a group of
 	// daemons. It is nil if each daemon decides alone.
-	Dispatch func(pool fireflypath.Pool, seed uint64) dispatcher.Scheduler
+	NewDispatcherScheduler func(pool fireflypath.Pool, seed uint64) dispatcher.Scheduler
 }
 
 // world is the state of one run.
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -25,11 +25,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := sim.Options{Fleet: f, Load: l, Seed: seed, Make: func(p fireflypath.Pool, seed uint64) fireflypath.Scheduler {
+	o := sim.Options{Fleet: f, Load: l, Seed: seed, NewScheduler: func(p fireflypath.Pool, seed uint64) fireflypath.Scheduler {
 		return slots.New(p, seed, slots.StandaloneTuning())
 	}}
 	if dispatched {
-		o.Dispatch = func(p fireflypath.Pool, seed uint64) dispatcher.Scheduler {
+		o.NewDispatcherScheduler = func(p fireflypath.Pool, seed uint64) dispatcher.Scheduler {
 			return slots.New(p, seed, slots.DispatcherTuning())
 		}
 	}
--- a/internal/sim/tally.go
+++ b/internal/sim/tally.go
@@ -53,24 +53,24 @@
 	Whole  float64 `json:"whole"`
 	Window float64 `json:"window"`
 	Class  float64 `json:"class"`
-	// Again is the penalty for requests that were refused more than once.
-	Again float64 `json:"again"`
-	Kinds []Kind  `json:"kinds"`
+	// RefusalPenalty is the penalty for requests that were refused more than once.
+	RefusalPenalty float64 `json:"again"`
+	Kinds          []Kind  `json:"kinds"`
 	// Windows is the earned fraction of the worth per interval of arrival.
 	Windows []float64 `json:"windows"`
 }
 
 // Kind summarizes what the callers of one kind of work received.
 type Kind struct {
-	Name    string  `json:"name"`
-	Sent    int     `json:"sent"`
-	InTime  int     `json:"in_time"`
-	Late    int     `json:"late"`
-	Refused int     `json:"refused"`
-	Again   int     `json:"again"`
-	Failed  int     `json:"failed"`
-	Left    int     `json:"left"`
-	Worth   float64 `json:"worth"`
+	Name         string  `json:"name"`
+	Sent         int     `json:"sent"`
+	InTime       int     `json:"in_time"`
+	Late         int     `json:"late"`
+	Refused      int     `json:"refused"`
+	RefusedTwice int     `json:"again"`
+	Failed       int     `json:"failed"`
+	CallerLeft   int     `json:"left"`
+	Worth        float64 `json:"worth"`
 	// Waited holds the median and the 90th percentile, in seconds, of the time in the
 	// daemon, First those of the time from dispatch to the first event, for requests
 	// served at the first attempt.
@@ -144,7 +144,7 @@
 		}
 	}
 	if total > 0 {
-		res.Again = repeatedRefusalPenalty * repeated / total
+		res.RefusalPenalty = repeatedRefusalPenalty * repeated / total
 	}
 	for i := range int(load.Span / window) {
 		var arrivals []*sample
@@ -163,7 +163,7 @@
 		res.Class = min(res.Class, class)
 	}
 	g := t.fleet.Weights
-	res.Worth = g.Mean*res.Whole + g.Window*res.Window + g.Class*res.Class - res.Again
+	res.Worth = g.Mean*res.Whole + g.Window*res.Window + g.Class*res.Class - res.RefusalPenalty
 	return res
 }
 
@@ -187,12 +187,12 @@
 		case outcomeRefused:
 			out.Refused++
 			if s.request.refusals > 1 {
-				out.Again++
+				out.RefusedTwice++
 			}
 		case outcomeFailed:
 			out.Failed++
 		default:
-			out.Left++
+			out.CallerLeft++
 		}
 		if s.request.attempts == 1 && !s.request.firstEventAt.IsZero() && !s.request.dispatchedAt.IsZero() {
 			waited = append(waited, s.request.dispatchedAt.Sub(s.request.arrivedAt).Seconds())
--- a/internal/trial/bound.go
+++ b/internal/trial/bound.go
@@ -88,7 +88,7 @@
 	}
 	out := t.rows(o)
 	for i := range out {
-		out[i].Wasted, out[i].Hit = 0, 0
+		out[i].Wasted, out[i].PrefixHit = 0, 0
 	}
 	return out
 }
--- a/internal/trial/chart/chart.go
+++ b/internal/trial/chart/chart.go
@@ -34,7 +34,7 @@
 	return []metric{
 		{"goodput", "goodput", func(r trial.Row) float64 { return r.Goodput }},
 		{"wasted", "wasted prefill", func(r trial.Row) float64 { return r.Wasted }},
-		{"first", "first token, p99 ms", func(r trial.Row) float64 { return r.First99 }},
+		{"first", "first token, p99 ms", func(r trial.Row) float64 { return r.FirstTokenP99 }},
 	}
 }
 
--- a/internal/trial/tally.go
+++ b/internal/trial/tally.go
@@ -141,8 +141,8 @@
 		out = append(out, Row{
 			Load: o.Load, Mix: o.Mix, Policy: o.Policy, Seed: o.Seed, Tier: g.name,
 			Sent: g.sent, Goodput: ratio(g.inTime, g.sent), Refused: g.refused, Expired: g.expired,
-			P50: quantile(g.answerTimes, 0.5), P99: quantile(g.answerTimes, 0.99), First99: quantile(g.firstTokenTimes, 0.99),
-			Wasted: ratio(g.wastedTokens, g.uncachedTokens), Hit: ratio(g.promptTokens-g.uncachedTokens, g.promptTokens), Inversions: g.inversions,
+			P50: quantile(g.answerTimes, 0.5), P99: quantile(g.answerTimes, 0.99), FirstTokenP99: quantile(g.firstTokenTimes, 0.99),
+			Wasted: ratio(g.wastedTokens, g.uncachedTokens), PrefixHit: ratio(g.promptTokens-g.uncachedTokens, g.promptTokens), Inversions: g.inversions,
 		})
 	}
 	return out
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -46,14 +46,14 @@
 	Expired int `json:"expired"`
 	// P50 and P99 are of the time from arrival to the end of the answer, First99 is of
 	// the time to the first token.
-	P50     float64 `json:"p50_ms"`
-	P99     float64 `json:"p99_ms"`
-	First99 float64 `json:"first_p99_ms"`
+	P50           float64 `json:"p50_ms"`
+	P99           float64 `json:"p99_ms"`
+	FirstTokenP99 float64 `json:"first_p99_ms"`
 	// Wasted is the fraction of the prefilled tokens whose answer was cancelled or came
 	// too late.
 	Wasted float64 `json:"wasted_prefill"`
-	// Hit is the fraction of the prompt tokens found in prefix caches.
-	Hit float64 `json:"prefix_hit"`
+	// PrefixHit is the fraction of the prompt tokens found in prefix caches.
+	PrefixHit float64 `json:"prefix_hit"`
 	// Inversions counts refusals while work of a lower tier waited in any daemon.
 	Inversions int `json:"inversions"`
 }
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -107,7 +107,7 @@
 		is := is.New(t)
 		shipped, gateway := runTrial(t, "hot-prefix", mix, "shipped", seed), runTrial(t, "hot-prefix", mix, "rr", seed)
 		is.True(shipped["all"].Goodput >= 0.999)
-		is.True(shipped["all"].Hit >= 0.7)
+		is.True(shipped["all"].PrefixHit >= 0.7)
 		is.True(shipped["all"].P99 < gateway["all"].P99)
 	})
 }
