--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -19,8 +19,8 @@
 var errMismatch = errors.New("answer does not belong to the request")
 
 // callers behave like real callers behind a load balancer: they use the daemons in
-// round-robin order, and retry on another daemon if one is gone and the request was not
-// sent, is idempotent or carries an idempotency key.
+// round-robin order, and retry a failed request on another daemon if it was not sent, is
+// idempotent or carries an idempotency key.
 type callers struct {
 	format  load.Format
 	clients []*client.Client
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -15,13 +15,14 @@
 	// Lost counts requests whose callers finally got neither a complete answer nor a
 	// refusal.
 	Lost int `json:"lost"`
-	// Duplicates counts request IDs that were sent to targets more than once, and request
-	// IDs and idempotency keys that targets ran more than once.
+	// Duplicates counts request IDs that were sent to targets more than once, and
+	// request IDs and idempotency keys that targets ran more than once.
 	Duplicates int `json:"twice"`
-	// FalseRefusals counts refusals that state that the request did not run although it did.
+	// FalseRefusals counts refusals that state that the request did not run although it
+	// did.
 	FalseRefusals int `json:"untrue"`
-	// SentAfterLeaving counts the requests sent to the leaving target later than 3 s after it began
-	// to leave; -1 if the demo ended before that.
+	// SentAfterLeaving counts the requests sent to the leaving target later than 3 s
+	// after it began to leave; -1 if the demo ended before that.
 	SentAfterLeaving int `json:"late"`
 	// Prefill is the number of prompt tokens prefilled, Wasted that of those prefilled
 	// for nothing.
--- a/internal/sim/sim.go
+++ b/internal/sim/sim.go
@@ -29,8 +29,8 @@
 	Load         load.Load
 	Seed         uint64
 	NewScheduler SchedulerFactory
-	// NewDispatcherScheduler returns the scheduler of a dispatcher that decides for a group of
-	// daemons. It is nil if each daemon decides alone.
+	// NewDispatcherScheduler returns the scheduler of a dispatcher that decides for a
+	// group of daemons. It is nil if each daemon decides alone.
 	NewDispatcherScheduler func(pool fireflypath.Pool, seed uint64) dispatcher.Scheduler
 }
 
--- a/internal/sim/tally.go
+++ b/internal/sim/tally.go
@@ -48,7 +48,7 @@
 
 // Result summarizes what the callers of one run received.
 type Result struct {
-	// Worth is the weighted sum of Whole, Window and Class, less Again.
+	// Worth is the weighted sum of Whole, Window and Class, less RefusalPenalty.
 	Worth  float64 `json:"worth"`
 	Whole  float64 `json:"whole"`
 	Window float64 `json:"window"`
--- a/internal/trial/bound.go
+++ b/internal/trial/bound.go
@@ -113,9 +113,9 @@
 		}
 		r := &request{arrival: a}
 		t.sent(r)
-		l := minDemand(a)
-		prefills = append(prefills, l.prefill)
-		decodes = append(decodes, l.decode)
+		d := minDemand(a)
+		prefills = append(prefills, d.prefill)
+		decodes = append(decodes, d.decode)
 	}
 	n := min(serveSmallest(prefills, &left.prefill), serveSmallest(decodes, &left.decode))
 	good := 0
--- a/internal/trial/cancel.go
+++ b/internal/trial/cancel.go
@@ -26,55 +26,55 @@
 	if !d.fleet.policy.cancels || d.now().Sub(d.lastCancel) < cancelInterval {
 		return
 	}
-	need := d.mostUrgent()
-	if need == nil {
+	urgent := d.mostUrgent()
+	if urgent == nil {
 		return
 	}
 	at := -1
-	for i, f := range d.running {
-		if !f.job.work.Idempotent || f.job.work.Rank <= need.Rank {
+	for i, r := range d.running {
+		if !r.job.work.Idempotent || r.job.work.Rank <= urgent.Rank {
 			continue
 		}
-		if at < 0 || f.job.work.Rank >= d.running[at].job.work.Rank {
+		if at < 0 || r.job.work.Rank >= d.running[at].job.work.Rank {
 			at = i
 		}
 	}
 	if at < 0 {
 		return
 	}
-	f := d.running[at]
+	r := d.running[at]
 	d.running = slices.Delete(d.running, at, at+1)
 	d.lastCancel = d.now()
 	d.fleet.loop.after(hop, func() {
-		f.engine.cancelJob(f.job)
-		d.fleet.loop.after(hop, func() { d.handleCancelled(f) })
+		r.engine.cancelJob(r.job)
+		d.fleet.loop.after(hop, func() { d.handleCancelled(r) })
 	})
 }
 
 // mostUrgent returns the waiting work of the highest tier, then the oldest by ID, among
 // the work that has waited for half of its deadline.
 func (d *daemon) mostUrgent() *fireflypath.Work {
-	var need *fireflypath.Work
+	var urgent *fireflypath.Work
 	for w, r := range d.waiting {
 		if w.Rank >= len(d.fleet.mix.Tiers)-1 || 2*d.now().Sub(r.started) < r.arrival.Deadline {
 			continue
 		}
-		if need == nil || w.Rank < need.Rank || (w.Rank == need.Rank && w.ID < need.ID) {
-			need = w
+		if urgent == nil || w.Rank < urgent.Rank || (w.Rank == urgent.Rank && w.ID < urgent.ID) {
+			urgent = w
 		}
 	}
-	return need
+	return urgent
 }
 
-func (d *daemon) handleCancelled(f runningRequest) {
-	f.job.work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
-	d.fleet.tally.cancelled(f.request)
-	d.observe(fireflypath.Event{Kind: fireflypath.EventFailed, Target: f.engine.name, Work: f.job.work})
+func (d *daemon) handleCancelled(r runningRequest) {
+	r.job.work.Lifecycle.Transition(fireflypath.StateDispatched, fireflypath.StateFailed)
+	d.fleet.tally.cancelled(r.request)
+	d.observe(fireflypath.Event{Kind: fireflypath.EventFailed, Target: r.engine.name, Work: r.job.work})
 }
 
 // removeRunning removes a request that has finished.
 func (d *daemon) removeRunning(j *job) {
-	d.running = slices.DeleteFunc(d.running, func(f runningRequest) bool { return f.job == j })
+	d.running = slices.DeleteFunc(d.running, func(r runningRequest) bool { return r.job == j })
 }
 
 // cancelJob stops a job. A running prefill continues to its end, as in engines that
--- a/internal/trial/trial.go
+++ b/internal/trial/trial.go
@@ -44,7 +44,7 @@
 	// did not run because their deadline was out of reach.
 	Refused int `json:"refused"`
 	Expired int `json:"expired"`
-	// P50 and P99 are of the time from arrival to the end of the answer, First99 is of
+	// P50 and P99 are of the time from arrival to the end of the answer, FirstTokenP99 is of
 	// the time to the first token.
 	P50           float64 `json:"p50_ms"`
 	P99           float64 `json:"p99_ms"`
