--- a/internal/decide/fair/queue.go
+++ b/internal/decide/fair/queue.go
@@ -34,7 +34,7 @@
 	none       = int32(-1)
 )
 
-// Queue holds waiting requests by slot, a small number chosen by the caller. All
+// Queue holds waiting requests by id, a small number chosen by the caller. All
 // operations take at most logarithmic time in the number of teams.
 type Queue struct {
 	entries []entry
@@ -98,43 +98,43 @@
 	return &Queue{}
 }
 
-// Push adds a request under a slot that is not in use.
-func (q *Queue) Push(slot int32, w *fireflypath.Work) {
-	q.insert(slot, w, false)
+// Push adds a request under an id that is not in use.
+func (q *Queue) Push(id int32, w *fireflypath.Work) {
+	q.insert(id, w, false)
 }
 
 // Requeue puts a request at the head of its class queue, after an attempt of which nothing
 // was sent.
-func (q *Queue) Requeue(slot int32, w *fireflypath.Work) {
-	q.insert(slot, w, true)
+func (q *Queue) Requeue(id int32, w *fireflypath.Work) {
+	q.insert(id, w, true)
 }
 
-func (q *Queue) insert(slot int32, w *fireflypath.Work, front bool) {
-	for int(slot) >= len(q.entries) {
+func (q *Queue) insert(id int32, w *fireflypath.Work, front bool) {
+	for int(id) >= len(q.entries) {
 		q.entries = append(q.entries, entry{})
 	}
 	tr := &q.tiers[rankOf(w)]
 	t := q.activateTeam(tr, w)
 	cost := max(w.Cost.Tokens(), 1)
 	class := classOf(cost)
-	q.entries[slot] = entry{work: w, cost: cost, prev: none, next: none, team: t, class: class}
-	q.link(slot, &q.teams[t].classes[class], q.teams[t].virtualTime, front)
+	q.entries[id] = entry{work: w, cost: cost, prev: none, next: none, team: t, class: class}
+	q.link(id, &q.teams[t].classes[class], q.teams[t].virtualTime, front)
 	q.account(tr, t, cost, w.Bytes, 1)
 	q.sweepIdleTeams(tr)
 }
 
 // Remove takes the request out of the queue without charging its team.
-func (q *Queue) Remove(slot int32) {
-	q.remove(slot, false)
+func (q *Queue) Remove(id int32) {
+	q.remove(id, false)
 }
 
 // Serve takes the request out and charges its cost to its team and size class.
-func (q *Queue) Serve(slot int32) {
-	q.remove(slot, true)
+func (q *Queue) Serve(id int32) {
+	q.remove(id, true)
 }
 
-func (q *Queue) remove(slot int32, charge bool) {
-	e := &q.entries[slot]
+func (q *Queue) remove(id int32, charge bool) {
+	e := &q.entries[id]
 	tr := &q.tiers[rankOf(e.work)]
 	t := &q.teams[e.team]
 	if charge {
@@ -145,13 +145,13 @@
 		c.tag += float64(e.cost)
 		tr.byTag.update(q.teams, t.tagIndex, t.tag)
 	}
-	q.unlink(slot)
+	q.unlink(id)
 	q.account(tr, e.team, -e.cost, -e.work.Bytes, -1)
 	*e = entry{team: none}
 	q.sweepIdleTeams(tr)
 }
 
-// Head is the slot of the next request of a tier, or -1.
+// Head is the id of the next request of a tier, or -1.
 func (q *Queue) Head(rank int) int32 {
 	tr := &q.tiers[rank]
 	if tr.byTag.len() == 0 {
@@ -171,7 +171,7 @@
 	return t.classes[best].head
 }
 
-// Victim is the slot of the request to drop first in a tier, or -1: the newest one of the
+// Victim is the id of the request to drop first in a tier, or -1: the newest one of the
 // size class with most tokens, in the team with most tokens per weight. It would wait
 // longest and frees the most, so it has the least expected goodput for the room it takes.
 func (q *Queue) Victim(rank int) int32 {
@@ -189,9 +189,9 @@
 	return t.classes[best].tail
 }
 
-// Work is the request in a slot.
-func (q *Queue) Work(slot int32) *fireflypath.Work {
-	return q.entries[slot].work
+// Work is the request with the id.
+func (q *Queue) Work(id int32) *fireflypath.Work {
+	return q.entries[id].work
 }
 
 // Len is the number of waiting requests.
@@ -331,27 +331,27 @@
 	}
 }
 
-func (q *Queue) link(slot int32, c *classQueue, virtualTime float64, front bool) {
-	e := &q.entries[slot]
+func (q *Queue) link(id int32, c *classQueue, virtualTime float64, front bool) {
+	e := &q.entries[id]
 	c.tokens += e.cost
 	if c.head == none {
 		c.tag = max(c.tag, virtualTime)
-		c.head, c.tail = slot, slot
+		c.head, c.tail = id, id
 		return
 	}
 	if front {
 		e.next = c.head
-		q.entries[c.head].prev = slot
-		c.head = slot
+		q.entries[c.head].prev = id
+		c.head = id
 		return
 	}
 	e.prev = c.tail
-	q.entries[c.tail].next = slot
-	c.tail = slot
+	q.entries[c.tail].next = id
+	c.tail = id
 }
 
-func (q *Queue) unlink(slot int32) {
-	e := &q.entries[slot]
+func (q *Queue) unlink(id int32) {
+	e := &q.entries[id]
 	c := &q.teams[e.team].classes[e.class]
 	c.tokens -= e.cost
 	if e.prev == none {
--- a/internal/decide/fair/queue_test.go
+++ b/internal/decide/fair/queue_test.go
@@ -25,46 +25,46 @@
 		var waiting []int32
 		free := []int32{}
 		next, tokens := int32(0), 0
-		drop := func(slot int32) {
+		drop := func(id int32) {
 			for i, w := range waiting {
-				if w == slot {
+				if w == id {
 					waiting = append(waiting[:i], waiting[i+1:]...)
-					free = append(free, slot)
-					tokens -= q.Work(slot).Cost.Tokens()
+					free = append(free, id)
+					tokens -= q.Work(id).Cost.Tokens()
 					return
 				}
 			}
-			t.Fatalf("slot %d came out twice", slot)
+			t.Fatalf("id %d came out twice", id)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
 				team := fmt.Sprintf("t%d", rapid.IntRange(0, 40).Draw(t, "team"))
 				w := work(team, rapid.IntRange(0, 2).Draw(t, "rank"), rapid.IntRange(1, 5).Draw(t, "weight"),
 					rapid.IntRange(1, 40000).Draw(t, "cost"))
-				slot := next
+				id := next
 				if n := len(free); n > 0 {
-					slot, free = free[n-1], free[:n-1]
+					id, free = free[n-1], free[:n-1]
 				} else {
 					next++
 				}
-				q.Push(slot, w)
-				waiting = append(waiting, slot)
+				q.Push(id, w)
+				waiting = append(waiting, id)
 				tokens += w.Cost.Tokens()
 			},
 			"serve": func(t *rapid.T) {
 				for r := range Ranks {
-					if slot := q.Head(r); slot >= 0 {
-						drop(slot)
-						q.Serve(slot)
+					if id := q.Head(r); id >= 0 {
+						drop(id)
+						q.Serve(id)
 						return
 					}
 				}
 			},
 			"shed": func(t *rapid.T) {
 				for r := Ranks - 1; r >= 0; r-- {
-					if slot := q.Victim(r); slot >= 0 {
-						drop(slot)
-						q.Remove(slot)
+					if id := q.Victim(r); id >= 0 {
+						drop(id)
+						q.Remove(id)
 						return
 					}
 				}
@@ -80,8 +80,8 @@
 				}
 			},
 		})
-		for _, slot := range waiting {
-			q.Remove(slot)
+		for _, id := range waiting {
+			q.Remove(id)
 		}
 		for i := range 200 {
 			q.Push(next, work("last", i%3, 1, 1))
@@ -101,10 +101,10 @@
 		q := New()
 		teams := rapid.IntRange(2, 6).Draw(t, "teams")
 		weights, served := make([]int, teams), make([]float64, teams)
-		slots := int32(0)
+		nextID := int32(0)
 		push := func(i int) {
-			q.Push(slots, work(fmt.Sprint(i), 0, weights[i], rapid.IntRange(1, largest).Draw(t, "cost")))
-			slots++
+			q.Push(nextID, work(fmt.Sprint(i), 0, weights[i], rapid.IntRange(1, largest).Draw(t, "cost")))
+			nextID++
 		}
 		for i := range teams {
 			weights[i] = rapid.IntRange(1, 4).Draw(t, "weight")
@@ -113,13 +113,13 @@
 			}
 		}
 		for range 100 {
-			slot := q.Head(0)
-			w := q.Work(slot)
+			id := q.Head(0)
+			w := q.Work(id)
 			var i int
 			if _, err := fmt.Sscan(w.Team, &i); err != nil {
 				t.Fatal(err)
 			}
-			q.Serve(slot)
+			q.Serve(id)
 			served[i] += float64(w.Cost.Tokens()) / float64(weights[i])
 			push(i)
 			for a := range teams {
@@ -146,13 +146,13 @@
 	}
 	short, long := 0, 0
 	for range 210 {
-		slot := q.Head(0)
-		if q.Work(slot).Cost.Prompt == 300 {
+		id := q.Head(0)
+		if q.Work(id).Cost.Prompt == 300 {
 			short++
 		} else {
 			long++
 		}
-		q.Serve(slot)
+		q.Serve(id)
 	}
 	is.True(short > 200) // classes get equal tokens: 100 short requests per long one
 	is.True(long >= 2)
@@ -163,20 +163,20 @@
 func TestIdleTeamKeepsItsTag(t *testing.T) {
 	is := is.New(t)
 	q := New()
-	slot := int32(100)
+	id := int32(100)
 	for i := range int32(50) {
 		q.Push(i, work("steady", 0, 1, 1000))
 	}
 	bursty, steady := 0, 0
-	q.Push(slot, work("bursty", 0, 1, 10000))
+	q.Push(id, work("bursty", 0, 1, 10000))
 	for range 40 {
 		s := q.Head(0)
 		w := q.Work(s)
 		q.Serve(s)
 		if w.Team == "bursty" {
 			bursty += w.Cost.Prompt
-			slot++
-			q.Push(slot, work("bursty", 0, 1, 10000))
+			id++
+			q.Push(id, work("bursty", 0, 1, 10000))
 		} else {
 			steady += w.Cost.Prompt
 		}
