--- a/internal/decide/sched/admit.go
+++ b/internal/decide/sched/admit.go
@@ -34,7 +34,7 @@
 // Offer queues new work. It appends to out the work that is shed as a result:
 // the new work itself or lower-tier work displaced by it.
 func (s *Scheduler) Offer(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
-	if _, ok := s.slotOf[w]; ok {
+	if _, ok := s.idOf[w]; ok {
 		return out
 	}
 	s.drainRate.Advance(now, s.queue.Len() > 0)
@@ -56,14 +56,14 @@
 	if s.startsTooLate(now, w, latest) {
 		return s.refuseLate(now, w, out)
 	}
-	slot := s.allocSlot(w)
-	it := &s.items[slot]
+	id := s.allocItem(w)
+	it := &s.items[id]
 	it.phase = phaseWaiting
 	for i := 0; i <= r; i++ {
 		it.requestsAhead += s.queue.Requests(i)
 	}
-	s.queue.Push(slot, w)
-	s.pushStart(slot, latest)
+	s.queue.Push(id, w)
+	s.pushStart(id, latest)
 	return s.enforceLimits(now, out)
 }
 
@@ -79,24 +79,24 @@
 // Withdraw removes waiting work and reports whether it was waiting here. It
 // also releases work that Next returned but its owner did not send.
 func (s *Scheduler) Withdraw(now time.Time, w *fireflypath.Work) bool {
-	slot, ok := s.slotOf[w]
+	id, ok := s.idOf[w]
 	if !ok {
 		return false
 	}
-	switch s.items[slot].phase {
+	switch s.items[id].phase {
 	case phaseWaiting:
 		s.drainRate.Advance(now, true)
-		s.removeWaiting(slot)
-		s.freeSlot(slot)
+		s.removeWaiting(id)
+		s.freeItem(id)
 		return true
 	case phaseExpired:
-		s.expired = slices.DeleteFunc(s.expired, func(d int32) bool { return d == slot })
-		s.freeSlot(slot)
+		s.expired = slices.DeleteFunc(s.expired, func(d int32) bool { return d == id })
+		s.freeItem(id)
 		return true
 	case phaseInFlight:
 		if st := w.Lifecycle.State(); st != fireflypath.StateDispatched {
-			s.endFlight(now, slot)
-			s.freeSlot(slot)
+			s.endFlight(now, id)
+			s.freeItem(id)
 		}
 	case phaseFree:
 	}
@@ -195,11 +195,11 @@
 func (s *Scheduler) refuseLate(now time.Time, w *fireflypath.Work, out []fireflypath.Shed) []fireflypath.Shed {
 	shed := s.lateShed(now, w)
 	if shed.Relief {
-		slot := s.allocSlot(w)
-		s.items[slot].phase = phaseWaiting
-		s.items[slot].reliefAsked = now
-		s.queue.Push(slot, w)
-		s.pushStart(slot, s.latestStart(w))
+		id := s.allocItem(w)
+		s.items[id].phase = phaseWaiting
+		s.items[id].reliefAsked = now
+		s.queue.Push(id, w)
+		s.pushStart(id, s.latestStart(w))
 	}
 	return append(out, shed)
 }
@@ -228,8 +228,8 @@
 func (s *Scheduler) enforceLimits(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	for s.queue.Len() > s.cfg.Pool.Requests || s.queue.Bytes() > s.cfg.Pool.Bytes {
 		r := s.lowestWaiting(-1)
-		slot := s.queue.Victim(r)
-		it := &s.items[slot]
+		id := s.queue.Victim(r)
+		it := &s.items[id]
 		relief := r < s.cfg.LowestRank
 		if relief && now.Sub(it.reliefAsked) < reliefInterval {
 			return out
@@ -239,8 +239,8 @@
 			it.reliefAsked = now
 			return out
 		}
-		s.removeWaiting(slot)
-		s.freeSlot(slot)
+		s.removeWaiting(id)
+		s.freeItem(id)
 	}
 	return out
 }
--- a/internal/decide/sched/choose.go
+++ b/internal/decide/sched/choose.go
@@ -22,12 +22,12 @@
 // choose selects the target for work. It returns false if the work would miss
 // its deadline at every available target, or if it is a long prefill that must
 // wait for others to end.
-func (s *Scheduler) choose(now time.Time, slot int32, p *fireflypath.Placement) bool {
-	it := &s.items[slot]
+func (s *Scheduler) choose(now time.Time, id int32, p *fireflypath.Placement) bool {
+	it := &s.items[id]
 	w := it.work
 	s.collectOptions(now, w, p)
 	if len(s.options) == 0 {
-		s.addOverLimitOptions(now, slot, p)
+		s.addOverLimitOptions(now, id, p)
 	}
 	if len(s.options) == 0 {
 		return false
--- a/internal/decide/sched/dispatch.go
+++ b/internal/decide/sched/dispatch.go
@@ -64,27 +64,27 @@
 	firstDeferred := none
 	found := false
 	for !found && len(s.deferred) < maxDeferred {
-		slot := s.queue.Head(r)
-		if slot == none {
+		id := s.queue.Head(r)
+		if id == none {
 			break
 		}
-		if s.dropUnservable(now, slot) {
+		if s.dropUnservable(now, id) {
 			continue
 		}
-		s.findHolders(s.items[slot].work)
-		waitForCache := s.worthWaitingForCache(now, slot, s.availableDepth())
-		if !waitForCache && !s.choose(now, slot, p) {
-			s.postpone(slot)
+		s.findHolders(s.items[id].work)
+		waitForCache := s.worthWaitingForCache(now, id, s.availableDepth())
+		if !waitForCache && !s.choose(now, id, p) {
+			s.postpone(id)
 			continue
 		}
-		if waitForCache || s.worthWaitingForCache(now, slot, s.cachedTokens(s.choice.Target)/blockTokens) {
+		if waitForCache || s.worthWaitingForCache(now, id, s.cachedTokens(s.choice.Target)/blockTokens) {
 			if firstDeferred == none {
-				firstDeferred = slot
+				firstDeferred = id
 			}
-			s.postpone(slot)
+			s.postpone(id)
 			continue
 		}
-		s.dispatch(now, slot, p)
+		s.dispatch(now, id, p)
 		found = true
 	}
 	for i := len(s.deferred) - 1; i >= 0; i-- {
@@ -103,32 +103,32 @@
 
 // dropUnservable removes an item from the queue if its work is no longer
 // waiting or has passed its latest start.
-func (s *Scheduler) dropUnservable(now time.Time, slot int32) bool {
-	it := &s.items[slot]
+func (s *Scheduler) dropUnservable(now time.Time, id int32) bool {
+	it := &s.items[id]
 	if it.work.Lifecycle.State() != fireflypath.StateWaiting {
-		s.removeWaiting(slot)
-		s.freeSlot(slot)
+		s.removeWaiting(id)
+		s.freeItem(id)
 		return true
 	}
 	if !it.latestStart.After(now) {
-		s.markExpired(slot)
+		s.markExpired(id)
 		return true
 	}
 	return false
 }
 
 // postpone takes an item out of the queue until the end of the decision.
-func (s *Scheduler) postpone(slot int32) {
-	s.queue.Remove(slot)
-	s.deferred = append(s.deferred, slot)
+func (s *Scheduler) postpone(id int32) {
+	s.queue.Remove(id)
+	s.deferred = append(s.deferred, id)
 }
 
 // worthWaitingForCache reports whether another target has so many more blocks
 // of the prompt cached than the given number that waiting for it is still
 // worthwhile. It is checked before the available targets are scored, to keep
 // deferring cheap, and again for the chosen target.
-func (s *Scheduler) worthWaitingForCache(now time.Time, slot int32, blocks int) bool {
-	it := &s.items[slot]
+func (s *Scheduler) worthWaitingForCache(now time.Time, id int32, blocks int) bool {
+	it := &s.items[id]
 	if len(s.prefixDepths) == 0 || s.urgent(now, it) {
 		return false
 	}
@@ -163,11 +163,11 @@
 
 // dispatch removes an item from the queue, counts it as in flight at the chosen
 // target and fills in the placement.
-func (s *Scheduler) dispatch(now time.Time, slot int32, p *fireflypath.Placement) {
-	it := &s.items[slot]
-	s.queue.Serve(slot)
-	s.removeStart(slot)
-	s.startFlight(now, slot)
+func (s *Scheduler) dispatch(now time.Time, id int32, p *fireflypath.Placement) {
+	it := &s.items[id]
+	s.queue.Serve(id)
+	s.removeStart(id)
+	s.startFlight(now, id)
 	p.Work = it.work
 	p.Target = s.targets[it.target].Name
 	p.Waited = now.Sub(it.work.Arrived)
@@ -181,8 +181,8 @@
 	if len(s.startHeap) > 0 {
 		wakeAt = s.items[s.startHeap[0]].latestStart
 	}
-	for _, slot := range s.expired {
-		if due := s.items[slot].reliefAsked.Add(expiredReliefInterval); wakeAt.IsZero() || due.Before(wakeAt) {
+	for _, id := range s.expired {
+		if due := s.items[id].reliefAsked.Add(expiredReliefInterval); wakeAt.IsZero() || due.Before(wakeAt) {
 			wakeAt = due
 		}
 	}
--- a/internal/decide/sched/expire.go
+++ b/internal/decide/sched/expire.go
@@ -22,20 +22,20 @@
 func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	s.drainRate.Advance(now, s.queue.Len() > 0)
 	for len(s.startHeap) > 0 && !s.items[s.startHeap[0]].latestStart.After(now) {
-		slot := s.startHeap[0]
-		latest := s.latestStart(s.items[slot].work)
+		id := s.startHeap[0]
+		latest := s.latestStart(s.items[id].work)
 		if latest.After(now) {
-			s.removeStart(slot)
-			s.pushStart(slot, latest)
+			s.removeStart(id)
+			s.pushStart(id, latest)
 			continue
 		}
-		s.markExpired(slot)
+		s.markExpired(id)
 	}
 	pending := s.expired[:0]
-	for _, slot := range s.expired {
+	for _, id := range s.expired {
 		keepItem := false
-		if out, keepItem = s.refuseExpired(now, slot, out); keepItem {
-			pending = append(pending, slot)
+		if out, keepItem = s.refuseExpired(now, id, out); keepItem {
+			pending = append(pending, id)
 		}
 	}
 	s.expired = pending
@@ -43,21 +43,21 @@
 }
 
 // markExpired moves an item from the queue to the list that Expire returns.
-func (s *Scheduler) markExpired(slot int32) {
-	s.removeWaiting(slot)
-	s.items[slot].phase = phaseExpired
-	s.expired = append(s.expired, slot)
+func (s *Scheduler) markExpired(id int32) {
+	s.removeWaiting(id)
+	s.items[id].phase = phaseExpired
+	s.expired = append(s.expired, id)
 }
 
 // refuseExpired sheds work whose latest start has passed. A caller of a higher
 // tier must not be refused while lower-tier work waits here or at peers, so
 // peers are asked first to shed theirs. Meanwhile the item is kept for its
 // owner to withdraw, and refuseExpired returns true.
-func (s *Scheduler) refuseExpired(now time.Time, slot int32, out []fireflypath.Shed) ([]fireflypath.Shed, bool) {
-	it := &s.items[slot]
+func (s *Scheduler) refuseExpired(now time.Time, id int32, out []fireflypath.Shed) ([]fireflypath.Shed, bool) {
+	it := &s.items[id]
 	w := it.work
 	if it.phase != phaseExpired || w.Lifecycle.State() != fireflypath.StateWaiting {
-		s.freeSlot(slot)
+		s.freeItem(id)
 		return out, false
 	}
 	if now.Sub(it.reliefAsked) < expiredReliefInterval {
@@ -65,9 +65,9 @@
 	}
 	shed := s.lateShed(now, w)
 	shed.Detail = fmt.Sprintf("waited %v and can no longer end in time", now.Sub(w.Arrived).Round(time.Millisecond))
-	s.items[slot].reliefAsked = now
+	s.items[id].reliefAsked = now
 	if !shed.Relief {
-		s.freeSlot(slot)
+		s.freeItem(id)
 	}
 	return append(out, shed), shed.Relief
 }
@@ -88,17 +88,17 @@
 		if r < 0 {
 			break
 		}
-		slot := s.queue.Victim(r)
-		w := s.items[slot].work
+		id := s.queue.Victim(r)
+		w := s.items[id].work
 		freed += max(w.Cost.Tokens(), 1)
-		s.removeWaiting(slot)
+		s.removeWaiting(id)
 		out = append(out, fireflypath.Shed{
 			Work:       w,
 			Reason:     fireflypath.ReasonFull,
 			RetryAfter: s.retryAfter(now, w, freed),
 			Detail:     fmt.Sprintf("gave way to work of rank %d", rank),
 		})
-		s.freeSlot(slot)
+		s.freeItem(id)
 	}
 	return out
 }
--- a/internal/decide/sched/in_flight.go
+++ b/internal/decide/sched/in_flight.go
@@ -10,8 +10,8 @@
 const overdueFactor = 3
 
 // startFlight counts an item as in flight at the chosen target.
-func (s *Scheduler) startFlight(now time.Time, slot int32) {
-	it, t := &s.items[slot], &s.targets[s.choice.Target]
+func (s *Scheduler) startFlight(now time.Time, id int32) {
+	it, t := &s.items[id], &s.targets[s.choice.Target]
 	w := it.work
 	it.phase = phaseInFlight
 	it.target, it.dispatchedAt, it.firstTokenAt = s.choice.Target, now, time.Time{}
@@ -57,8 +57,8 @@
 }
 
 // endFlight counts an item as no longer in flight.
-func (s *Scheduler) endFlight(now time.Time, slot int32) {
-	it := &s.items[slot]
+func (s *Scheduler) endFlight(now time.Time, id int32) {
+	it := &s.items[id]
 	t := &s.targets[it.target]
 	t.requests--
 	t.tokens -= it.work.Cost.Tokens()
--- a/internal/decide/sched/observe.go
+++ b/internal/decide/sched/observe.go
@@ -58,23 +58,23 @@
 	s.updateAvailability(i)
 }
 
-// inFlightSlot returns the slot of work in flight at target i, and false if it
-// is not in flight there.
-func (s *Scheduler) inFlightSlot(i int32, w *fireflypath.Work) (int32, bool) {
-	slot, ok := s.slotOf[w]
-	if !ok || s.items[slot].phase != phaseInFlight || s.items[slot].target != i {
+// inFlightID returns the item id of work in flight at target i, and false if
+// it is not in flight there.
+func (s *Scheduler) inFlightID(i int32, w *fireflypath.Work) (int32, bool) {
+	id, ok := s.idOf[w]
+	if !ok || s.items[id].phase != phaseInFlight || s.items[id].target != i {
 		return none, false
 	}
-	return slot, true
+	return id, true
 }
 
 // observeFirst learns the prefill speed from the first token of an answer.
 func (s *Scheduler) observeFirst(now time.Time, i int32, e fireflypath.Event) {
-	slot, ok := s.inFlightSlot(i, e.Work)
-	if !ok || !s.items[slot].firstTokenAt.IsZero() {
+	id, ok := s.inFlightID(i, e.Work)
+	if !ok || !s.items[id].firstTokenAt.IsZero() {
 		return
 	}
-	it, t := &s.items[slot], &s.targets[i]
+	it, t := &s.items[id], &s.targets[i]
 	it.firstTokenAt = now
 	s.endPrefill(now, it, t)
 	uncached := it.uncached
@@ -93,14 +93,14 @@
 // observeDone learns the decode speed and the accuracy of the estimate from a
 // complete answer, and frees the item.
 func (s *Scheduler) observeDone(now time.Time, i int32, e fireflypath.Event) {
-	slot, ok := s.inFlightSlot(i, e.Work)
+	id, ok := s.inFlightID(i, e.Work)
 	if !ok {
 		return
 	}
-	if s.items[slot].firstTokenAt.IsZero() {
+	if s.items[id].firstTokenAt.IsZero() {
 		s.observeFirst(now, i, e)
 	}
-	it, t := &s.items[slot], &s.targets[i]
+	it, t := &s.items[id], &s.targets[i]
 	took := now.Sub(it.firstTokenAt)
 	if t.speed.DecodeRate() > 0 && e.Tokens > 1 {
 		s.recordSlowness(now, t, took.Seconds(), float64(e.Tokens-1)/t.speed.DecodeRate())
@@ -112,8 +112,8 @@
 	}
 	s.margin.Observe(now.Sub(it.dispatchedAt), it.expected)
 	t.window.ObserveAnswer()
-	s.endFlight(now, slot)
-	s.freeSlot(slot)
+	s.endFlight(now, id)
+	s.freeItem(id)
 }
 
 // recordSlowness records the ratio of an answer's actual to expected time in
@@ -136,20 +136,20 @@
 
 // observeUnsent puts work that was not sent back at the front of the queue.
 func (s *Scheduler) observeUnsent(now time.Time, i int32, e fireflypath.Event) {
-	slot, ok := s.inFlightSlot(i, e.Work)
+	id, ok := s.inFlightID(i, e.Work)
 	if !ok {
 		return
 	}
 	s.targets[i].slow.ObserveFailure(now)
-	s.endFlight(now, slot)
+	s.endFlight(now, id)
 	w := e.Work
 	if w.Lifecycle.State() != fireflypath.StateWaiting {
-		s.freeSlot(slot)
+		s.freeItem(id)
 		return
 	}
-	s.items[slot].phase = phaseWaiting
-	s.queue.Requeue(slot, w)
-	s.pushStart(slot, s.latestStart(w))
+	s.items[id].phase = phaseWaiting
+	s.queue.Requeue(id, w)
+	s.pushStart(id, s.latestStart(w))
 }
 
 // observeFailure handles a failed or refused request.
@@ -161,14 +161,14 @@
 		t.slow.ObserveAnswer(now, failedSlowness, s.avgSlowness)
 		s.limitEjections(t)
 	}
-	if slot, ok := s.inFlightSlot(i, e.Work); ok {
-		s.endFlight(now, slot)
-		s.freeSlot(slot)
+	if id, ok := s.inFlightID(i, e.Work); ok {
+		s.endFlight(now, id)
+		s.freeItem(id)
 	}
 }
 
-// observeStaying discards what was learned about a target's window and slowness
-// when it returns to service.
+// observeStaying handles a target that is not leaving after all: it discards
+// what was learned about the target's window and slowness.
 func (s *Scheduler) observeStaying(i int32) {
 	t := &s.targets[i]
 	t.leaving = false
--- a/internal/decide/sched/property_test.go
+++ b/internal/decide/sched/property_test.go
@@ -142,7 +142,7 @@
 	}
 	requests := 0
 	for w := range m.waiting {
-		if s := m.scheduler.items[m.scheduler.slotOf[w]]; s.phase == phaseWaiting {
+		if s := m.scheduler.items[m.scheduler.idOf[w]]; s.phase == phaseWaiting {
 			waiting -= w.Cost.Tokens()
 		}
 		requests++
@@ -153,7 +153,7 @@
 	if waiting != 0 || running != 0 {
 		t.Fatalf("scheduler and model differ by %d waiting and %d running tokens", waiting, running)
 	}
-	if n := len(m.scheduler.slotOf); n != requests+len(m.inFlight) {
+	if n := len(m.scheduler.idOf); n != requests+len(m.inFlight) {
 		t.Fatalf("scheduler holds %d requests, want %d", n, requests+len(m.inFlight))
 	}
 	if free := requests - len(m.awaitingRelief); free > modelMaxRequests {
--- a/internal/decide/sched/sched.go
+++ b/internal/decide/sched/sched.go
@@ -1,5 +1,6 @@
 // Package sched implements the scheduler of one pool on one daemon on top of the
-// decision modules.
+// other packages in decide. It learns how many requests each target may hold at
+// once; package slots uses the number of slots that targets report instead.
 package sched
 
 import (
@@ -29,7 +30,7 @@
 	// rateHorizon is the averaging time of drain and arrival rates. It is long
 	// compared with the run time of a request and short compared with a burst.
 	rateHorizon = 10 * time.Second
-	// none marks a missing slot, target or position.
+	// none marks a missing item, target or position.
 	none = int32(-1)
 )
 
@@ -61,9 +62,9 @@
 	margin      deadline.Margin
 	rng         *rand.Rand
 
-	items     []item
-	freeSlots []int32
-	slotOf    map[*fireflypath.Work]int32
+	items   []item
+	freeIDs []int32
+	idOf    map[*fireflypath.Work]int32
 	// startHeap is a min-heap of waiting items, ordered by latest start time.
 	startHeap []int32
 	// expired lists work that passed its latest start; Expire returns it.
@@ -172,7 +173,7 @@
 		reserve:      reserve.New(),
 		longPrefills: longprefill.New(),
 		rng:          rand.New(rand.NewPCG(cfg.Seed, 2)),
-		slotOf:       make(map[*fireflypath.Work]int32),
+		idOf:         make(map[*fireflypath.Work]int32),
 		targetIndex:  make(map[string]int32),
 		share:        fireflypath.Share{Default: 1},
 		drainRate:    rate.Meter{TimeConstant: rateHorizon},
@@ -186,32 +187,32 @@
 	return s
 }
 
-// allocSlot allocates an item for work and returns its slot.
-func (s *Scheduler) allocSlot(w *fireflypath.Work) int32 {
-	var slot int32
-	if n := len(s.freeSlots); n > 0 {
-		slot = s.freeSlots[n-1]
-		s.freeSlots = s.freeSlots[:n-1]
+// allocItem allocates an item for work and returns its id.
+func (s *Scheduler) allocItem(w *fireflypath.Work) int32 {
+	var id int32
+	if n := len(s.freeIDs); n > 0 {
+		id = s.freeIDs[n-1]
+		s.freeIDs = s.freeIDs[:n-1]
 	} else {
 		s.items = append(s.items, item{})
-		slot = int32(len(s.items) - 1)
+		id = int32(len(s.items) - 1)
 	}
-	s.items[slot] = item{work: w, heapPos: none, target: none}
-	s.slotOf[w] = slot
-	return slot
+	s.items[id] = item{work: w, heapPos: none, target: none}
+	s.idOf[w] = id
+	return id
 }
 
-// freeSlot frees an item's slot for reuse.
-func (s *Scheduler) freeSlot(slot int32) {
-	delete(s.slotOf, s.items[slot].work)
-	s.items[slot] = item{}
-	s.freeSlots = append(s.freeSlots, slot)
+// freeItem frees an item's id for reuse.
+func (s *Scheduler) freeItem(id int32) {
+	delete(s.idOf, s.items[id].work)
+	s.items[id] = item{}
+	s.freeIDs = append(s.freeIDs, id)
 }
 
 // removeWaiting removes a waiting item from the queue and the start heap.
-func (s *Scheduler) removeWaiting(slot int32) {
-	s.queue.Remove(slot)
-	s.removeStart(slot)
+func (s *Scheduler) removeWaiting(id int32) {
+	s.queue.Remove(id)
+	s.removeStart(id)
 }
 
 // rankOf returns the work's rank, limited to the ranks that the queue has.
--- a/internal/decide/sched/start_heap.go
+++ b/internal/decide/sched/start_heap.go
@@ -3,20 +3,20 @@
 import "time"
 
 // pushStart adds an item to the heap of latest start times.
-func (s *Scheduler) pushStart(slot int32, latest time.Time) {
-	s.items[slot].latestStart = latest
-	s.startHeap = append(s.startHeap, slot)
-	s.items[slot].heapPos = int32(len(s.startHeap) - 1)
+func (s *Scheduler) pushStart(id int32, latest time.Time) {
+	s.items[id].latestStart = latest
+	s.startHeap = append(s.startHeap, id)
+	s.items[id].heapPos = int32(len(s.startHeap) - 1)
 	s.siftUp(len(s.startHeap) - 1)
 }
 
 // removeStart removes an item from the heap if it is there.
-func (s *Scheduler) removeStart(slot int32) {
-	at := int(s.items[slot].heapPos)
+func (s *Scheduler) removeStart(id int32) {
+	at := int(s.items[id].heapPos)
 	if at < 0 {
 		return
 	}
-	s.items[slot].heapPos = none
+	s.items[id].heapPos = none
 	n := len(s.startHeap) - 1
 	last := s.startHeap[n]
 	s.startHeap = s.startHeap[:n]
--- a/internal/decide/sched/urgency.go
+++ b/internal/decide/sched/urgency.go
@@ -37,8 +37,8 @@
 // work in a quiet period are released too late for it. One more request in the
 // target's own queue starts after the next answer there, and all daemons
 // together cause about nine times as many of those as this one sees.
-func (s *Scheduler) addOverLimitOptions(now time.Time, slot int32, p *fireflypath.Placement) {
-	it := &s.items[slot]
+func (s *Scheduler) addOverLimitOptions(now time.Time, id int32, p *fireflypath.Placement) {
+	it := &s.items[id]
 	if rankOf(it.work) >= s.cfg.LowestRank || !s.riskAllowed(it.work) || !s.urgent(now, it) {
 		return
 	}
