--- a/internal/decide/remote/expire.go
+++ b/internal/decide/remote/expire.go
@@ -6,7 +6,7 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Expire appends the waiting requests that have expired.
+// Expire removes the waiting requests that have expired and appends their refusals.
 func (s *Scheduler) Expire(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
 	out = s.Local.Expire(now, out)
 	for n, w := range s.pending {
--- a/internal/decide/remote/remote.go
+++ b/internal/decide/remote/remote.go
@@ -28,8 +28,8 @@
 	EachInFlight(fn func(w *fireflypath.Work, target string, sent time.Time, began bool))
 }
 
-// replyGrace is how long after its expiry a request is kept if the dispatcher has not
-// decided on it: the refusal may be on the way.
+// replyGrace is how long a request on which the dispatcher has not decided is kept after
+// its caller gives up: the refusal may be on the way.
 const replyGrace = 50 * time.Millisecond
 
 // Scheduler implements fireflypath.Scheduler. It is not safe for concurrent use.
@@ -122,7 +122,7 @@
 	return out
 }
 
-// UpdateReady signals that there is news for the dispatcher.
+// UpdateReady signals that there is an update for the dispatcher.
 func (s *Scheduler) UpdateReady() <-chan struct{} { return s.updateReady }
 
 func (s *Scheduler) signal() {
@@ -138,7 +138,7 @@
 // HasPending reports whether requests wait for the dispatcher.
 func (s *Scheduler) HasPending() bool { return len(s.pending) > 0 }
 
-// TakeUpdate takes the messages not yet sent to the dispatcher.
+// TakeUpdate returns and clears the update not yet sent to the dispatcher.
 func (s *Scheduler) TakeUpdate() fireflypath.DispatchUpdate {
 	out := s.outbox
 	s.outbox = fireflypath.DispatchUpdate{}
