--- a/internal/decide/reserve/reserve.go
+++ b/internal/decide/reserve/reserve.go
@@ -18,8 +18,8 @@
 	// arrivalWindow is the time constant of the arrival rates: a few times the longest run
 	// of short requests.
 	arrivalWindow = 10 * time.Second
-	// slotTimeWeight is the weight of a new hold time in the average, which covers about
-	// fifty requests.
+	// slotTimeWeight is the weight of a new sample of the slot time in the average, which
+	// covers about fifty requests.
 	slotTimeWeight = 0.02
 	// deviations is how many standard deviations of the number in flight are kept free;
 	// one is enough for Poisson arrivals five times out of six.
@@ -27,9 +27,10 @@
 )
 
 // Reserve estimates the slots that each tier needs by Little's law: arrivals per second
-// times the time for which a request holds a slot.
+// times the time for which a request occupies a slot.
 type Reserve struct {
 	arrivals [fair.Ranks]rate.Meter
+	// slotTime is the moving average of how long a request occupies a slot, in seconds.
 	slotTime [fair.Ranks]float64
 	running  [fair.Ranks]int
 }
