--- a/internal/decide/rate/meter.go
+++ b/internal/decide/rate/meter.go
@@ -1,6 +1,7 @@
-// Package rate measures tokens per second over the last seconds.
+// Package rate measures rates, such as tokens or requests per second, over the last
+// seconds.
 //
-// It is used to predict when there will be room. A fixed Retry-After is right for one load
+// They are used, among others, to predict when there will be room. A fixed Retry-After is right for one load
 // only: with others, callers come back to a full queue or stay away from an empty one.
 package rate
 
