--- a/internal/decide/ratelease/ratelease.go
+++ b/internal/decide/ratelease/ratelease.go
@@ -3,7 +3,8 @@
 // It is for a team whose callers are spread unevenly over many daemons. Fixed parts would
 // refuse requests at one daemon while another leaves its part unused, and copies of one
 // token bucket must learn of all use at once, which is too much to exchange in a large
-// fleet. So one daemon holds the rate and leases parts of it for a short time.
+// fleet. So one daemon, the quota's coordinator, holds the rate and leases parts of it for
+// a short time.
 package ratelease
 
 import (
