--- a/internal/decide/quota/quota.go
+++ b/internal/decide/quota/quota.go
@@ -136,7 +136,7 @@
 	return min(reservePerTier*float64(tiersBelow), maxReserve)
 }
 
-// AddUse counts use that was granted elsewhere; it is not deducted from the level here.
+// AddUse counts use that was granted without limit, and does not deduct it from the level.
 func (b *Bucket) AddUse(now time.Time, n float64) {
 	b.refill(now)
 	b.used += n
