--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -1,5 +1,6 @@
-// Package quarantine detects poison requests, which crash the targets that run them, together
-// with the other daemons, and holds them.
+// Package quarantine holds poison requests, which crash the targets that run them, at all
+// daemons. Package poison decides which requests these are; this package collects the crashes
+// that daemons observe, and spreads and stores the verdicts.
 package quarantine
 
 import (
