--- a/internal/gate/forward.go
+++ b/internal/gate/forward.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// defaultRetryAfter is the retry delay for callers whose request was refused by
-	// a target: new requests are routed elsewhere by then.
+	// defaultRetryAfter is the retry delay for callers whose request did not run, unless
+	// the refusal has its own: new requests are routed elsewhere by then.
 	defaultRetryAfter = 300 * time.Millisecond
 	// maxUnsentAttempts is the number of targets tried without sending a byte.
 	maxUnsentAttempts = 4
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -59,7 +59,7 @@
 type Gate struct {
 	deps    Deps
 	headers fireflypath.Headers
-	// droppedHeaders are the headers of callers that are not forwarded.
+	// droppedHeaders are the headers of callers' requests that are not forwarded.
 	droppedHeaders map[string]bool
 	tables         table.Cache
 	metrics        *metrics
--- a/internal/gate/metrics.go
+++ b/internal/gate/metrics.go
@@ -77,7 +77,8 @@
 	return c.firstByte.After(c.firstByteDeadline()) || gap > 0 && c.maxGap > gap
 }
 
-// mayHaveUsedQuota reports whether the request may have run.
+// mayHaveUsedQuota reports whether the request was served or may have run, so that the units
+// taken for it are not refunded.
 func (c *call) mayHaveUsedQuota() bool {
 	return c.mayHaveRun || c.refusal == nil
 }
