--- a/internal/daemon/backends.go
+++ b/internal/daemon/backends.go
@@ -53,16 +53,16 @@
 func (d *Daemon) onTargetLeaving(target, why string) {
 	d.deps.Log.Info("target leaves", zap.String("target", target), zap.String("why", why))
 	d.pools.TargetLeaving(target, why)
-	if d.deps.SpreadLeaving != nil && why != string(evidence.SourcePeers) {
-		d.deps.SpreadLeaving(target, why)
+	if d.deps.BroadcastLeaving != nil && why != string(evidence.SourcePeers) {
+		d.deps.BroadcastLeaving(target, why)
 	}
 }
 
 func (d *Daemon) onTargetStaying(target string) {
 	d.deps.Log.Info("target is back", zap.String("target", target))
 	d.pools.TargetStaying(target)
-	if d.deps.SpreadStaying != nil {
-		d.deps.SpreadStaying(target)
+	if d.deps.BroadcastStaying != nil {
+		d.deps.BroadcastStaying(target)
 	}
 }
 
--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -112,12 +112,12 @@
 
 // LendForRelief implements relief.Windows.
 func (w reliefWindows) LendForRelief(pool string, rank, tokens int) float64 {
-	return w.d.exchange.LendForRelief(pool, rank, tokens)
+	return w.d.windowShares.LendForRelief(pool, rank, tokens)
 }
 
 // Borrow implements relief.Windows.
-func (w reliefWindows) Borrow(pool string, asked time.Time, part float64) {
-	w.d.exchange.Borrow(pool, asked, part)
+func (w reliefWindows) Borrow(pool string, asked time.Time, fraction float64) {
+	w.d.windowShares.Borrow(pool, asked, fraction)
 }
 
 // orders sends orders to targets or forwards them to the daemon that holds the order lease.
@@ -169,15 +169,15 @@
 		s := configsync.New(d.registry, d.members, d.peers, log)
 		d.background.Go(func() { _ = s.Run(d.ctx) })
 	}
-	single := d.deps.Store == nil && len(d.cfg.Peers.Seeds) == 0
-	d.exchange = windowshare.New(d.members, d.peers, d.deps.Configs,
-		&sharedLimits{d.pools, &d.rules, d.deps.Configs, clock}, single, clock, d.scope)
-	d.pools.SetInitialShare(d.exchange.InitialShare)
+	standalone := d.deps.Store == nil && len(d.cfg.Peers.Seeds) == 0
+	d.windowShares = windowshare.New(d.members, d.peers, d.deps.Configs,
+		&sharedLimits{d.pools, &d.rules, d.deps.Configs, clock}, standalone, clock, d.scope)
+	d.pools.SetInitialShare(d.windowShares.InitialShare)
 	d.leavingTracker = leaving.New(d.cfg.Name, d.cellSize, d.peers, d.reportLeavingByPeers, d.reportStayingByPeers, clock, d.scope)
-	if d.deps.SpreadLeaving == nil {
-		d.deps.SpreadLeaving, d.deps.SpreadStaying = d.leavingTracker.ReportLeaving, d.leavingTracker.ReportStaying
+	if d.deps.BroadcastLeaving == nil {
+		d.deps.BroadcastLeaving, d.deps.BroadcastStaying = d.leavingTracker.ReportLeaving, d.leavingTracker.ReportStaying
 	}
-	d.background.Go(func() { _ = d.exchange.Run(d.ctx) })
+	d.background.Go(func() { _ = d.windowShares.Run(d.ctx) })
 	d.background.Go(func() { _ = d.leavingTracker.Run(d.ctx) })
 	d.background.Go(func() { _ = d.members.Run(d.ctx) })
 	d.background.Go(func() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,9 +60,9 @@
 	Log        *zap.Logger
 	// OperatorRoutes adds routes to the operator endpoint.
 	OperatorRoutes []func(*fiber.App)
-	// SpreadLeaving and SpreadStaying send first-hand evidence about targets to peers.
-	SpreadLeaving func(target, why string)
-	SpreadStaying func(target string)
+	// BroadcastLeaving and BroadcastStaying send first-hand evidence about targets to peers.
+	BroadcastLeaving func(target, why string)
+	BroadcastStaying func(target string)
 }
 
 // Daemon is the state of one daemon process. The start steps set its fields in order and release
@@ -83,7 +83,7 @@
 	members        *member.Membership
 	peers          *peer.Endpoint
 	peerListener   net.Listener
-	exchange       *windowshare.Exchange
+	windowShares   *windowshare.Manager
 	leavingTracker *leaving.Tracker
 	orders         *order.Issuer
 
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -70,7 +70,7 @@
 // garbageCollector configures the garbage collector.
 type garbageCollector struct{}
 
-func (garbageCollector) String() string { return "collector" }
+func (garbageCollector) String() string { return "garbage collector" }
 
 func (garbageCollector) Run(context.Context, *Daemon) error {
 	debug.SetGCPercent(gcPercent)
@@ -155,7 +155,7 @@
 }
 
 // gatedScheduler returns the scheduler of a pool. The work of model engines is placed by one daemon
-// for the whole group. Requests to plain services are short, so for them one daemon's own view of
+// for the whole cell. Requests to plain services are short, so for them one daemon's own view of
 // the targets is enough.
 func (d *Daemon) gatedScheduler(p fireflypath.Pool) fireflypath.Scheduler {
 	seed, tuning := xxhash.Sum64String(d.cfg.Name+"/"+p.Name), slots.StandaloneTuning()
@@ -166,7 +166,7 @@
 	return remote.New(slots.New(p, seed, tuning))
 }
 
-// dispatcherScheduler returns the scheduler that the dispatcher uses for all daemons of a group.
+// dispatcherScheduler returns the scheduler that the dispatcher uses for all daemons of a cell.
 func (d *Daemon) dispatcherScheduler(p fireflypath.Pool) dispatcher.Scheduler {
 	return slots.New(p, xxhash.Sum64String(p.Name), slots.DispatcherTuning())
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -10,8 +10,8 @@
 	"github.com/fireflypath/fireflypath/internal/route/pools"
 )
 
-// sharedLimits lets the exchange split the limits of rules between daemons in the same way as the
-// windows of pools.
+// sharedLimits lets windowshare.Manager split the limits of rules between daemons in the same way as
+// the windows of pools.
 type sharedLimits struct {
 	*pools.Pools
 	rules   *rules.Rules
--- a/internal/daemon/limits_test.go
+++ b/internal/daemon/limits_test.go
@@ -17,7 +17,7 @@
 func (f fixedConfig) Current() *fireflypath.Config   { return f.Config }
 func (f fixedConfig) Changed(uint64) <-chan struct{} { return nil }
 
-// The exchange splits rule limits and pools in the same way. If the share of a limit does not reach
+// windowshare.Manager splits rule limits and pools in the same way. If the share of a limit does not reach
 // the rule, a team keeps a ninth of its limit. If it reaches a pool instead, it changes how much the
 // pool may send.
 func TestShareAppliesToRule(t *testing.T) {
--- a/internal/windowshare/borrow.go
+++ b/internal/windowshare/borrow.go
@@ -65,18 +65,18 @@
 }
 
 // borrowRequests returns the loan requests that are due, by peer. The caller holds mu.
-func (x *Exchange) borrowRequests(now time.Time) []peerRequest {
-	if now.Sub(x.lastBorrow) < borrowInterval {
+func (m *Manager) borrowRequests(now time.Time) []peerRequest {
+	if now.Sub(m.lastBorrow) < borrowInterval {
 		return nil
 	}
 	var shortages []shortage
 	offers := map[string]int{}
-	for name, p := range x.pools {
+	for name, p := range m.pools {
 		rank, wanted := p.shortfall(now)
 		if wanted <= 0 || p.asking || now.Sub(p.askedAt) < p.retryDelay {
 			continue
 		}
-		s := shortage{pool: p, loan: loanRequest{Pool: name, Rank: rank, Fraction: wanted}, lenders: x.idlePeers(p, rank)}
+		s := shortage{pool: p, loan: loanRequest{Pool: name, Rank: rank, Fraction: wanted}, lenders: m.idlePeers(p, rank)}
 		for _, n := range s.lenders {
 			offers[n]++
 		}
@@ -85,7 +85,7 @@
 	if len(offers) == 0 {
 		return nil
 	}
-	x.lastBorrow = now
+	m.lastBorrow = now
 	return groupByLender(now, shortages, topLenders(offers))
 }
 
@@ -140,8 +140,8 @@
 
 // idlePeers returns the peers with an idle slot according to their demand, those with the
 // most idle slots first.
-func (x *Exchange) idlePeers(p *pool, rank int) []string {
-	self := x.members.Self().Name
+func (m *Manager) idlePeers(p *pool, rank int) []string {
+	self := m.members.Self().Name
 	idle := map[string]float64{}
 	var names []string
 	for i, n := range p.cell {
@@ -161,77 +161,77 @@
 
 // sendBorrowRequests sends loan requests. Each pool has at most one round of them in
 // progress.
-func (x *Exchange) sendBorrowRequests(ctx context.Context, rs []peerRequest) {
+func (m *Manager) sendBorrowRequests(ctx context.Context, rs []peerRequest) {
 	for _, r := range rs {
-		to, ok := x.findPeer(r.to)
+		to, ok := m.findPeer(r.to)
 		if !ok {
-			x.finishRequest(r)
+			m.finishRequest(r)
 			continue
 		}
-		x.wg.Go(func() {
-			defer x.finishRequest(r)
-			asked := x.clock.Now()
+		m.wg.Go(func() {
+			defer m.finishRequest(r)
+			asked := m.clock.Now()
 			ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 			defer cancel()
 			var resp borrowResponse
-			x.metrics.asked.Inc(1)
-			err := x.peers.Call(ctx, to, methodBorrow, r.request, &resp)
+			m.metrics.asked.Inc(1)
+			err := m.peers.Call(ctx, to, methodBorrow, r.request, &resp)
 			if err != nil || len(resp.Fractions) != len(r.request.Loans) {
 				return
 			}
 			for i, l := range r.request.Loans {
-				x.Borrow(l.Pool, asked, resp.Fractions[i])
+				m.Borrow(l.Pool, asked, resp.Fractions[i])
 			}
 		})
 	}
 }
 
-func (x *Exchange) findPeer(name string) (fireflypath.Member, bool) {
-	for _, m := range x.members.Live() {
-		if m.Name == name {
-			return m, true
+func (m *Manager) findPeer(name string) (fireflypath.Member, bool) {
+	for _, member := range m.members.Live() {
+		if member.Name == name {
+			return member, true
 		}
 	}
 	return fireflypath.Member{}, false
 }
 
-func (x *Exchange) finishRequest(r peerRequest) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+func (m *Manager) finishRequest(r peerRequest) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	for _, l := range r.request.Loans {
-		if p := x.pools[l.Pool]; p != nil {
+		if p := m.pools[l.Pool]; p != nil {
 			p.asking = false
 		}
 	}
 }
 
 // Borrow adds a fraction that a peer lent to a request made at the time asked.
-func (x *Exchange) Borrow(name string, asked time.Time, fraction float64) {
+func (m *Manager) Borrow(name string, asked time.Time, fraction float64) {
 	if fraction <= 0 {
 		return
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if p := x.pools[name]; p != nil {
-		p.ledger.Borrow(asked, x.clock.Now(), fraction)
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if p := m.pools[name]; p != nil {
+		p.ledger.Borrow(asked, m.clock.Now(), fraction)
 		p.retryDelay = borrowInterval
-		x.metrics.borrowed.Inc(1)
+		m.metrics.borrowed.Inc(1)
 	}
 }
 
 // Lend gives away a fraction of a pool's windows that work of the rank and above does
 // not need here. The smaller fraction is in force before Lend returns.
-func (x *Exchange) Lend(name string, rank int, wanted float64) float64 {
-	x.readDemands()
-	x.applyMu.Lock()
-	defer x.applyMu.Unlock()
-	x.mu.Lock()
-	p := x.pools[name]
+func (m *Manager) Lend(name string, rank int, wanted float64) float64 {
+	m.readDemands()
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
+	m.mu.Lock()
+	p := m.pools[name]
 	if p == nil {
-		x.mu.Unlock()
+		m.mu.Unlock()
 		return 0
 	}
-	now := x.clock.Now()
+	now := m.clock.Now()
 	used := 0.0
 	if slots := float64(p.current.Slots); slots > 0 {
 		urgent := p.current.WaitingRequests[:min(len(p.current.WaitingRequests), rank+1)]
@@ -239,14 +239,14 @@
 	}
 	lent := p.ledger.Lend(now, wanted, used, len(p.group))
 	if lent == 0 {
-		x.mu.Unlock()
+		m.mu.Unlock()
 		return 0
 	}
 	p.applied = p.ledger.InUse(now)
-	s := x.shareOf(p, p.applied)
-	x.mu.Unlock()
-	x.metrics.lent.Inc(1)
-	x.cluster.ApplyShare(name, s)
+	s := m.shareOf(p, p.applied)
+	m.mu.Unlock()
+	m.metrics.lent.Inc(1)
+	m.cluster.ApplyShare(name, s)
 	return lent
 }
 
@@ -257,18 +257,18 @@
 
 // LendForRelief lends a fraction to a daemon for whose work of the rank lower-ranked work
 // was shed here.
-func (x *Exchange) LendForRelief(pool string, rank, _ int) float64 {
-	return x.Lend(pool, rank, maxReliefFraction)
+func (m *Manager) LendForRelief(pool string, rank, _ int) float64 {
+	return m.Lend(pool, rank, maxReliefFraction)
 }
 
-func (x *Exchange) handleBorrow(_ context.Context, _ string, params json.RawMessage) (any, error) {
+func (m *Manager) handleBorrow(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var req borrowRequest
 	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.Wrap(err, "decode loan request")
 	}
 	resp := borrowResponse{Fractions: make([]float64, len(req.Loans))}
 	for i, l := range req.Loans {
-		resp.Fractions[i] = roundDown(x.Lend(l.Pool, l.Rank, l.Fraction))
+		resp.Fractions[i] = roundDown(m.Lend(l.Pool, l.Rank, l.Fraction))
 	}
 	return resp, nil
 }
--- a/internal/windowshare/manager.go
+++ b/internal/windowshare/manager.go
@@ -2,7 +2,7 @@
 //
 // Daemons exchange their demand for each pool. Each daemon computes the same split from it
 // and uses its own fraction of the windows. A daemon that is short of slots borrows from
-// idle ones until the next exchange.
+// idle ones for a short time, by the end of which all daemons know its demand.
 package windowshare
 
 import (
@@ -38,9 +38,9 @@
 	minFractionChange = 0.002
 )
 
-// Exchange sends the waiting and running work of this daemon to the daemons of its cell and
+// Manager sends the waiting and running work of this daemon to the daemons of its cell and
 // applies this daemon's fraction of the windows.
-type Exchange struct {
+type Manager struct {
 	members   *member.Membership
 	peers     *peer.Endpoint
 	configs   fireflypath.Configs
@@ -107,13 +107,13 @@
 	generation uint64
 }
 
-// New registers the exchange with the endpoint. It must be called before the endpoint
+// New registers the manager with the endpoint. It must be called before the endpoint
 // serves. standalone is true for a daemon that has no way to find others.
 func New(members *member.Membership, peers *peer.Endpoint, configs fireflypath.Configs, cluster fireflypath.Cluster,
 	standalone bool, clock clockwork.Clock, scope tally.Scope,
-) *Exchange {
+) *Manager {
 	scope = scope.SubScope("share")
-	x := &Exchange{
+	m := &Manager{
 		members: members, peers: peers, configs: configs, cluster: cluster, clock: clock,
 		startedAt: clock.Now(), standalone: standalone, pools: map[string]*pool{}, early: earlyDemands{}, sentTo: map[string]map[string]peer.Demand{},
 		metrics: metrics{
@@ -121,25 +121,25 @@
 			asked: scope.Counter("asked"), borrowed: scope.Counter("borrowed"), lent: scope.Counter("lent"),
 		},
 	}
-	peers.AddSource(x.fillBeat)
-	peers.AddSink(x.receive)
-	peers.OnConnect(x.resetPeer)
-	peers.Handle(methodBorrow, x.handleBorrow)
-	return x
+	peers.AddSource(m.fillHeartbeat)
+	peers.AddSink(m.receive)
+	peers.OnConnect(m.resetPeer)
+	peers.Handle(methodBorrow, m.handleBorrow)
+	return m
 }
 
 // Run exchanges demands until the context ends.
-func (x *Exchange) Run(ctx context.Context) error {
-	defer x.wg.Wait()
-	t := x.clock.NewTicker(stepInterval)
+func (m *Manager) Run(ctx context.Context) error {
+	defer m.wg.Wait()
+	t := m.clock.NewTicker(stepInterval)
 	defer t.Stop()
 	var lastAnnounced time.Time
 	for {
-		if x.clock.Since(lastAnnounced) >= announceInterval {
-			lastAnnounced = x.clock.Now()
-			x.announce()
+		if m.clock.Since(lastAnnounced) >= announceInterval {
+			lastAnnounced = m.clock.Now()
+			m.announce()
 		}
-		x.step(ctx)
+		m.step(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -150,76 +150,76 @@
 
 // announce updates the announced demands, recomputes the fractions and sends the demands
 // to the peers.
-func (x *Exchange) announce() {
-	x.readDemands()
-	x.mu.Lock()
-	for _, p := range x.pools {
+func (m *Manager) announce() {
+	m.readDemands()
+	m.mu.Lock()
+	for _, p := range m.pools {
 		if changedEnough(p.announced, p.current) {
 			p.announced = p.current
 		}
 	}
-	x.computeAll()
-	x.mu.Unlock()
-	x.metrics.rounds.Inc(1)
-	x.peers.Flush() // replaces the next regular heartbeat of the connections
+	m.computeAll()
+	m.mu.Unlock()
+	m.metrics.rounds.Inc(1)
+	m.peers.Flush() // replaces the next regular heartbeat of the connections
 }
 
 // readDemands reads the current demands of the pools.
-func (x *Exchange) readDemands() {
-	demands := x.cluster.Demands()
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.updateTopology()
+func (m *Manager) readDemands() {
+	demands := m.cluster.Demands()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.updateTopology()
 	for _, d := range demands {
-		if p := x.pools[d.Pool]; p != nil {
+		if p := m.pools[d.Pool]; p != nil {
 			p.current = wireDemand(d)
 		}
 	}
 }
 
 // updateTopology recomputes the groups if daemons or pools changed. The caller holds mu.
-func (x *Exchange) updateTopology() {
-	cfg, layout := x.configs.Current(), x.members.Layout()
-	if x.topology == (topology{layout, cfg.Generation}) {
+func (m *Manager) updateTopology() {
+	cfg, layout := m.configs.Current(), m.members.Layout()
+	if m.topology == (topology{layout, cfg.Generation}) {
 		return
 	}
-	initialized := x.topology.generation > 0
-	x.topology = topology{layout, cfg.Generation}
+	initialized := m.topology.generation > 0
+	m.topology = topology{layout, cfg.Generation}
 	targets := map[string][]string{}
 	for _, t := range cfg.Targets {
 		targets[t.Pool] = append(targets[t.Pool], t.Name)
 	}
 	next := make(map[string]*pool, len(cfg.Pools))
 	for _, c := range cfg.Pools {
-		next[c.Name] = x.updatePool(c.Name, layout, targets[c.Name], initialized)
+		next[c.Name] = m.updatePool(c.Name, layout, targets[c.Name], initialized)
 	}
 	for _, name := range rules.SharedLimits(cfg) {
 		if key := rules.DemandKey(name); next[key] == nil {
-			next[key] = x.updateLimit(key, layout)
+			next[key] = m.updateLimit(key, layout)
 		}
 	}
-	x.pools = next
-	x.computeAll()
+	m.pools = next
+	m.computeAll()
 }
 
 // updatePool determines which daemons share a pool with this one. It creates the state of
 // a new pool. The caller holds mu.
-func (x *Exchange) updatePool(name string, layout *cell.Layout, targets []string, initialized bool) *pool {
-	p := x.pools[name]
+func (m *Manager) updatePool(name string, layout *cell.Layout, targets []string, initialized bool) *pool {
+	p := m.pools[name]
 	added := p == nil
 	if added {
 		p = &pool{received: map[string]peer.Demand{}, announced: peer.Demand{Pool: name}, current: peer.Demand{Pool: name}}
 		p.ledger.Reset(share.FloorFraction) // until peers are known or joinGracePeriod is over
-		x.early.moveTo(name, p.received)
+		m.early.moveTo(name, p.received)
 	}
-	self := x.members.Self().Name
+	self := m.members.Self().Name
 	p.targets, p.group = layout.AssignedTargets(self, targets)
 	p.cell = p.group
 	if members := layout.Members(self); len(members) < len(p.group) {
 		p.cell = members
 	}
 	if added && initialized && len(p.group) > 1 {
-		p.ledger.Reset(share.Floor(len(p.group), x.members.Missing()))
+		p.ledger.Reset(share.Floor(len(p.group), m.members.Missing()))
 	}
 	for name := range p.received {
 		if !slices.Contains(p.cell, name) {
@@ -232,9 +232,9 @@
 // updateLimit does the same for the limit of a rule, which all daemons share. A new limit
 // starts with an even split: at the floor it would refuse work that the operator has
 // granted. The caller holds mu.
-func (x *Exchange) updateLimit(key string, layout *cell.Layout) *pool {
-	added := x.pools[key] == nil
-	p := x.updatePool(key, layout, nil, false)
+func (m *Manager) updateLimit(key string, layout *cell.Layout) *pool {
+	added := m.pools[key] == nil
+	p := m.updatePool(key, layout, nil, false)
 	p.isLimit = true
 	if added {
 		p.ledger.Reset(1 / float64(max(1, len(p.group))))
@@ -243,17 +243,17 @@
 }
 
 // computeAll computes the fractions of all pools. The caller holds mu.
-func (x *Exchange) computeAll() {
-	for _, p := range x.pools {
-		x.compute(p)
+func (m *Manager) computeAll() {
+	for _, p := range m.pools {
+		m.compute(p)
 	}
 }
 
 // compute splits a pool's windows among the daemons of the cell. If the pool has too few
 // targets to give each cell its own, the windows are first split evenly between cells,
 // because daemons of other cells do not send their demand here. The caller holds mu.
-func (x *Exchange) compute(p *pool) {
-	self := x.members.Self().Name
+func (m *Manager) compute(p *pool) {
+	self := m.members.Self().Name
 	demands := make([]share.Demand, 0, len(p.cell))
 	at := -1
 	for _, name := range p.cell {
@@ -266,55 +266,55 @@
 	if at < 0 {
 		return
 	}
-	p.fractions = share.Split(demands, x.members.Missing())
+	p.fractions = share.Split(demands, m.members.Missing())
 	fraction := p.fractions[at]
 	if len(p.group) > len(p.cell) {
 		fraction *= float64(len(p.cell)) / float64(len(p.group))
 	}
-	now := x.clock.Now()
+	now := m.clock.Now()
 	switch {
 	case len(p.group) > 1:
 		p.ledger.Update(now, fraction)
-	case x.standalone || now.Sub(x.startedAt) > joinGracePeriod:
+	case m.standalone || now.Sub(m.startedAt) > joinGracePeriod:
 		p.ledger.Reset(fraction)
 	}
 }
 
 // step applies the fractions in use and asks for loans.
-func (x *Exchange) step(ctx context.Context) {
-	x.readDemands()
-	x.apply()
-	x.mu.Lock()
-	requests := x.borrowRequests(x.clock.Now())
-	x.mu.Unlock()
-	x.sendBorrowRequests(ctx, requests)
+func (m *Manager) step(ctx context.Context) {
+	m.readDemands()
+	m.apply()
+	m.mu.Lock()
+	requests := m.borrowRequests(m.clock.Now())
+	m.mu.Unlock()
+	m.sendBorrowRequests(ctx, requests)
 }
 
 // InitialShare returns the share that a pool starts with. Without it, each daemon would
 // use whole windows of a pool that the operator adds until its next step.
-func (x *Exchange) InitialShare(name string) fireflypath.Share {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.updateTopology()
-	p := x.pools[name]
+func (m *Manager) InitialShare(name string) fireflypath.Share {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.updateTopology()
+	p := m.pools[name]
 	if p == nil {
 		return fireflypath.Share{}
 	}
-	return x.shareOf(p, p.ledger.InUse(x.clock.Now()))
+	return m.shareOf(p, p.ledger.InUse(m.clock.Now()))
 }
 
 // apply applies the fractions that changed.
-func (x *Exchange) apply() {
-	x.applyMu.Lock()
-	defer x.applyMu.Unlock()
-	x.mu.Lock()
-	now := x.clock.Now()
+func (m *Manager) apply() {
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
+	m.mu.Lock()
+	now := m.clock.Now()
 	type change struct {
 		pool  string
 		share fireflypath.Share
 	}
 	var changes []change
-	for name, p := range x.pools {
+	for name, p := range m.pools {
 		fraction := p.ledger.InUse(now)
 		if len(p.group) == 0 {
 			continue
@@ -323,12 +323,12 @@
 			continue
 		}
 		p.applied, p.appliedTargets, p.everApplied = fraction, len(p.targets), true
-		changes = append(changes, change{name, x.shareOf(p, fraction)})
+		changes = append(changes, change{name, m.shareOf(p, fraction)})
 	}
-	x.mu.Unlock()
+	m.mu.Unlock()
 	for _, c := range changes {
-		x.metrics.applied.Inc(1)
-		x.cluster.ApplyShare(c.pool, c.share)
+		m.metrics.applied.Inc(1)
+		m.cluster.ApplyShare(c.pool, c.share)
 	}
 }
 
@@ -338,8 +338,8 @@
 
 // shareOf returns a share with the given fraction of each target that this daemon serves,
 // or of all targets if it serves all.
-func (x *Exchange) shareOf(p *pool, fraction float64) fireflypath.Share {
-	if p.isLimit || x.topology.layout.CellCount() == 1 {
+func (m *Manager) shareOf(p *pool, fraction float64) fireflypath.Share {
+	if p.isLimit || m.topology.layout.CellCount() == 1 {
 		return fireflypath.Share{Default: fraction}
 	}
 	s := fireflypath.Share{Fractions: make(map[string]float64, len(p.targets))}
@@ -350,56 +350,56 @@
 }
 
 // Fraction returns the fraction of a pool's windows in use here, for operators.
-func (x *Exchange) Fraction(name string) float64 {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if p := x.pools[name]; p != nil {
+func (m *Manager) Fraction(name string) float64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if p := m.pools[name]; p != nil {
 		return p.applied
 	}
 	return 0
 }
 
-// fillBeat adds the demands that a daemon of the cell does not know yet to a heartbeat.
-func (x *Exchange) fillBeat(to string, b *peer.Heartbeat) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	sent := x.sentTo[to]
-	for name, p := range x.pools {
+// fillHeartbeat adds the demands that a daemon of the cell does not know yet to a heartbeat.
+func (m *Manager) fillHeartbeat(to string, hb *peer.Heartbeat) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	sent := m.sentTo[to]
+	for name, p := range m.pools {
 		if !slices.Contains(p.cell, to) || sent[name].Equal(p.announced) {
 			continue
 		}
 		if sent == nil {
 			sent = map[string]peer.Demand{}
-			x.sentTo[to] = sent
+			m.sentTo[to] = sent
 		}
 		sent[name] = p.announced
-		b.Demands = append(b.Demands, p.announced)
+		hb.Demands = append(hb.Demands, p.announced)
 	}
 }
 
 // receive records the demands in a peer's heartbeat.
-func (x *Exchange) receive(from string, b *peer.Heartbeat) {
-	if len(b.Demands) == 0 {
+func (m *Manager) receive(from string, hb *peer.Heartbeat) {
+	if len(hb.Demands) == 0 {
 		return
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for _, d := range b.Demands {
-		p := x.pools[d.Pool]
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, d := range hb.Demands {
+		p := m.pools[d.Pool]
 		switch {
 		case p == nil:
-			x.early.add(from, d)
+			m.early.add(from, d)
 		case slices.Contains(p.cell, from):
 			p.received[from] = d
-			x.compute(p)
+			m.compute(p)
 		}
 	}
 }
 
 // resetPeer makes the next heartbeat to a daemon carry all demands: it may be a new
 // incarnation.
-func (x *Exchange) resetPeer(m fireflypath.Member) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	delete(x.sentTo, m.Name)
+func (m *Manager) resetPeer(to fireflypath.Member) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.sentTo, to.Name)
 }
--- a/internal/windowshare/manager_test.go
+++ b/internal/windowshare/manager_test.go
@@ -21,12 +21,13 @@
 	"github.com/fireflypath/fireflypath/internal/windowshare"
 )
 
-// daemon is an Exchange with its peers and a fake route.
+// daemon is a Manager with its peers. It is also the fake cluster that the shares are
+// applied to.
 type daemon struct {
-	members  *member.Membership
-	peers    *peer.Endpoint
-	exchange *windowshare.Exchange
-	stop     func()
+	members *member.Membership
+	peers   *peer.Endpoint
+	shares  *windowshare.Manager
+	stop    func()
 
 	mu       sync.Mutex
 	demand   fireflypath.Demand
@@ -103,7 +104,7 @@
 		d.members = member.New(self, nil, []string{"d0:1"}, time.Second, clock, tally.NoopScope, log)
 		d.peers = peer.New(net.Host(name), nil, d.members.Self, time.Second, clock, tally.NoopScope, log)
 		d.members.Attach(d.peers)
-		d.exchange = windowshare.New(d.members, d.peers, d, d, false, clock, tally.NoopScope)
+		d.shares = windowshare.New(d.members, d.peers, d, d, false, clock, tally.NoopScope)
 		l, err := net.Host(name).Listen(self.PeerAddr)
 		if err != nil {
 			t.Fatal(err)
@@ -112,7 +113,7 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { _ = d.peers.Serve(l) })
 		wg.Go(func() { _ = d.members.Run(ctx) })
-		wg.Go(func() { _ = d.exchange.Run(ctx) })
+		wg.Go(func() { _ = d.shares.Run(ctx) })
 		d.stop = func() { net.Kill(name); cancel(); d.peers.Close(); wg.Wait() }
 		all = append(all, d)
 	}
@@ -245,7 +246,7 @@
 		}
 		addNext := func(known, waiting int) {
 			all[known-1].add(waiting)
-			is.True(all[known-1].exchange.InitialShare("added").Default > 0.033)
+			is.True(all[known-1].shares.InitialShare("added").Default > 0.033)
 			time.Sleep(100 * time.Millisecond) // the next step
 			watch(4*time.Second, known)
 		}
