--- a/internal/leaving/tracker.go
+++ b/internal/leaving/tracker.go
@@ -17,7 +17,7 @@
 const (
 	kindLeaving = "leaving"
 	kindDead    = "dead"
-	kindBack    = "back"
+	kindStaying = "back"
 	// stepInterval is how often evidence is repeated, expired and evaluated.
 	stepInterval = time.Second
 	// leavingTTL is how long a report that a target leaves is valid unless it is repeated.
@@ -49,15 +49,15 @@
 }
 
 // Tracker holds the observations of targets by this daemon and its peers and calls onLeaving
-// and onBack when their combined result changes. It calls them from Run and from the
+// and onStaying when their combined result changes. It calls them from Run and from the
 // endpoint, never from within ReportLeaving, ReportDead and ReportStaying, whose callers may
 // hold a lock that the callbacks take.
 type Tracker struct {
 	self      string
-	groupSize func() int
+	cellSize  func() int
 	peers     Peers
 	onLeaving func(target, why string)
-	onBack    func(target string)
+	onStaying func(target string)
 	clock     clockwork.Clock
 	metrics   metrics
 
@@ -80,7 +80,7 @@
 }
 
 type metrics struct {
-	sent, received, leaving, dead, back tally.Counter
+	sent, received, leaving, dead, staying tally.Counter
 }
 
 // observation is the state of a target as this daemon observed it.
@@ -105,24 +105,24 @@
 }
 
 // New registers the tracker with the endpoint. It must be called before the endpoint serves.
-// groupSize returns the number of daemons that send work to the same targets. onLeaving and
-// onBack are called when the evidence of peers changes the combined result.
-func New(self string, groupSize func() int, peers Peers, onLeaving func(target, why string), onBack func(target string),
+// cellSize returns the number of daemons that send work to the same targets. onLeaving and
+// onStaying are called when the evidence of peers changes the combined result.
+func New(self string, cellSize func() int, peers Peers, onLeaving func(target, why string), onStaying func(target string),
 	clock clockwork.Clock, scope tally.Scope,
 ) *Tracker {
 	scope = scope.SubScope("leaving")
 	t := &Tracker{
-		self: self, groupSize: groupSize, peers: peers, onLeaving: onLeaving, onBack: onBack, clock: clock,
+		self: self, cellSize: cellSize, peers: peers, onLeaving: onLeaving, onStaying: onStaying, clock: clock,
 		// The sequence continues after that of an earlier process with the same name.
 		sequence:     uint64(clock.Now().UnixNano()),
 		observations: map[string]*observation{}, evidence: map[string]map[string]timedEvidence{}, removed: map[string]bool{},
 		cursors: map[string]uint64{},
 		metrics: metrics{
 			sent: scope.Counter("told"), received: scope.Counter("heard"), leaving: scope.Counter("leaving"),
-			dead: scope.Counter("dead"), back: scope.Counter("back"),
+			dead: scope.Counter("dead"), staying: scope.Counter("back"),
 		},
 	}
-	peers.AddSource(t.fillBeat)
+	peers.AddSource(t.fillHeartbeat)
 	peers.AddSink(t.receive)
 	peers.OnConnect(t.resetPeer)
 	return t
@@ -187,7 +187,7 @@
 	s := t.observations[target]
 	delete(t.observations, target)
 	if s != nil && !s.sentAt.IsZero() {
-		t.send(target, kindBack, "")
+		t.send(target, kindStaying, "")
 	}
 	t.mu.Unlock()
 	t.peers.Flush()
@@ -264,7 +264,7 @@
 	return true
 }
 
-// evaluate calls onLeaving or onBack if the combined result changed for a target.
+// evaluate calls onLeaving or onStaying if the combined result changed for a target.
 func (t *Tracker) evaluate(target string) {
 	t.notifyMu.Lock()
 	defer t.notifyMu.Unlock()
@@ -281,8 +281,8 @@
 	case reason != "" && !wasRemoved:
 		t.onLeaving(target, reason)
 	case reason == "" && wasRemoved:
-		t.metrics.back.Inc(1)
-		t.onBack(target)
+		t.metrics.staying.Inc(1)
+		t.onStaying(target)
 	}
 }
 
@@ -305,7 +305,7 @@
 			dead++
 		}
 	}
-	if required := max(minDeadReports, (t.groupSize()+deadReportDivisor-1)/deadReportDivisor); dead >= required {
+	if required := max(minDeadReports, (t.cellSize()+deadReportDivisor-1)/deadReportDivisor); dead >= required {
 		return fmt.Sprintf("does not answer %d daemons", dead)
 	}
 	return ""
@@ -344,24 +344,24 @@
 	}
 }
 
-// fillBeat adds the evidence that a peer was not sent yet.
-func (t *Tracker) fillBeat(to string, beat *peer.Heartbeat) {
+// fillHeartbeat adds the evidence that a peer was not sent yet.
+func (t *Tracker) fillHeartbeat(to string, hb *peer.Heartbeat) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	start := max(t.cursors[to], t.queueStart)
 	end := min(start+maxPerHeartbeat, t.queueStart+uint64(len(t.queue)))
-	beat.Evidence = append(beat.Evidence, t.queue[start-t.queueStart:end-t.queueStart]...)
+	hb.Evidence = append(hb.Evidence, t.queue[start-t.queueStart:end-t.queueStart]...)
 	t.cursors[to] = end
 }
 
 // receive stores evidence from a heartbeat and passes new evidence on.
-func (t *Tracker) receive(_ string, beat *peer.Heartbeat) {
-	if len(beat.Evidence) == 0 {
+func (t *Tracker) receive(_ string, hb *peer.Heartbeat) {
+	if len(hb.Evidence) == 0 {
 		return
 	}
 	var changed []string
 	t.mu.Lock()
-	for _, e := range beat.Evidence {
+	for _, e := range hb.Evidence {
 		if e.Observer != t.self && e.Target != "" && t.add(e) {
 			changed = append(changed, e.Target)
 			t.metrics.received.Inc(1)
--- a/internal/leaving/tracker_test.go
+++ b/internal/leaving/tracker_test.go
@@ -49,7 +49,7 @@
 				continue
 			}
 			var beat peer.Heartbeat
-			tracker.fillBeat(fmt.Sprint("d", j), &beat)
+			tracker.fillHeartbeat(fmt.Sprint("d", j), &beat)
 			o.receive(fmt.Sprint("d", i), &beat)
 		}
 	}
@@ -68,7 +68,7 @@
 
 // A target tells one daemon that it drains. All others must stop sending work to it within
 // three seconds, and resume after it is back.
-func TestLeavingIsSpread(t *testing.T) {
+func TestLeavingReachesAllDaemons(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(9)
 	g.trackers[3].ReportLeaving("t", "the target's own word")
@@ -232,7 +232,7 @@
 	g := newGroup(2)
 	g.trackers[0].ReportLeaving("t", "drains")
 	var old peer.Heartbeat
-	g.trackers[0].fillBeat("x", &old)
+	g.trackers[0].fillHeartbeat("x", &old)
 	g.tick()
 	g.trackers[0].ReportStaying("t")
 	g.tick()
