--- a/internal/quotas/quotas.go
+++ b/internal/quotas/quotas.go
@@ -1,4 +1,5 @@
-// Package quotas enforces team quotas in fleets that are too large for every daemon to receive all usage.
+// Package quotas enforces team quotas in fleets that are too large for every daemon to
+// receive all usage.
 //
 // A few daemons are coordinators. Each team's token bucket lives at one of them. The
 // other daemons report usage and demand to it and receive grants in return.
@@ -44,7 +45,7 @@
 	// a team that sends several times its quota would get that much again on top.
 	detectionDelay = 2 * reportInterval
 	// repaymentPeriod is the time over which usage above a quota is paid back.
-	// minRateFraction is the part of the rate that remains available meanwhile.
+	// minRateFraction is the fraction of the rate that remains available meanwhile.
 	repaymentPeriod = 4 * time.Second
 	minRateFraction = 0.2
 	// grantTTL is how long a grant is valid. It outlasts a few failed reports.
--- a/internal/usage/receive.go
+++ b/internal/usage/receive.go
@@ -54,12 +54,12 @@
 }
 
 // receive records the state in a peer's heartbeat.
-func (u *Usage) receive(from string, b *peer.Heartbeat) {
+func (u *Usage) receive(from string, hb *peer.Heartbeat) {
 	now := u.clock.Now()
 	u.mu.Lock()
 	p := u.peerState(from)
 	p.at = now
-	in := b.Usage
+	in := hb.Usage
 	if in != nil && in.Epoch != p.epoch && in.Epoch != p.previousEpoch {
 		p.reset(in.Epoch)
 	}
--- a/internal/usage/send.go
+++ b/internal/usage/send.go
@@ -19,8 +19,8 @@
 	fullAt         time.Time
 }
 
-// fillBeat adds to a heartbeat what changed since the last one to that peer.
-func (u *Usage) fillBeat(to string, b *peer.Heartbeat) {
+// fillHeartbeat adds to a heartbeat what changed since the last one to that peer.
+func (u *Usage) fillHeartbeat(to string, hb *peer.Heartbeat) {
 	layout := u.fleet.Layout()
 	if !slices.Contains(layout.Members(u.self), to) {
 		return // it sends work to other targets
@@ -67,7 +67,7 @@
 	out.PartialView, s.partialView = u.partialView, u.partialView
 	u.sequence++
 	out.Epoch, out.Sequence = u.epoch, u.sequence
-	b.Usage = out
+	hb.Usage = out
 	u.sent.Inc(1)
 }
 
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,4 +1,5 @@
-// Package usage exchanges in-flight work at the targets and usage of the team quotas between daemons.
+// Package usage tells the daemons of a fleet about the in-flight work and the quota usage of
+// each other.
 package usage
 
 import (
@@ -107,7 +108,7 @@
 	appliedAt time.Time
 }
 
-// New registers the exchange with the endpoint. It must be called before the endpoint
+// New registers the source and the sink of heartbeats. It must be called before the endpoint
 // serves.
 func New(self string, peers Peers, fleet Fleet, pools Pools, limits Limits, clock clockwork.Clock, scope tally.Scope) *Usage {
 	scope = scope.SubScope("usage")
@@ -118,7 +119,7 @@
 		inFlight: map[string]int{}, pendingPrompts: map[string]int{}, waitingRanks: map[string]int{}, used: map[string]int64{},
 		sentTo: map[string]*sentState{}, peerStates: map[string]*peerState{},
 	}
-	peers.AddSource(u.fillBeat)
+	peers.AddSource(u.fillHeartbeat)
 	peers.AddSink(u.receive)
 	peers.OnConnect(u.resetPeer)
 	return u
