--- a/internal/dispatch/client.go
+++ b/internal/dispatch/client.go
@@ -36,7 +36,7 @@
 	session uint64
 }
 
-// run talks to the dispatcher until the context ends. Only one message is in transit at
+// run exchanges messages with the dispatcher until the context ends. Only one message is in transit at
 // a time: changes in the meantime are sent with the next one.
 func (c *client) run(ctx context.Context) {
 	t := c.d.clock.NewTicker(pollInterval)
@@ -134,7 +134,7 @@
 }
 
 // handleLoss handles a dispatcher that stopped responding. Its work is held back while
-// another dispatcher is selected. All daemons of a group lose the dispatcher together.
+// another dispatcher is selected. All daemons of a cell lose the dispatcher together.
 // If each placed its own work, the targets would be overloaded.
 func (c *client) handleLoss(ctx context.Context, err error) {
 	if ctx.Err() != nil {
@@ -212,9 +212,9 @@
 	if !known {
 		return false
 	}
-	if len(m.Turns) > 0 {
+	if len(m.Decisions) > 0 {
 		c.pool.Update(func(now time.Time, out []fireflypath.Shed) []fireflypath.Shed {
-			return c.sched.ApplyDecisions(now, m.Turns, out)
+			return c.sched.ApplyDecisions(now, m.Decisions, out)
 		})
 	}
 	return true
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,7 +1,7 @@
-// Package dispatch has one daemon of each group place the work of the whole group.
+// Package dispatch has one daemon of each cell place the work of the whole cell.
 //
-// A group is the set of daemons that send work to the same targets. Each of them sends its
-// work to the group's dispatcher, which sends its decisions back.
+// A cell is the set of daemons that send work to the same targets. Each of them sends its
+// work to the cell's dispatcher, which sends its decisions back.
 package dispatch
 
 import (
@@ -47,7 +47,7 @@
 	// avoidPeriod is how long an unresponsive daemon is not selected as dispatcher.
 	avoidPeriod = 2 * time.Second
 	// gatherTimeout is how long a newly selected dispatcher waits for the rest of its
-	// group before it places work. In that time daemons that wait for it start their
+	// cell before it places work. In that time daemons that wait for it start their
 	// sessions or report their in-flight work.
 	gatherTimeout = 100 * time.Millisecond
 	// pollInterval is how often the selection of the dispatcher is checked.
@@ -69,7 +69,7 @@
 }
 
 // Dispatch is both sides of the protocol at one daemon: the client of each pool's
-// dispatcher, and the dispatcher for daemons that select this one. All daemons of a group
+// dispatcher, and the dispatcher for daemons that select this one. All daemons of a cell
 // select the one that has run longest. They need no agreement, because a dispatcher owns
 // no requests: if two are selected at a time, no request is lost.
 type Dispatch struct {
@@ -147,9 +147,9 @@
 
 // decisionsMessage is sent by a dispatcher to a daemon, as a response or as a call.
 type decisionsMessage struct {
-	Pool    string                 `json:"pool,omitempty"`
-	Session uint64                 `json:"s,omitempty"`
-	Turns   []fireflypath.Decision `json:"turns,omitempty"`
+	Pool      string                 `json:"pool,omitempty"`
+	Session   uint64                 `json:"s,omitempty"`
+	Decisions []fireflypath.Decision `json:"turns,omitempty"`
 }
 
 // ack says whether the daemon still has the session.
@@ -198,7 +198,7 @@
 	return d.servers[pool]
 }
 
-// AddPool has the group's dispatcher place the pool's work from now on, until the pool is
+// AddPool has the cell's dispatcher place the pool's work from now on, until the pool is
 // closed. sched is the scheduler that the pool was created with.
 func (d *Dispatch) AddPool(p *pool.Pool, cfg fireflypath.Pool, sched *remote.Scheduler) {
 	d.spawn(func() { d.runClient(p, cfg, sched) })
@@ -250,14 +250,14 @@
 	}
 }
 
-// SetShare sets which targets of a pool this daemon's group sends work to.
+// SetShare sets which targets of a pool this daemon's cell sends work to.
 func (d *Dispatch) SetShare(pool string, share fireflypath.Share) {
 	if s := d.server(pool); s != nil {
 		s.setShare(share)
 	}
 }
 
-// HasPartialView reports whether this daemon places work for a part of its group only. The
+// HasPartialView reports whether this daemon places work for a part of its cell only. The
 // other daemons then have to send it their in-flight work.
 func (d *Dispatch) HasPartialView() bool {
 	d.mu.Lock()
@@ -287,17 +287,17 @@
 	}
 }
 
-// candidates returns the daemons of this group in the order in which all of its daemons
-// try them as dispatcher. The one that has run longest comes first, so that daemons that
-// join and leave do not move the queue. Those that are leaving come last.
+// candidates returns the daemons of this cell in the order in which all of its daemons
+// try them as dispatcher. The one that has run longest comes first, so that a daemon that
+// joins does not replace the dispatcher. Those that are leaving come last.
 func (d *Dispatch) candidates() []fireflypath.Member {
 	live := d.fleet.Live()
-	group := d.fleet.Layout().Members(d.self)
-	if len(group) == 0 {
-		group = []string{d.self}
+	names := d.fleet.Layout().Members(d.self)
+	if len(names) == 0 {
+		names = []string{d.self}
 	}
-	out := make([]fireflypath.Member, 0, len(group))
-	for _, name := range group {
+	out := make([]fireflypath.Member, 0, len(names))
+	for _, name := range names {
 		if m, ok := fireflypath.FindMember(live, name); ok {
 			out = append(out, m)
 		}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -305,7 +305,7 @@
 	})
 }
 
-// Two daemons of a group cannot reach its dispatcher and select another one. Each of the
+// Two daemons of a cell cannot reach its dispatcher and select another one. Each of the
 // two dispatchers has to know what the other placed. Otherwise the targets get twice the
 // work they can run, and callers wait in the targets' own queues, which serve the highest
 // tier no sooner than the lowest.
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -61,14 +61,14 @@
 		sess.synced = true
 		s.releaseIfSynced(now)
 	}
-	out := decisionsMessage{Session: m.Session, Turns: s.queue.TakeDecisions(from)}
-	s.countDecisions(out.Turns)
+	out := decisionsMessage{Session: m.Session, Decisions: s.queue.TakeDecisions(from)}
+	s.countDecisions(out.Decisions)
 	s.pushDecisions(now)
 	return out, nil
 }
 
 // startSession starts a session. With the first session the dispatcher knows nothing of
-// the rest of its group, whose daemons are about to start sessions or to report their
+// the rest of its cell, whose daemons are about to start sessions or to report their
 // in-flight work. It holds all work back for gatherTimeout.
 func (s *server) startSession(now time.Time, from string, id uint64) {
 	if len(s.sessions) == 0 {
@@ -78,7 +78,7 @@
 	s.queue.OpenSession(now, from, id)
 }
 
-// releaseIfSynced stops holding work back once the whole group has reported its in-flight
+// releaseIfSynced stops holding work back once the whole cell has reported its in-flight
 // work.
 func (s *server) releaseIfSynced(now time.Time) {
 	if !s.hasPartialView() {
@@ -87,7 +87,7 @@
 }
 
 // hasPartialView reports whether this daemon places work without knowing the in-flight
-// work of its whole group. The caller holds mu.
+// work of its whole cell. The caller holds mu.
 func (s *server) hasPartialView() bool {
 	if len(s.sessions) == 0 {
 		return false
@@ -139,8 +139,8 @@
 			s.mu.Unlock()
 			return
 		}
-		m := decisionsMessage{Pool: s.pool, Session: sess.id, Turns: s.queue.TakeDecisions(name)}
-		s.countDecisions(m.Turns)
+		m := decisionsMessage{Pool: s.pool, Session: sess.id, Decisions: s.queue.TakeDecisions(name)}
+		s.countDecisions(m.Decisions)
 		s.mu.Unlock()
 		if s.send(name, &m) {
 			continue
