--- a/internal/directory/log.go
+++ b/internal/directory/log.go
@@ -148,10 +148,10 @@
 }
 
 // extendLapses adopts the remaining time for which removals may be lapsed registrations.
-func (d *Directory) extendLapses(hold time.Duration) {
+func (d *Directory) extendLapses(remaining time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at := d.clock.Now().Add(hold); at.After(d.lapsesUntil) {
+	if at := d.clock.Now().Add(remaining); at.After(d.lapsesUntil) {
 		d.lapsesUntil = at
 	}
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -231,7 +231,7 @@
 	f.relayed.Inc(1)
 	// The revision and age of the first page hold for all pages. Later changes are
 	// followed from there.
-	l := fireflypath.Listing{Entries: response.Entries, Revision: response.Revision, Relayed: true, Age: age, LapseWindow: time.Duration(response.HoldMillis) * time.Millisecond}
+	l := fireflypath.Listing{Entries: response.Entries, Revision: response.Revision, Relayed: true, Age: age, LapseWindow: time.Duration(response.LapseMillis) * time.Millisecond}
 	largeValues := response.LargeValues
 	for response.HasMore {
 		response, err = f.callWatcher(ctx, w, followRequest{After: after, FetchesLarge: true, PageAfter: response.lastRevision()})
--- a/internal/follow/message.go
+++ b/internal/follow/message.go
@@ -45,10 +45,10 @@
 	// Receiving is true if the view is old because the watcher is still receiving a large
 	// response from the store.
 	Receiving bool `json:"t,omitempty"`
-	// AgeMillis is the age of the view. HoldMillis is how long removals may be lapsed
-	// registrations. Both are in milliseconds.
-	AgeMillis  int64 `json:"a"`
-	HoldMillis int64 `json:"h,omitempty"`
+	// AgeMillis is the age of the view. LapseMillis is how long removals may be due to
+	// registrations that lapsed while the store was unavailable. Both are in milliseconds.
+	AgeMillis   int64 `json:"a"`
+	LapseMillis int64 `json:"h,omitempty"`
 	// Compacted is true if the changes since After are no longer known.
 	Compacted bool `json:"c,omitempty"`
 }
--- a/internal/follow/serve.go
+++ b/internal/follow/serve.go
@@ -45,7 +45,7 @@
 	}
 	r := followResponse{
 		Revision: l.Revision, Receiving: f.isReceiving(a, l),
-		AgeMillis: l.Age.Milliseconds() + 1, HoldMillis: l.LapseWindow.Milliseconds(),
+		AgeMillis: l.Age.Milliseconds() + 1, LapseMillis: l.LapseWindow.Milliseconds(),
 	}
 	if a.FetchesLarge {
 		r.addPage(l.Entries, a.PageAfter)
