--- a/internal/configuration/commit.go
+++ b/internal/configuration/commit.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// minSettleBackoff is the first pause between attempts to commit a change. It doubles
-	// up to maxSettleBackoff, so that daemons do not flood a service that is failing.
-	minSettleBackoff = 50 * time.Millisecond
-	maxSettleBackoff = time.Second
-	// maxSettleAttempts bounds the attempts to determine whether a change was committed.
-	// With the pauses they take about half a minute. After that it is more useful to the
-	// operator to be told that the outcome is unknown than to wait.
-	maxSettleAttempts = 35
+	// minCommitBackoff is the first pause between attempts to commit a change. It doubles
+	// up to maxCommitBackoff, so that daemons do not flood a service that is failing.
+	minCommitBackoff = 50 * time.Millisecond
+	maxCommitBackoff = time.Second
+	// maxCommitAttempts bounds the attempts to commit a change or to determine whether it was
+	// committed. With the pauses they take about half a minute. After that it is more useful
+	// to the operator to be told that the outcome is unknown than to wait.
+	maxCommitAttempts = 35
 	// maxRebaseAttempts bounds the attempts to commit a change when other changes are
 	// committed concurrently. At 4,200 changes a day a second conflict is rare; ten in a
 	// row indicate a fault.
@@ -38,8 +38,8 @@
 )
 
 // Commit applies and commits a change. After fireflypath.ErrUnknown the change may be in
-// force; committing or settling the same ID again is safe. Any other error means that
-// nothing was changed.
+// force: FindCommit tells, and committing the same ID again is safe. Any other error means
+// that nothing was changed.
 func (r *Registry) Commit(ctx context.Context, c fireflypath.Change) (fireflypath.Commit, error) {
 	if r.store == nil {
 		return fireflypath.Commit{ID: c.ID}, ErrNoStore
@@ -62,8 +62,8 @@
 		// Another attempt resolves a write with an unknown outcome: it first looks up the
 		// ID in the trail, and its swap on the same revision makes an earlier write that
 		// is still in flight fail.
-		sleepErr := r.sleep(ctx, min(maxSettleBackoff, minSettleBackoff<<min(attempt, 5)))
-		if sleepErr == nil && attempt < maxSettleAttempts {
+		sleepErr := r.sleep(ctx, min(maxCommitBackoff, minCommitBackoff<<min(attempt, 5)))
+		if sleepErr == nil && attempt < maxCommitAttempts {
 			continue
 		}
 		if uncertain {
@@ -254,18 +254,18 @@
 		return ErrNoStore
 	}
 	for attempt := 0; ; attempt++ {
-		err := r.noteOnce(ctx, l)
+		err := r.appendAuditOnce(ctx, l)
 		retryable := errors.Is(err, fireflypath.ErrConflict) || errors.Is(err, fireflypath.ErrUnknown)
 		if !retryable || attempt >= maxRebaseAttempts {
 			return err
 		}
-		if sleepErr := r.sleep(ctx, minSettleBackoff); sleepErr != nil {
+		if sleepErr := r.sleep(ctx, minCommitBackoff); sleepErr != nil {
 			return errors.CombineErrors(err, sleepErr)
 		}
 	}
 }
 
-func (r *Registry) noteOnce(ctx context.Context, l fireflypath.AuditLine) error {
+func (r *Registry) appendAuditOnce(ctx context.Context, l fireflypath.AuditLine) error {
 	m, revision, err := r.syncWithStore(ctx)
 	if err != nil {
 		return err
--- a/internal/configuration/commit_test.go
+++ b/internal/configuration/commit_test.go
@@ -130,7 +130,7 @@
 }
 
 // The response to a swap is lost and the store stays down. Commit must report an unknown
-// outcome, and Settle must find the change by its ID later.
+// outcome, and FindCommit must find the change by its ID later.
 func TestUnknownOutcomeIsResolvedByID(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
