--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -54,8 +54,8 @@
 	// pullSlots holds one entry for each pull in progress. There is more than one, so that
 	// a slow peer does not prevent a pull from another.
 	pullSlots chan struct{}
-	// offers holds the name of a peer that announced a newer generation.
-	offers chan string
+	// announcers holds the name of a peer that announced a newer generation.
+	announcers chan string
 }
 
 // maxConcurrentPulls bounds the pulls in progress at a time.
@@ -73,12 +73,12 @@
 	Chunks []json.RawMessage `json:"chunks"`
 }
 
-// New registers the methods for calls and the source of the registry's duties. It must be
-// called before the endpoint serves.
+// New registers the methods for calls and sets the function that returns the registry's
+// duty. It must be called before the endpoint serves.
 func New(configs *configuration.Registry, members Fleet, peers Peers, log *zap.Logger) *Distributor {
 	d := &Distributor{
 		configs: configs, members: members, peers: peers, log: log,
-		pullSlots: make(chan struct{}, maxConcurrentPulls), offers: make(chan string, 1),
+		pullSlots: make(chan struct{}, maxConcurrentPulls), announcers: make(chan string, 1),
 	}
 	peers.Handle(methodUpdate, d.handleUpdate)
 	peers.Handle(methodChunks, d.handleChunks)
@@ -101,20 +101,20 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-d.configs.Changed(g):
-		case from := <-d.offers:
+		case from := <-d.announcers:
 			d.pull(ctx, from)
 		}
 	}
 }
 
 // receive records a peer that announces a newer generation.
-func (d *Distributor) receive(from string, b *peer.Heartbeat) {
-	if b.Generation <= d.configs.Generation() {
+func (d *Distributor) receive(from string, hb *peer.Heartbeat) {
+	if hb.Generation <= d.configs.Generation() {
 		return
 	}
 	select {
-	case d.offers <- from:
-	default: // another peer's offer is pending; the next heartbeat repeats this one
+	case d.announcers <- from:
+	default: // another peer's announcement is pending; the next heartbeat repeats this one
 	}
 }
 
