--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -257,7 +257,8 @@
 func (c *connection) check() {
 	switch {
 	case c.silent() || c.idleOrDuplicate():
-		// Left to run, because closing a dead connection may take seconds.
+		// The goroutine of run closes it, because closing a dead connection may take
+		// seconds.
 		c.closing.Store(true)
 		c.wake()
 	case c.heartbeatDue():
