--- a/internal/relief/rounds.go
+++ b/internal/relief/rounds.go
@@ -102,8 +102,8 @@
 
 var _ fireflypath.Relief = (*Rounds)(nil)
 
-// New returns the rounds of the daemon self. cluster returns this daemon's own route, which
-// serves the requests of peers. windows may be nil.
+// New returns the rounds of the daemon self. cluster returns this daemon's own pools, which
+// serve the requests of peers, or nil before they are created. windows may be nil.
 func New(self string, members fireflypath.Members, caller Caller, cluster func() fireflypath.Cluster,
 	windows Windows, clock clockwork.Clock, scope tally.Scope,
 ) *Rounds {
--- a/internal/relief/rounds_test.go
+++ b/internal/relief/rounds_test.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// fakeCluster is the route of a fakePeer.
+// fakeCluster implements fireflypath.Cluster for a fakePeer.
 type fakeCluster struct {
 	network *fakeNetwork
 	peer    *fakePeer
