--- a/cluster.go
+++ b/cluster.go
@@ -76,7 +76,7 @@
 type Member struct {
 	Name   string `json:"name"`
 	Domain string `json:"domain"`
-	// Peer, Caller and Operator are the addresses that it listens on.
+	// PeerAddr, CallerAddr and OperatorAddr are the addresses that it listens on.
 	PeerAddr     string `json:"peer"`
 	CallerAddr   string `json:"caller"`
 	OperatorAddr string `json:"operator"`
@@ -106,9 +106,9 @@
 
 // Relief asks the other daemons to give up waiting work of lower tiers.
 type Relief interface {
-	// Ask joins the running round of the pool for the rank or starts one. It returns the
-	// number of tokens freed, and 0 only if every live peer has reported that it has no such
-	// work.
+	// Ask asks for work of lower tiers than rank in the pool's next round, which starts at
+	// once if none is running. It returns the number of tokens freed, and 0 only if every live
+	// peer has reported that it has no such work.
 	Ask(ctx context.Context, pool string, rank, tokens int) (int, error)
 }
 
--- a/dispatch.go
+++ b/dispatch.go
@@ -57,8 +57,8 @@
 }
 
 // Empty reports whether the update contains nothing.
-func (n *DispatchUpdate) Empty() bool {
-	return len(n.InFlight)+len(n.Offers)+len(n.Progress)+len(n.Withdrawn) == 0
+func (u *DispatchUpdate) Empty() bool {
+	return len(u.InFlight)+len(u.Offers)+len(u.Progress)+len(u.Withdrawn) == 0
 }
 
 // Decision is a dispatcher's decision about one piece of work: a target or a refusal.
--- a/refusal.go
+++ b/refusal.go
@@ -52,7 +52,7 @@
 
 // Refusal is the answer to a request that got no answer from a target.
 type Refusal struct {
-	// Code is the reason in one word.
+	// Code is the machine-readable reason.
 	Code Reason `json:"code"`
 	// Tier is the tier's name, empty before the team is known.
 	Tier string `json:"tier,omitempty"`
--- a/scheduler.go
+++ b/scheduler.go
@@ -225,7 +225,7 @@
 	// Speeds holds the speeds of targets that it learned.
 	Speeds map[string]Speed
 	// PartialView is true if it places work without knowing all the work that others place:
-	// because it places its own work, or that of only a part of its group.
+	// because it places its own work, or that of only a part of its cell.
 	PartialView bool
 }
 
