--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/poison/detector_test.go
@@ -1,4 +1,4 @@
-package quarantine_test
+package poison_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"github.com/fireflypath/fireflypath/internal/decide/quarantine"
+	"github.com/fireflypath/fireflypath/internal/decide/poison"
 	"github.com/fireflypath/fireflypath/internal/digest"
 )
 
@@ -42,12 +42,12 @@
 	restartTime  time.Duration
 	targets      []target
 	incarnations int
-	detector     *quarantine.Detector
+	detector     *poison.Detector
 	// attempts is how often a request is sent to targets, including its caller's retries.
 	attempts int
 	retries  []run
 	served   map[digest.Digest]time.Time
-	states   map[digest.Digest]quarantine.State
+	states   map[digest.Digest]poison.State
 	held     map[digest.Digest]time.Time
 	crashes  map[digest.Digest][]time.Time
 }
@@ -64,8 +64,8 @@
 	p := &pool{
 		is: is.New(t), rnd: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), restartTime: 2 * time.Second, attempts: 4,
 		targets:  make([]target, targets),
-		detector: quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour}),
-		served:   map[digest.Digest]time.Time{}, states: map[digest.Digest]quarantine.State{},
+		detector: poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour}),
+		served:   map[digest.Digest]time.Time{}, states: map[digest.Digest]poison.State{},
 		held: map[digest.Digest]time.Time{}, crashes: map[digest.Digest][]time.Time{},
 	}
 	for i := range p.targets {
@@ -106,7 +106,7 @@
 	t := p.targets[i]
 	p.restart(i, p.now.Add(p.restartTime))
 	for _, r := range t.runs {
-		p.detector.RecordCrash(p.now, quarantine.Crash{Digest: r.digest, Pool: "p", Target: t.incarnation, PoolSize: len(p.targets), Started: r.started, Ended: p.now})
+		p.detector.RecordCrash(p.now, poison.Crash{Digest: r.digest, Pool: "p", Target: t.incarnation, PoolSize: len(p.targets), Started: r.started, Ended: p.now})
 		p.crashes[r.digest] = append(p.crashes[r.digest], p.now)
 		if r.attempts < p.attempts {
 			p.retries = append(p.retries, r)
@@ -150,10 +150,10 @@
 	verdicts, _ := p.detector.Evaluate(p.now, confirmation, nil)
 	for _, v := range verdicts {
 		p.states[v.Digest] = v.State
-		if v.State == quarantine.Held {
+		if v.State == poison.Held {
 			p.held[v.Digest] = p.now
 		}
-		if at, ok := p.served[v.Digest]; ok && v.State == quarantine.Suspect && p.now.Sub(at) < time.Minute {
+		if at, ok := p.served[v.Digest]; ok && v.State == poison.Suspect && p.now.Sub(at) < time.Minute {
 			p.reportSuccess(v.Digest)
 		}
 	}
@@ -188,10 +188,10 @@
 }
 
 const (
-	poison       = digest.Digest(1)
-	other        = digest.Digest(2)
-	hotKey       = digest.Digest(3)
-	firstHealthy = digest.Digest(100)
+	poisonRequest = digest.Digest(1)
+	other         = digest.Digest(2)
+	hotRequest    = digest.Digest(3)
+	firstHealthy  = digest.Digest(100)
 )
 
 // A poison request crashes every target that runs it: at any rate, alone or several in
@@ -207,8 +207,8 @@
 		timeToCrash   time.Duration
 		targets       int
 		// attempts is how often a request is sent, including retries by daemons.
-		attempts   int
-		withHotKey bool
+		attempts       int
+		withHotRequest bool
 	}{
 		{name: "once a second", interval: time.Second, perInterval: 1, distinct: 1, timeToCrash: 100 * time.Millisecond, targets: 12},
 		{name: "rarely", interval: 6 * time.Second, perInterval: 1, distinct: 1, timeToCrash: 100 * time.Millisecond, targets: 12},
@@ -218,7 +218,7 @@
 		{name: "long runs", interval: 2 * time.Second, perInterval: 1, distinct: 1, timeToCrash: 1500 * time.Millisecond, targets: 12},
 		{name: "unrelated crashes", interval: 4 * time.Second, perInterval: 1, distinct: 1, crashInterval: 3 * time.Second, timeToCrash: 100 * time.Millisecond, targets: 12},
 		{name: "three targets", interval: 3 * time.Second, perInterval: 1, distinct: 1, timeToCrash: 60 * time.Millisecond, targets: 3},
-		{name: "beside a hot key", interval: time.Second, perInterval: 1, distinct: 1, timeToCrash: 100 * time.Millisecond, targets: 12, withHotKey: true},
+		{name: "beside a hot request", interval: time.Second, perInterval: 1, distinct: 1, timeToCrash: 100 * time.Millisecond, targets: 12, withHotRequest: true},
 		{name: "retried immediately", interval: 2 * time.Second, perInterval: 1, distinct: 1, timeToCrash: 20 * time.Millisecond, targets: 6, attempts: 3},
 		{name: "many targets", interval: time.Second, perInterval: 1, distinct: 2, crashInterval: 2 * time.Second, timeToCrash: 100 * time.Millisecond, targets: 200},
 	} {
@@ -231,7 +231,7 @@
 					if i%int(c.interval/tick) == 0 {
 						for range c.perInterval {
 							for d := range c.distinct {
-								p.send(run{digest: poison + digest.Digest(d), poison: true}, c.timeToCrash)
+								p.send(run{digest: poisonRequest + digest.Digest(d), poison: true}, c.timeToCrash)
 							}
 						}
 					}
@@ -242,14 +242,14 @@
 						p.sendHealthy(next)
 						next++
 					}
-					if c.withHotKey && i%8 == 0 {
-						p.sendHealthy(hotKey)
+					if c.withHotRequest && i%8 == 0 {
+						p.sendHealthy(hotRequest)
 					}
 					p.step()
 				}
 				for d := range c.distinct {
-					p.is.True(!p.held[poison+digest.Digest(d)].IsZero())
-					p.is.True(p.lateCrashes(poison+digest.Digest(d)) <= maxLateCrashes)
+					p.is.True(!p.held[poisonRequest+digest.Digest(d)].IsZero())
+					p.is.True(p.lateCrashes(poisonRequest+digest.Digest(d)) <= maxLateCrashes)
 				}
 				p.is.Equal(len(p.held), c.distinct) // no healthy request is held
 			}
@@ -276,7 +276,7 @@
 			if i%5 == 0 {
 				p.sendHealthy(next)
 				next++
-				p.sendHealthy(hotKey)
+				p.sendHealthy(hotRequest)
 			}
 			p.step()
 		}
@@ -309,7 +309,7 @@
 }
 
 // One request makes up most of the load, so it is running on every target that crashes.
-func TestHotKeyIsNotHeld(t *testing.T) {
+func TestHotRequestIsNotHeld(t *testing.T) {
 	for _, every := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 5 * time.Second} {
 		t.Run(every.String(), func(t *testing.T) {
 			for seed := range uint64(12) {
@@ -320,7 +320,7 @@
 						p.crash(p.rnd.IntN(len(p.targets)))
 					}
 					if i%4 == 0 {
-						p.sendHealthy(hotKey)
+						p.sendHealthy(hotRequest)
 					}
 					if i%20 == 0 {
 						p.sendHealthy(next)
@@ -336,17 +336,17 @@
 
 // crashTargets reports n crashes, one per second, each on a target that had just started
 // the poison request and ran nothing else.
-func crashTargets(detector *quarantine.Detector, now time.Time, n int, from string) time.Time {
+func crashTargets(detector *poison.Detector, now time.Time, n int, from string) time.Time {
 	for i := range n {
 		now = now.Add(time.Second)
 		started := now.Add(-100 * time.Millisecond)
-		detector.RecordCrash(now, quarantine.Crash{Digest: poison, Pool: "p", Target: fmt.Sprint(from, i), PoolSize: 12, Started: started, Ended: now})
+		detector.RecordCrash(now, poison.Crash{Digest: poisonRequest, Pool: "p", Target: fmt.Sprint(from, i), PoolSize: 12, Started: started, Ended: now})
 	}
 	return now
 }
 
-func evaluate(detector *quarantine.Detector, now time.Time) (quarantine.Verdict, time.Time) {
-	var last quarantine.Verdict
+func evaluate(detector *poison.Detector, now time.Time) (poison.Verdict, time.Time) {
+	var last poison.Verdict
 	for range 100 {
 		now = now.Add(tick)
 		verdicts, _ := detector.Evaluate(now, confirmation, nil)
@@ -359,20 +359,20 @@
 
 func TestRepeatedHoldLastsLonger(t *testing.T) {
 	is := is.New(t)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := crashTargets(detector, time.Unix(1000, 0), 3, "a")
 	v, now := evaluate(detector, now)
-	is.Equal(v.State, quarantine.Held)
+	is.Equal(v.State, poison.Held)
 	is.Equal(v.Crashes, 3)
 	is.True(v.Until.After(now.Add(59 * time.Minute)))
 
 	now = crashTargets(detector, now, 2, "late") // sent before the hold took effect
 	_, now = evaluate(detector, now)
 	now = crashTargets(detector, now.Add(time.Hour), 1, "b") // one more is enough, even if another request ran there
-	detector.RecordCrash(now, quarantine.Crash{Digest: other, Pool: "p", Target: "b0", PoolSize: 12, Started: now.Add(-time.Second), Ended: now})
+	detector.RecordCrash(now, poison.Crash{Digest: other, Pool: "p", Target: "b0", PoolSize: 12, Started: now.Add(-time.Second), Ended: now})
 	v, now = evaluate(detector, now)
-	is.Equal(v.Digest, poison)
-	is.Equal(v.State, quarantine.Held)
+	is.Equal(v.Digest, poisonRequest)
+	is.Equal(v.State, poison.Held)
 	is.Equal(v.Holds, 2)
 	is.True(v.Until.After(now.Add(119 * time.Minute)))
 }
@@ -381,51 +381,51 @@
 // it three times. It used to be held for an hour.
 func TestRequestRetriedWithPoisonIsNotHeld(t *testing.T) {
 	is := is.New(t)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := time.Unix(1000, 0)
 	crash := func(target string, requests ...digest.Digest) {
 		started := now
 		now = now.Add(20 * time.Millisecond)
 		for _, d := range requests {
-			detector.RecordCrash(now, quarantine.Crash{Digest: d, Pool: "p", Target: target, PoolSize: 12, Started: started, Ended: now})
+			detector.RecordCrash(now, poison.Crash{Digest: d, Pool: "p", Target: target, PoolSize: 12, Started: started, Ended: now})
 		}
 	}
 	for _, target := range []string{"t1", "t2", "t3"} {
-		crash(target, poison, other)
+		crash(target, poisonRequest, other)
 	}
 	v, evaluated := evaluate(detector, now)
-	is.Equal(v.State, quarantine.Suspect) // either one may be the poison request
+	is.Equal(v.State, poison.Suspect) // either one may be the poison request
 	now = evaluated
-	crash("t4", poison)
+	crash("t4", poisonRequest)
 	v, now = evaluate(detector, now)
-	is.Equal(v.State, quarantine.Held)
-	is.Equal(v.Digest, poison)
-	crash("t5", other, poison) // sent before the hold took effect
+	is.Equal(v.State, poison.Held)
+	is.Equal(v.Digest, poisonRequest)
+	crash("t5", other, poisonRequest) // sent before the hold took effect
 	v, _ = evaluate(detector, now)
-	is.True(v.State != quarantine.Held)
+	is.True(v.State != poison.Held)
 }
 
 // A target breaks its responses without crashing, for example because connections are
 // reset.
 func TestRetractedCrashIsNotCounted(t *testing.T) {
 	is := is.New(t)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := crashTargets(detector, time.Unix(1000, 0), 3, "a")
 	detector.RetractCrash("a1")
 	v, _ := evaluate(detector, now)
-	is.Equal(v.State, quarantine.Suspect)
+	is.Equal(v.State, poison.Suspect)
 }
 
 func TestCompletedRequestIsCleared(t *testing.T) {
 	is := is.New(t)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 	now := crashTargets(detector, time.Unix(1000, 0), 3, "a")
 	v, now := evaluate(detector, now)
-	is.Equal(v.State, quarantine.Held)
-	v, known := detector.RecordSuccess(now, poison) // sent before the hold took effect
+	is.Equal(v.State, poison.Held)
+	v, known := detector.RecordSuccess(now, poisonRequest) // sent before the hold took effect
 	is.True(known)
-	is.Equal(v.State, quarantine.Cleared)
-	_, known = detector.RecordSuccess(now, poison)
+	is.Equal(v.State, poison.Cleared)
+	_, known = detector.RecordSuccess(now, poisonRequest)
 	is.True(!known)
 }
 
@@ -433,11 +433,11 @@
 func TestVerdictOfAnotherDaemonApplies(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
-	detector.ApplyVerdict(now, quarantine.Verdict{Digest: poison, Pool: "p", State: quarantine.Held, Until: now.Add(time.Hour), Holds: 2})
+	detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
+	detector.ApplyVerdict(now, poison.Verdict{Digest: poisonRequest, Pool: "p", State: poison.Held, Until: now.Add(time.Hour), Holds: 2})
 	now = crashTargets(detector, now, 3, "a")
 	v, now := evaluate(detector, now)
-	is.Equal(v.State, quarantine.State("")) // it is held already
+	is.Equal(v.State, poison.State("")) // it is held already
 	now = crashTargets(detector, now.Add(time.Hour), 1, "b")
 	v, _ = evaluate(detector, now)
 	is.Equal(v.Holds, 3)
@@ -447,7 +447,7 @@
 // future.
 func TestHeldVerdictsAreValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		detector := quarantine.New(quarantine.Config{MinCrashes: 2, HoldTime: time.Minute})
+		detector := poison.New(poison.Config{MinCrashes: 2, HoldTime: time.Minute})
 		now := time.Unix(1000, 0)
 		for i := range 100 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond)
@@ -458,11 +458,11 @@
 			case 1:
 				detector.RetractCrash(fmt.Sprint(rapid.IntRange(0, i).Draw(t, "target")))
 			default:
-				detector.RecordCrash(now, quarantine.Crash{Digest: d, Pool: "p", Target: fmt.Sprint(i), Started: now.Add(-time.Second), Ended: now})
+				detector.RecordCrash(now, poison.Crash{Digest: d, Pool: "p", Target: fmt.Sprint(i), Started: now.Add(-time.Second), Ended: now})
 			}
 			verdicts, _ := detector.Evaluate(now, confirmation, nil)
 			for _, v := range verdicts {
-				if v.State == quarantine.Held && (v.Crashes < 1 || !v.Until.After(now)) {
+				if v.State == poison.Held && (v.Crashes < 1 || !v.Until.After(now)) {
 					t.Fatalf("%+v", v)
 				}
 			}
@@ -472,10 +472,10 @@
 
 func BenchmarkFailureDomainLoss(b *testing.B) {
 	for b.Loop() {
-		detector := quarantine.New(quarantine.Config{MinCrashes: 3, HoldTime: time.Hour})
+		detector := poison.New(poison.Config{MinCrashes: 3, HoldTime: time.Hour})
 		now := time.Unix(1000, 0)
 		for i := range 600 {
-			detector.RecordCrash(now, quarantine.Crash{
+			detector.RecordCrash(now, poison.Crash{
 				Digest: digest.Digest(i + 1), Pool: "p", Target: fmt.Sprint(i / 8), Started: now.Add(-time.Second), Ended: now,
 			})
 		}
