--- a/internal/daemon/defaults.go
+++ b/internal/daemon/defaults.go
@@ -12,7 +12,7 @@
 // defaults sets the clock and the logger if they were not given.
 type defaults struct{}
 
-func (defaults) String() string { return "defaults" }
+func (defaults) String() string { return "basics" }
 
 func (defaults) Run(ctx context.Context, d *Daemon) error {
 	if d.deps.Clock == nil {
--- a/internal/daemon/gate.go
+++ b/internal/daemon/gate.go
@@ -70,7 +70,7 @@
 // garbageCollector configures the garbage collector.
 type garbageCollector struct{}
 
-func (garbageCollector) String() string { return "garbage collector" }
+func (garbageCollector) String() string { return "collector" }
 
 func (garbageCollector) Run(context.Context, *Daemon) error {
 	debug.SetGCPercent(gcPercent)
