--- a/internal/decide/slots/slots_test.go
+++ b/internal/decide/slots/slots_test.go
@@ -51,14 +51,14 @@
 
 // exchangeReports delivers the report of each daemon to all others.
 func exchangeReports(all []*slots.Scheduler, now time.Time) {
-	var mates []fireflypath.PeerLoad
+	var loads []fireflypath.PeerLoad
 	for d, s := range all {
 		m := fireflypath.NewPeerLoad(fmt.Sprint("d", d))
 		s.Report(&m)
-		mates = append(mates, m)
+		loads = append(loads, m)
 	}
 	for d, s := range all {
-		s.UpdatePeers(now, append(append([]fireflypath.PeerLoad(nil), mates[:d]...), mates[d+1:]...))
+		s.UpdatePeers(now, append(append([]fireflypath.PeerLoad(nil), loads[:d]...), loads[d+1:]...))
 	}
 }
 
@@ -560,7 +560,7 @@
 		p  fireflypath.Placement
 	}
 	var running []end
-	var asked, served, late [2]int
+	var offered, served, late [2]int
 	now := start
 	for i := range 3000 { // one minute; ten slots serve ten requests per second
 		now = now.Add(20 * time.Millisecond)
@@ -569,11 +569,11 @@
 			running = running[1:]
 		}
 		if i%4 == 0 { // 12.5 per second
-			asked[0]++
+			offered[0]++
 			s.Offer(now, newWork(fmt.Sprint("high", i), 0, now), nil)
 		}
 		if i%10 == 0 { // 5 per second
-			asked[1]++
+			offered[1]++
 			s.Offer(now, newWork(fmt.Sprint("low", i), 2, now), nil)
 		}
 		s.Expire(now, nil)
@@ -586,8 +586,8 @@
 			}
 		}
 	}
-	all := float64(served[0]+served[1]) / float64(asked[0]+asked[1])
-	low := float64(served[1]) / float64(asked[1])
+	all := float64(served[0]+served[1]) / float64(offered[0]+offered[1])
+	low := float64(served[1]) / float64(offered[1])
 	is.True(low >= 0.25*all)
 	is.True(low <= 0.45*all)
 	is.True(late[1] <= served[1]/10)
