--- a/internal/decide/rate/meter.go
+++ b/internal/decide/rate/meter.go
@@ -1,8 +1,9 @@
 // Package rate measures rates, such as tokens or requests per second, over the last
 // seconds.
 //
-// They are used, among others, to predict when there will be room. A fixed Retry-After is right for one load
-// only: with others, callers come back to a full queue or stay away from an empty one.
+// They are used, among others, to predict when there will be room. A fixed Retry-After is
+// right for one load only: with others, callers come back to a full queue or stay away
+// from an empty one.
 package rate
 
 import (
