--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -19,11 +19,11 @@
 
 // daemon is a Usage and a fake of everything it depends on.
 type daemon struct {
-	name   string
-	usage  *usage.Usage
-	source peer.Source
-	sink   peer.Sink
-	up     func(fireflypath.Member)
+	name      string
+	usage     *usage.Usage
+	source    peer.Source
+	sink      peer.Sink
+	onConnect func(fireflypath.Member)
 
 	report    fireflypath.PeerLoad
 	used      map[string]float64
@@ -45,7 +45,7 @@
 
 func (d *daemon) AddSource(s peer.Source)               { d.source = s }
 func (d *daemon) AddSink(s peer.Sink)                   { d.sink = s }
-func (d *daemon) OnConnect(up func(fireflypath.Member)) { d.up = up }
+func (d *daemon) OnConnect(up func(fireflypath.Member)) { d.onConnect = up }
 func (d *daemon) FlushTo([]string)                      { d.flushed++ }
 func (d *daemon) Live() []fireflypath.Member            { return d.live }
 func (d *daemon) Missing() int                          { return d.missing }
@@ -97,8 +97,8 @@
 	return out, clock
 }
 
-// exchange sends a heartbeat from one daemon to the other.
-func exchange(from, to *daemon) {
+// deliver sends a heartbeat from one daemon to the other.
+func deliver(from, to *daemon) {
 	from.usage.Step()
 	var b peer.Heartbeat
 	from.source(to.name, &b)
@@ -112,12 +112,12 @@
 	a, b := ds[0], ds[1]
 	a.report.InFlight = map[string]int{"t1": 3}
 	a.report.WaitingRanks = map[string]int{"p": 2}
-	exchange(a, b)
+	deliver(a, b)
 	is.Equal(b.peers[0].InFlight, map[string]int{"t1": 3})
 	is.Equal(b.peers[0].WaitingRanks, map[string]int{"p": 2})
 	a.report.InFlight = map[string]int{"t2": 1}
 	a.report.WaitingRanks = map[string]int{}
-	exchange(a, b)
+	deliver(a, b)
 	is.Equal(b.peers[0].InFlight["t1"], 0)
 	is.Equal(b.peers[0].InFlight["t2"], 1)
 	is.Equal(len(b.peers[0].WaitingRanks), 0)
@@ -130,7 +130,7 @@
 	ds, clock := pair()
 	a, b := ds[0], ds[1]
 	a.report.InFlight = map[string]int{"t1": 3}
-	exchange(a, b)
+	deliver(a, b)
 	is.Equal(len(b.peers), 1)
 	is.Equal(b.fraction, 1.0)
 	clock.Advance(3 * time.Second)
@@ -146,19 +146,19 @@
 	ds, clock := pair()
 	a, b := ds[0], ds[1]
 	a.used["red"] = 100
-	exchange(a, b)
+	deliver(a, b)
 	is.Equal(b.remoteUse["red"], 0.0) // used before b first received its sums
 	a.used["red"] = 150
-	exchange(a, b)
+	deliver(a, b)
 	is.Equal(b.remoteUse["red"], 50.0)
 	clock.Advance(time.Second)
 	restarted := &daemon{name: "d0", live: a.live, used: map[string]float64{"red": 30}, remoteUse: map[string]float64{}, report: a.report}
 	restarted.usage = usage.New("d0", restarted, restarted, restarted, restarted, clock, tally.NoopScope)
-	b.up(fireflypath.Member{Name: "d0", Incarnation: 2})
-	exchange(restarted, b)
+	b.onConnect(fireflypath.Member{Name: "d0", Incarnation: 2})
+	deliver(restarted, b)
 	is.Equal(b.remoteUse["red"], 80.0)
 	a.used["red"] = 500
-	exchange(a, b) // a late message from before the restart
+	deliver(a, b) // a late message from before the restart
 	is.Equal(b.remoteUse["red"], 80.0)
 }
 
@@ -166,7 +166,7 @@
 func TestLevelsAreAdopted(t *testing.T) {
 	is := is.New(t)
 	ds, _ := pair()
-	exchange(ds[0], ds[1])
+	deliver(ds[0], ds[1])
 	is.Equal(ds[1].adopted, map[string]float64{"red": 7})
 }
 
@@ -180,7 +180,7 @@
 	var old peer.Heartbeat
 	a.source("d1", &old)
 	a.report.InFlight = map[string]int{"t1": 1}
-	exchange(a, b)
+	deliver(a, b)
 	b.sink("d0", &old)
 	b.usage.Step()
 	is.Equal(b.peers[0].InFlight["t1"], 1)
@@ -214,7 +214,7 @@
 	is := is.New(t)
 	ds, clock := pair()
 	a, b := ds[0], ds[1]
-	exchange(b, a)
+	deliver(b, a)
 	a.idle = true
 	a.usage.Step()
 	reports, updates, flushed := a.reports, a.updates, a.flushed
@@ -230,7 +230,7 @@
 	a.usage.Step()
 	is.Equal(a.flushed, flushed+1)
 	b.report.InFlight = map[string]int{"t1": 1}
-	exchange(b, a)
+	deliver(b, a)
 	is.Equal(a.peers[0].InFlight["t1"], 1)
 }
 
