--- a/internal/configuration/commit.go
+++ b/internal/configuration/commit.go
@@ -11,7 +11,7 @@
 
 const (
 	// minCommitBackoff is the first pause between attempts to commit a change. It doubles
-	// up to maxCommitBackoff, so that daemons do not flood a service that is failing.
+	// up to maxCommitBackoff, so that daemons do not flood a store that is failing.
 	minCommitBackoff = 50 * time.Millisecond
 	maxCommitBackoff = time.Second
 	// maxCommitAttempts bounds the attempts to commit a change or to determine whether it was
--- a/internal/configuration/manifest.go
+++ b/internal/configuration/manifest.go
@@ -9,7 +9,7 @@
 	"github.com/fireflypath/fireflypath"
 )
 
-// Keys that a registry uses in the platform's key-value service.
+// Keys that a registry uses in the platform's key-value store.
 const (
 	manifestKey = "config/manifest"
 	chunkPrefix = "config/chunk/"
--- a/internal/configuration/registry.go
+++ b/internal/configuration/registry.go
@@ -1,5 +1,5 @@
 // Package configuration holds the configuration in force at a daemon and commits changes to
-// the platform's key-value service.
+// the platform's key-value store.
 //
 // A configuration is stored as content-addressed chunks and a manifest that lists their
 // digests. A change uploads its chunks and then replaces the manifest by compare-and-swap.
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -52,7 +52,7 @@
 }
 
 // maxSingleReads is the number of missing chunks up to which each is read by itself. For more,
-// listing all chunks is cheaper for the service than a call for each.
+// listing all chunks is cheaper for the store than a call for each.
 const maxSingleReads = 16
 
 // fetchFromStore reads chunks from the store.
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// watchTimeout is how long the service holds a watch without a change. With 20 s each
+	// watchTimeout is how long the store holds a watch without a change. With 20 s each
 	// watcher makes three calls a minute.
 	watchTimeout = 20 * time.Second
 	// minRetryDelay and maxRetryDelay bound the backoff after failed calls. The maximum is
-	// also the time until a daemon notices that the service is available again.
+	// also the time until a daemon notices that the store is available again.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 	// dutyPollInterval is the interval at which a daemon that does not watch checks its duty.
