--- a/internal/claim/claims.go
+++ b/internal/claim/claims.go
@@ -1,4 +1,4 @@
-// Package claim claims idempotency keys in the platform's key-value service, so that work that
+// Package claim claims idempotency keys in the platform's key-value store, so that work that
 // must not be repeated runs at most once.
 //
 // The claims are spread over a fixed number of documents. A daemon batches the operations on a
@@ -26,14 +26,14 @@
 	Retention = time.Hour
 	// shardCount is the number of documents. Each compare-and-swap writes a whole document, so
 	// that fewer documents make larger writes, and more documents make smaller batches. With
-	// 64, a burst of 200 claims takes at most 64 writes. The service takes several hundred
+	// 64, a burst of 200 claims takes at most 64 writes. The store takes several hundred
 	// writes a second.
 	shardCount = 64
 	// keyPrefix is the prefix of the documents' keys in the store.
 	keyPrefix = "claims/"
 
 	minBackoff = 20 * time.Millisecond
-	// maxBackoff limits the calls to a service that is down to about one a second for each
+	// maxBackoff limits the calls to a store that is down to about one a second for each
 	// document.
 	maxBackoff = time.Second
 	// callTimeout bounds the read and the write of one batch.
--- a/internal/claim/claims_test.go
+++ b/internal/claim/claims_test.go
@@ -134,7 +134,7 @@
 	is.NoErr(c.Claim(t.Context(), "team", "key", "d.2", clock.Now().Add(claimTimeout)))
 }
 
-// A burst of claims arrives at once. The service takes several hundred writes a second for the
+// A burst of claims arrives at once. The store takes several hundred writes a second for the
 // whole fleet, so that the claims must be written in batches.
 func TestBurstIsBatched(t *testing.T) {
 	is := is.New(t)
--- a/internal/claim/memory/memory.go
+++ b/internal/claim/memory/memory.go
@@ -1,5 +1,5 @@
 // Package memory provides an in-memory store for the claims of a daemon that runs without the
-// platform's key-value service.
+// platform's key-value store.
 package memory
 
 import (
