--- a/internal/order/issuer.go
+++ b/internal/order/issuer.go
@@ -1,7 +1,7 @@
 // Package order sends orders to targets.
 //
 // At most one daemon at a time sends them: the holder of a lease in the platform's key-value
-// service. Each order carries a fencing number that is higher for each holder, so that a
+// store. Each order carries a fencing number that is higher for each holder, so that a
 // target can refuse an order that a previous holder sent late. The other daemons forward
 // their orders to the holder.
 package order
--- a/internal/order/lease.go
+++ b/internal/order/lease.go
@@ -17,7 +17,7 @@
 	// is many times longer than renewals usually fail, and short compared with the work that
 	// an order causes at its target.
 	leaseDuration = 10 * time.Second
-	// safetyMargin is how long before the lease may expire at the service the holder stops
+	// safetyMargin is how long before the lease may expire at the store the holder stops
 	// sending. It covers a clock drift of a tenth of the lease and the time that an order
 	// written last takes to arrive.
 	safetyMargin = 2 * time.Second
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	if !o.clock.Now().Before(lease.validUntil) {
-		// The service was slow, or this process was paused. Another daemon may hold the
+		// The store was slow, or this process was paused. Another daemon may hold the
 		// lease by now.
 		return nil, errors.Wrap(fireflypath.ErrLeaseExpired, "lease for orders was granted too long ago")
 	}
