--- a/internal/daemon/cluster.go
+++ b/internal/daemon/cluster.go
@@ -209,7 +209,7 @@
 	d.evidence.ReportStaying(target, evidence.SourcePeers, d.deps.Clock.Now())
 }
 
-// firstConfiguration waits for a configuration from the service or a peer. A daemon that starts
+// firstConfiguration waits for a configuration from the store or a peer. A daemon that starts
 // during an outage would otherwise refuse its callers because it knows no teams.
 type firstConfiguration struct{}
 
--- a/internal/daemon/operators.go
+++ b/internal/daemon/operators.go
@@ -35,7 +35,7 @@
 func (operators) Run(ctx context.Context, d *Daemon) error {
 	committer, members := d.deps.Committer, d.deps.Members
 	if committer == nil {
-		// Without the platform's service it refuses every change and gives the reason.
+		// Without the platform's store it refuses every change and gives the reason.
 		committer = registry.New(nil, d.cfg.Initial, d.cfg.Name, d.deps.Clock, d.scope, d.deps.Log)
 	}
 	if members == nil {
--- a/internal/daemon/route.go
+++ b/internal/daemon/route.go
@@ -11,7 +11,7 @@
 	"github.com/fireflypath/fireflypath/internal/route/meter"
 )
 
-// claims creates the claims of idempotency keys in the platform's service, or in memory without it.
+// claims creates the claims of idempotency keys in the platform's store, or in memory without it.
 type claims struct{}
 
 func (claims) String() string { return "claims" }
--- a/internal/daemon/staticconfigs.go
+++ b/internal/daemon/staticconfigs.go
@@ -2,7 +2,7 @@
 
 import "github.com/fireflypath/fireflypath"
 
-// staticConfigs provides the configuration of a daemon without a platform service. It never
+// staticConfigs provides the configuration of a daemon without the platform's store. It never
 // changes.
 type staticConfigs struct {
 	cfg   *fireflypath.Config
