--- a/store.go
+++ b/store.go
@@ -13,9 +13,9 @@
 	ErrNotFound = errors.New("key holds no value")
 	// ErrConflict means that the key has another revision; nothing was written.
 	ErrConflict = errors.New("key has another revision")
-	// ErrUnavailable means that the service rejected the call; nothing was written.
+	// ErrUnavailable means that the store rejected the call; nothing was written.
 	ErrUnavailable = errors.New("platform service is unavailable")
-	// ErrLimited means that the call exceeded the service's rate limit; nothing was written.
+	// ErrLimited means that the call exceeded the store's rate limit; nothing was written.
 	ErrLimited = errors.New("platform service limits the rate")
 	// ErrUnknown means that a write may or may not have taken effect.
 	ErrUnknown = errors.New("outcome of the write is unknown")
@@ -25,8 +25,7 @@
 	ErrLeaseExpired = errors.New("lease has lapsed")
 )
 
-// MaxValue is the largest value in bytes that the platform's service accepts, which takes values up
-// to a megabyte.
+// MaxValue is the size in bytes of the largest value that the platform's store accepts.
 const MaxValue = 1 << 20
 
 // AnyRevision makes a Put unconditional.
@@ -45,8 +44,8 @@
 // LeaseID identifies a lease.
 type LeaseID uint64
 
-// Store is the platform's key-value service. Every method, including a blocking Watch, is one call
-// that counts towards the service's rate limit.
+// Store is the platform's key-value store. Every method, including a blocking Watch, is one call
+// that counts towards the store's rate limit.
 type Store interface {
 	// Get reads one key. It returns ErrNotFound if the key does not exist.
 	Get(ctx context.Context, key string) (Entry, error)
@@ -69,7 +68,7 @@
 }
 
 // StaleLister is a Store that can also list keys as they were some seconds ago, which costs the
-// service a tenth of a current list.
+// store a tenth of a current list.
 type StaleLister interface {
 	// ListStale reads the keys with a prefix, in order.
 	ListStale(ctx context.Context, prefix string) ([]Entry, error)
