--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -52,7 +52,7 @@
 }
 
 // maxSingleReads is the number of missing chunks up to which each is read by itself. For more,
-// listing all chunks is cheaper for the service than a call for each.
+// listing all chunks is cheaper for the store than a call for each.
 const maxSingleReads = 16
 
 // fetchFromStore reads chunks from the store.
@@ -155,7 +155,7 @@
 		return err
 	}
 	r.metrics.restored.Inc(1)
-	r.log.Warn("service showed an older configuration, restored",
+	r.log.Warn("store had an older configuration, restored the current one",
 		zap.Uint64("found", from), zap.Uint64("generation", s.index.Generation))
 	return nil
 }
