--- a/internal/trial/bound.go
+++ b/internal/trial/bound.go
@@ -88,7 +88,7 @@
 	}
 	out := t.rows(o)
 	for i := range out {
-		out[i].Wasted, out[i].Hit = 0, 0
+		out[i].Wasted, out[i].PrefixHit = 0, 0
 	}
 	return out
 }
@@ -113,9 +113,9 @@
 		}
 		r := &request{arrival: a}
 		t.sent(r)
-		l := minDemand(a)
-		prefills = append(prefills, l.prefill)
-		decodes = append(decodes, l.decode)
+		d := minDemand(a)
+		prefills = append(prefills, d.prefill)
+		decodes = append(decodes, d.decode)
 	}
 	n := min(serveSmallest(prefills, &left.prefill), serveSmallest(decodes, &left.decode))
 	good := 0
