--- a/cmd/fireflypath/stand.go
+++ b/cmd/fireflypath/stand.go
@@ -50,7 +50,7 @@
 			&cli.IntFlag{Name: "cache", Value: defaultCache, Usage: "tokens of prompt prefixes in the cache"},
 			&cli.DurationFlag{Name: "lag", Usage: "delay of load reports and cache events"},
 			&cli.IntFlag{Name: "gap", Usage: "drop every n-th cache event; 0 drops none"},
-			&cli.BoolFlag{Name: "unfenced", Usage: "ignore the fencing tokens of orders"},
+			&cli.BoolFlag{Name: "unfenced", Usage: "ignore the fencing numbers of orders"},
 			&cli.BoolFlag{Name: "uncounted", Usage: "keep no counts by request id, for long runs"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
--- a/internal/command/compile.go
+++ b/internal/command/compile.go
@@ -73,10 +73,10 @@
 const defaultDeadline = 2 * time.Minute
 
 func (c *compiler) compileTier(s *tier) {
-	var ch assignments[fireflypath.Tier]
-	c.intField(s.Rank, func(n int) { ch.add(func(t *fireflypath.Tier) { t.Rank = n }) })
+	var a assignments[fireflypath.Tier]
+	c.intField(s.Rank, func(n int) { a.add(func(t *fireflypath.Tier) { t.Rank = n }) })
 	c.durationField(s.Deadline, func(d time.Duration) {
-		ch.add(func(t *fireflypath.Tier) { t.Deadline = fireflypath.Duration(d) })
+		a.add(func(t *fireflypath.Tier) { t.Deadline = fireflypath.Duration(d) })
 	})
 	name := s.Name.Text
 	c.addStep(func(e *edit) {
@@ -84,77 +84,77 @@
 		if created {
 			t.Deadline = fireflypath.Duration(defaultDeadline)
 		}
-		ch.apply(t)
+		a.apply(t)
 	})
 }
 
 func (c *compiler) compileTeam(s *team) {
-	var ch assignments[fireflypath.Team]
-	c.listField(s.Tiers, func(l []string) { ch.add(func(t *fireflypath.Team) { t.Tiers = l }) })
-	c.listField(s.Pools, func(l []string) { ch.add(func(t *fireflypath.Team) { t.Pools = l }) })
-	c.intField(s.Weight, func(n int) { ch.add(func(t *fireflypath.Team) { t.Weight = n }) })
+	var a assignments[fireflypath.Team]
+	c.listField(s.Tiers, func(l []string) { a.add(func(t *fireflypath.Team) { t.Tiers = l }) })
+	c.listField(s.Pools, func(l []string) { a.add(func(t *fireflypath.Team) { t.Pools = l }) })
+	c.intField(s.Weight, func(n int) { a.add(func(t *fireflypath.Team) { t.Weight = n }) })
 	name := s.Name.Text
 	c.addStep(func(e *edit) {
 		t, _ := e.teams.getOrCreate(name)
-		ch.apply(t)
+		a.apply(t)
 	})
 }
 
 func (c *compiler) compilePool(s *pool) {
-	var ch assignments[fireflypath.Pool]
-	c.stringField(s.Kind, func(v string) { ch.add(func(p *fireflypath.Pool) { p.Kind = fireflypath.PoolKind(v) }) })
-	c.listField(s.Models, func(l []string) { ch.add(func(p *fireflypath.Pool) { p.Models = l }) })
-	c.intField(s.Requests, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Requests = n }) })
-	c.intField(s.Bytes, func(n int) { ch.add(func(p *fireflypath.Pool) { p.Bytes = n }) })
+	var a assignments[fireflypath.Pool]
+	c.stringField(s.Kind, func(v string) { a.add(func(p *fireflypath.Pool) { p.Kind = fireflypath.PoolKind(v) }) })
+	c.listField(s.Models, func(l []string) { a.add(func(p *fireflypath.Pool) { p.Models = l }) })
+	c.intField(s.Requests, func(n int) { a.add(func(p *fireflypath.Pool) { p.Requests = n }) })
+	c.intField(s.Bytes, func(n int) { a.add(func(p *fireflypath.Pool) { p.Bytes = n }) })
 	name := s.Name.Text
 	c.addStep(func(e *edit) {
 		p, created := e.pools.getOrCreate(name)
 		if created {
 			p.Kind = fireflypath.KindEngine
 		}
-		ch.apply(p)
+		a.apply(p)
 	})
 }
 
 func (c *compiler) compileTarget(s *targetSet) {
-	var ch assignments[fireflypath.Target]
-	c.stringField(s.Pool, func(v string) { ch.add(func(t *fireflypath.Target) { t.Pool = v }) })
-	c.stringField(s.Addr, func(v string) { ch.add(func(t *fireflypath.Target) { t.Addr = v }) })
-	c.stringField(s.Domain, func(v string) { ch.add(func(t *fireflypath.Target) { t.Domain = v }) })
-	c.intField(s.Window, func(n int) { ch.add(func(t *fireflypath.Target) { t.Window = n }) })
-	c.boolField(s.Fenced, func(v bool) { ch.add(func(t *fireflypath.Target) { t.Fenced = v }) })
+	var a assignments[fireflypath.Target]
+	c.stringField(s.Pool, func(v string) { a.add(func(t *fireflypath.Target) { t.Pool = v }) })
+	c.stringField(s.Addr, func(v string) { a.add(func(t *fireflypath.Target) { t.Addr = v }) })
+	c.stringField(s.Domain, func(v string) { a.add(func(t *fireflypath.Target) { t.Domain = v }) })
+	c.intField(s.Window, func(n int) { a.add(func(t *fireflypath.Target) { t.Window = n }) })
+	c.boolField(s.Fenced, func(v bool) { a.add(func(t *fireflypath.Target) { t.Fenced = v }) })
 	name := s.Name.Text
 	c.addStep(func(e *edit) {
 		t, _ := e.targets.getOrCreate(name)
-		ch.apply(t)
+		a.apply(t)
 	})
 }
 
 func (c *compiler) compileRule(s *rule) {
-	var ch assignments[fireflypath.Rule]
-	c.stringField(s.Act, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Act = fireflypath.RuleAction(v) }) })
-	c.stringField(s.Team, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Team = v }) })
-	c.stringField(s.Tier, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Tier = v }) })
-	c.stringField(s.Pool, func(v string) { ch.add(func(r *fireflypath.Rule) { r.Pool = v }) })
-	c.intField(s.Above, func(n int) { ch.add(func(r *fireflypath.Rule) { r.Above = n }) })
-	c.intField(s.Limit, func(n int) { ch.add(func(r *fireflypath.Rule) { r.Limit = n }) })
+	var a assignments[fireflypath.Rule]
+	c.stringField(s.Act, func(v string) { a.add(func(r *fireflypath.Rule) { r.Act = fireflypath.RuleAction(v) }) })
+	c.stringField(s.Team, func(v string) { a.add(func(r *fireflypath.Rule) { r.Team = v }) })
+	c.stringField(s.Tier, func(v string) { a.add(func(r *fireflypath.Rule) { r.Tier = v }) })
+	c.stringField(s.Pool, func(v string) { a.add(func(r *fireflypath.Rule) { r.Pool = v }) })
+	c.intField(s.Above, func(n int) { a.add(func(r *fireflypath.Rule) { r.Above = n }) })
+	c.intField(s.Limit, func(n int) { a.add(func(r *fireflypath.Rule) { r.Limit = n }) })
 	name := s.Name.Text
 	c.addStep(func(e *edit) {
 		r, _ := e.rules.getOrCreate(name)
-		ch.apply(r)
+		a.apply(r)
 	})
 }
 
 func (c *compiler) compileOperator(s *operator) {
-	var ch assignments[fireflypath.Operator]
-	c.stringField(s.Role, func(v string) { ch.add(func(o *fireflypath.Operator) { o.Role = fireflypath.Role(v) }) })
+	var a assignments[fireflypath.Operator]
+	c.stringField(s.Role, func(v string) { a.add(func(o *fireflypath.Operator) { o.Role = fireflypath.Role(v) }) })
 	name := s.Name.Text
 	c.addStep(func(e *edit) {
 		o, created := e.operators.getOrCreate(name)
 		if created {
 			o.Role = fireflypath.RoleAsk
 		}
-		ch.apply(o)
+		a.apply(o)
 	})
 }
 
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,4 +1,5 @@
-// Package platform is a client of the platform's key-value service and host list.
+// Package platform is a client of the key-value service and host list that daemons without a
+// gate use. Those with a gate use the package of the same name at the root of the module.
 package platform
 
 import (
@@ -14,8 +15,8 @@
 )
 
 const (
-	// defaultTimeout limits a call. The service responds within milliseconds (brief,
-	// "Where it will run"), so 1 s is far above its usual response times.
+	// defaultTimeout limits a call. The service usually responds within milliseconds, so 1 s
+	// is far above its response times.
 	defaultTimeout = time.Second
 	// idleTimeout is how long an unused connection is kept. It is shorter than the usual
 	// idle timeout of servers, so that few writes are sent on a connection that the server
--- a/internal/soak/poison.go
+++ b/internal/soak/poison.go
@@ -101,9 +101,9 @@
 
 // checkPoisonCrashes checks that the daemons held the poison request in time.
 func (r *run) checkPoisonCrashes() {
-	known := r.poisonCrashes.late.Load()
-	r.history.check(invariantHeld, known <= maxLateCrashes, "%d targets crashed after all daemons should have held the poison request, %d in total",
-		known, r.poisonCrashes.total.Load())
+	late := r.poisonCrashes.late.Load()
+	r.history.check(invariantHeld, late <= maxLateCrashes, "%d targets crashed after all daemons should have held the poison request, %d in total",
+		late, r.poisonCrashes.total.Load())
 }
 
 // isHeldRefusal reports whether a response refuses a request for crashing targets.
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -33,7 +33,7 @@
 	// maxConns is far above the number of connections that a caller opens in practice. The
 	// daemon enforces the actual limit.
 	maxConns = 1 << 16
-	// dialTimeout is many round trips within a region (brief: about 1 ms).
+	// dialTimeout is many round trips within a region, which take about 1 ms each.
 	dialTimeout = 2 * time.Second
 )
 
