--- a/internal/windowshare/borrow.go
+++ b/internal/windowshare/borrow.go
@@ -18,8 +18,8 @@
 	methodBorrow = "borrow"
 	// borrowInterval is the time between two rounds of loan requests. All pools that are
 	// short of slots ask together. With nine daemons that are short half of the time,
-	// requests for each pool by itself four times a second took 10 KB/s of the 3 KB/s
-	// for control traffic; joint requests twice a second took 0.9 KB/s.
+	// requests for each pool by itself four times a second took 10 KB/s, above the limit
+	// of 3 KB/s for control traffic; joint requests twice a second took 0.9 KB/s.
 	borrowInterval = time.Second
 	// maxRetryDelay bounds the delay between the requests for a pool that bring no loan,
 	// for example because all daemons are short.
