--- a/internal/follow/download.go
+++ b/internal/follow/download.go
@@ -86,8 +86,8 @@
 	ctx, cancel := context.WithTimeout(ctx, partTimeout)
 	defer cancel()
 	var p partResponse
-	a := partRequest{largeValue: d.largeValue, Base: d.base.Revision, Offset: len(d.data)}
-	if err := f.peers.Call(ctx, w, methodPart, a, &p); err != nil {
+	req := partRequest{largeValue: d.largeValue, Base: d.base.Revision, Offset: len(d.data)}
+	if err := f.peers.Call(ctx, w, methodPart, req, &p); err != nil {
 		return partResponse{}, errors.Wrapf(err, "request part of %s from %s", d.Key, w.Name)
 	}
 	if len(p.Data) == 0 || p.PatchSize <= 0 || p.PatchSize > maxPatchSize {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -197,8 +197,8 @@
 // addLargeValues downloads the large values of a listing or marks the listing as partial.
 func (f *Feed) addLargeValues(ctx context.Context, w fireflypath.Member, l *fireflypath.Listing, largeValues []largeValue, fetchTime time.Duration) error {
 	end := f.clock.Now().Add(fetchTime)
-	for _, g := range largeValues {
-		e, err := f.fetchLargeValue(ctx, w, g, end)
+	for _, v := range largeValues {
+		e, err := f.fetchLargeValue(ctx, w, v, end)
 		if err != nil {
 			l.Partial = true
 			if errors.Is(err, errIncomplete) {
@@ -251,11 +251,11 @@
 }
 
 // callWatcher makes one call to a watcher.
-func (f *Feed) callWatcher(ctx context.Context, w fireflypath.Member, a followRequest) (followResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(a.WaitMillis)*time.Millisecond+callTimeout)
+func (f *Feed) callWatcher(ctx context.Context, w fireflypath.Member, req followRequest) (followResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(req.WaitMillis)*time.Millisecond+callTimeout)
 	defer cancel()
 	var r followResponse
-	if err := f.peers.Call(ctx, w, methodFollow, a, &r); err != nil {
+	if err := f.peers.Call(ctx, w, methodFollow, req, &r); err != nil {
 		return followResponse{}, errors.Wrapf(err, "follow %s", w.Name)
 	}
 	if r.Compacted {
--- a/internal/follow/serve.go
+++ b/internal/follow/serve.go
@@ -22,20 +22,20 @@
 
 // handleFollow responds to a follower.
 func (f *Feed) handleFollow(ctx context.Context, _ string, params json.RawMessage) (any, error) {
-	var a followRequest
-	if err := json.Unmarshal(params, &a); err != nil {
+	var req followRequest
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.Wrap(err, "decode follow")
 	}
-	if !f.IsWatcher() && a.WaitMillis > 0 {
+	if !f.IsWatcher() && req.WaitMillis > 0 {
 		// Otherwise, two daemons that each take the other for the watcher would send
 		// each other stale views forever.
 		return nil, errors.New("this daemon does not watch")
 	}
-	wait := time.Duration(a.WaitMillis) * time.Millisecond
+	wait := time.Duration(req.WaitMillis) * time.Millisecond
 	end := f.clock.Now().Add(wait)
-	l, err := f.view.WaitForChanges(ctx, a.After, wait, f.timing.maxViewAge)
-	if err == nil && f.isReceiving(a, l) {
-		l, err = f.view.WaitForChanges(ctx, a.After, end.Sub(f.clock.Now()), unlimitedAge)
+	l, err := f.view.WaitForChanges(ctx, req.After, wait, f.timing.maxViewAge)
+	if err == nil && f.isReceiving(req, l) {
+		l, err = f.view.WaitForChanges(ctx, req.After, end.Sub(f.clock.Now()), unlimitedAge)
 	}
 	if errors.Is(err, fireflypath.ErrCompacted) {
 		return followResponse{Compacted: true}, nil
@@ -44,11 +44,11 @@
 		return nil, err
 	}
 	r := followResponse{
-		Revision: l.Revision, Receiving: f.isReceiving(a, l),
+		Revision: l.Revision, Receiving: f.isReceiving(req, l),
 		AgeMillis: l.Age.Milliseconds() + 1, LapseMillis: l.LapseWindow.Milliseconds(),
 	}
-	if a.FetchesLarge {
-		r.addPage(l.Entries, a.PageAfter)
+	if req.FetchesLarge {
+		r.addPage(l.Entries, req.PageAfter)
 	} else {
 		r.Entries = l.Entries
 	}
@@ -65,8 +65,8 @@
 // them on such links, and five changes of 0.3 to 0.8 MB in 28 s, followers read from the
 // store for that reason 309 times without this and never with it. All calls to the store
 // fell from 1,482 to 1,026.
-func (f *Feed) isReceiving(a followRequest, l fireflypath.Listing) bool {
-	if !a.FetchesLarge || a.WaitMillis == 0 || l.Age < f.timing.maxViewAge || l.Revision > a.After {
+func (f *Feed) isReceiving(req followRequest, l fireflypath.Listing) bool {
+	if !req.FetchesLarge || req.WaitMillis == 0 || l.Age < f.timing.maxViewAge || l.Revision > req.After {
 		return false
 	}
 	s, ok := f.store.(fireflypath.ReceiveMonitor)
@@ -75,17 +75,17 @@
 
 // handlePart responds with a part of a large value.
 func (f *Feed) handlePart(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var a partRequest
-	if err := json.Unmarshal(params, &a); err != nil {
+	var req partRequest
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.Wrap(err, "decode a part's request")
 	}
-	m, err := f.versions.patch(a.largeValue, a.Base)
+	p, err := f.versions.patch(req.largeValue, req.Base)
 	if err != nil {
 		return nil, err
 	}
-	if a.Offset < 0 || a.Offset > len(m.data) {
-		a.Offset = 0 // the requester has parts of a different patch and sees that from the hash
+	if req.Offset < 0 || req.Offset > len(p.data) {
+		req.Offset = 0 // the requester has parts of a different patch and sees that from the hash
 	}
-	data := m.data[a.Offset:min(a.Offset+partSize, len(m.data))]
-	return partResponse{Base: m.base, PatchSize: len(m.data), PatchHash: m.hash, Data: data}, nil
+	data := p.data[req.Offset:min(req.Offset+partSize, len(p.data))]
+	return partResponse{Base: p.base, PatchSize: len(p.data), PatchHash: p.hash, Data: data}, nil
 }
--- a/internal/follow/versions.go
+++ b/internal/follow/versions.go
@@ -59,7 +59,7 @@
 		vs = slices.Clone(vs[len(vs)-maxVersions:])
 	}
 	v.versions[e.Key] = vs
-	v.patches = slices.DeleteFunc(v.patches, func(m cachedPatch) bool { return m.key == e.Key })
+	v.patches = slices.DeleteFunc(v.patches, func(p cachedPatch) bool { return p.key == e.Key })
 }
 
 // latest returns the newest version of a key, or an entry of revision 0.
@@ -82,9 +82,9 @@
 	if !ok {
 		base = 0
 	}
-	for _, m := range v.patches {
-		if m.key == l.Key && m.base == base && m.revision == l.Revision {
-			return m, nil
+	for _, p := range v.patches {
+		if p.key == l.Key && p.base == base && p.revision == l.Revision {
+			return p, nil
 		}
 	}
 	to, ok := v.find(l.Key, l.Revision)
@@ -95,9 +95,9 @@
 	if err != nil {
 		return cachedPatch{}, errors.Wrapf(err, "%s of revision %d", l.Key, l.Revision)
 	}
-	m := cachedPatch{key: l.Key, base: base, revision: l.Revision, data: data, hash: xxhash.Sum64(data)}
-	v.patches = append(v.patches, m)
-	return m, nil
+	p := cachedPatch{key: l.Key, base: base, revision: l.Revision, data: data, hash: xxhash.Sum64(data)}
+	v.patches = append(v.patches, p)
+	return p, nil
 }
 
 // find returns a cached version. The caller holds mu.
--- a/internal/follow/watchers.go
+++ b/internal/follow/watchers.go
@@ -20,12 +20,12 @@
 // version of the member list, as a watcher is called a hundred times a second.
 func (f *Feed) currentWatchers() []fireflypath.Member {
 	live := f.members.Live()
-	if c := f.watcherSet.Load(); c != nil && isSameSlice(c.live, live) {
-		return c.watchers
+	if set := f.watcherSet.Load(); set != nil && isSameSlice(set.live, live) {
+		return set.watchers
 	}
-	c := &watcherSet{live: live, watchers: f.selectWatchers(live)}
-	f.watcherSet.Store(c)
-	return c.watchers
+	set := &watcherSet{live: live, watchers: f.selectWatchers(live)}
+	f.watcherSet.Store(set)
+	return set.watchers
 }
 
 // isSameSlice reports whether two member lists are the same slice. A member list is never
