--- a/internal/relief/rounds.go
+++ b/internal/relief/rounds.go
@@ -255,12 +255,12 @@
 // A peer that does not answer may hold work of lower tiers, so that shedding now could shed a
 // higher tier first. It is called again until it answers or leaves the membership. Meanwhile,
 // the requests wait, at most until their deadlines.
-func (r *Rounds) askPeers(ctx context.Context, q reliefRequest) ([]int, bool) {
+func (r *Rounds) askPeers(ctx context.Context, req reliefRequest) ([]int, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	total := make([]int, len(q.Needs))
+	total := make([]int, len(req.Needs))
 	answered, asked := map[incarnation]bool{}, map[incarnation]bool{}
 	responses := make(chan peerResponse)
 	ticker := r.clock.NewTicker(retryInterval)
@@ -276,16 +276,16 @@
 			unanswered++
 			if !asked[id] {
 				asked[id] = true
-				wg.Go(func() { r.askUntilAnswered(ctx, m, q, responses) })
+				wg.Go(func() { r.askUntilAnswered(ctx, m, req, responses) })
 			}
 		}
-		if unanswered == 0 || isCovered(q.Needs, total) {
+		if unanswered == 0 || isCovered(req.Needs, total) {
 			return total, unanswered == 0
 		}
 		select {
-		case a := <-responses:
-			answered[a.peer] = true
-			for i, n := range a.freed {
+		case resp := <-responses:
+			answered[resp.peer] = true
+			for i, n := range resp.freed {
 				total[i] += n
 				if n > 0 && grace == nil {
 					grace = r.clock.After(gracePeriod)
@@ -302,12 +302,12 @@
 
 // askUntilAnswered calls one peer until it answers. If a response is lost, the peer gives up
 // more work than requested, which does not harm a higher tier.
-func (r *Rounds) askUntilAnswered(ctx context.Context, m fireflypath.Member, q reliefRequest, responses chan<- peerResponse) {
+func (r *Rounds) askUntilAnswered(ctx context.Context, m fireflypath.Member, req reliefRequest, responses chan<- peerResponse) {
 	for ctx.Err() == nil {
-		a, err := r.askOnce(ctx, m, q)
+		resp, err := r.askOnce(ctx, m, req)
 		if err == nil {
 			select {
-			case responses <- peerResponse{peer: incarnation{m.Name, m.Incarnation}, freed: a.Freed}:
+			case responses <- peerResponse{peer: incarnation{m.Name, m.Incarnation}, freed: resp.Freed}:
 			case <-ctx.Done():
 			}
 			return
@@ -319,22 +319,22 @@
 	}
 }
 
-func (r *Rounds) askOnce(ctx context.Context, m fireflypath.Member, q reliefRequest) (reliefResponse, error) {
+func (r *Rounds) askOnce(ctx context.Context, m fireflypath.Member, req reliefRequest) (reliefResponse, error) {
 	r.metrics.asked.Inc(1)
 	askedAt := r.clock.Now()
 	ctx, cancel := clockwork.WithTimeout(ctx, r.clock, callTimeout)
 	defer cancel()
-	var a reliefResponse
-	if err := r.caller.Call(ctx, m, method, q, &a); err != nil {
-		return a, err
+	var resp reliefResponse
+	if err := r.caller.Call(ctx, m, method, req, &resp); err != nil {
+		return resp, err
 	}
-	if len(a.Freed) != len(q.Needs) {
-		return a, errors.Newf("response of %s does not match the request", m.Name)
+	if len(resp.Freed) != len(req.Needs) {
+		return resp, errors.Newf("response of %s does not match the request", m.Name)
 	}
-	if r.windows != nil && a.Fraction > 0 {
-		r.windows.Borrow(q.Pool, askedAt, a.Fraction)
+	if r.windows != nil && resp.Fraction > 0 {
+		r.windows.Borrow(req.Pool, askedAt, resp.Fraction)
 	}
-	return a, nil
+	return resp, nil
 }
 
 func isCovered(needs []need, total []int) bool {
@@ -352,25 +352,25 @@
 }
 
 func (r *Rounds) handleRelieve(_ context.Context, _ string, params json.RawMessage) (any, error) {
-	var q reliefRequest
-	if err := json.Unmarshal(params, &q); err != nil {
+	var req reliefRequest
+	if err := json.Unmarshal(params, &req); err != nil {
 		return nil, errors.Wrap(err, "decode the question for relief")
 	}
 	c := r.cluster()
 	if c == nil {
 		return nil, errors.New("daemon is starting")
 	}
-	a := reliefResponse{Freed: make([]int, len(q.Needs))}
-	for i, n := range q.Needs {
-		a.Freed[i] = max(0, c.Relieve(q.Pool, n.Rank, n.Tokens))
-		if a.Freed[i] == 0 {
+	resp := reliefResponse{Freed: make([]int, len(req.Needs))}
+	for i, n := range req.Needs {
+		resp.Freed[i] = max(0, c.Relieve(req.Pool, n.Rank, n.Tokens))
+		if resp.Freed[i] == 0 {
 			r.metrics.none.Inc(1)
 			continue
 		}
-		r.metrics.freed.Inc(int64(a.Freed[i]))
+		r.metrics.freed.Inc(int64(resp.Freed[i]))
 		if r.windows != nil {
-			a.Fraction += r.windows.LendForRelief(q.Pool, n.Rank, a.Freed[i])
+			resp.Fraction += r.windows.LendForRelief(req.Pool, n.Rank, resp.Freed[i])
 		}
 	}
-	return a, nil
+	return resp, nil
 }
