--- a/internal/route/poll/poll_test.go
+++ b/internal/route/poll/poll_test.go
@@ -22,9 +22,9 @@
 // pollRecorder sends the name of each polled target; the target "e1" never answers.
 type pollRecorder chan string
 
-func (w pollRecorder) Poll(ctx context.Context, t fireflypath.Target) ([]fireflypath.Event, error) {
+func (p pollRecorder) Poll(ctx context.Context, t fireflypath.Target) ([]fireflypath.Event, error) {
 	select {
-	case w <- t.Name:
+	case p <- t.Name:
 	case <-ctx.Done():
 	}
 	if t.Name == "e1" {
--- a/internal/route/pool/relief_test.go
+++ b/internal/route/pool/relief_test.go
@@ -31,9 +31,9 @@
 	err   error
 }
 
-func (p scriptedRelief) Ask(ctx context.Context, _ string, _, _ int) (int, error) {
+func (r scriptedRelief) Ask(ctx context.Context, _ string, _, _ int) (int, error) {
 	select {
-	case o := <-p:
+	case o := <-r:
 		return o.freed, o.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
--- a/internal/route/pool/tier_order_test.go
+++ b/internal/route/pool/tier_order_test.go
@@ -24,12 +24,12 @@
 	tokens int
 }
 
-func (p *recordingRelief) Ask(_ context.Context, _ string, rank, _ int) (int, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.ranks = append(p.ranks, rank)
-	freed := p.tokens
-	p.tokens = 0
+func (r *recordingRelief) Ask(_ context.Context, _ string, rank, _ int) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.ranks = append(r.ranks, rank)
+	freed := r.tokens
+	r.tokens = 0
 	return freed, nil
 }
 
