--- a/internal/decide/poison/detector.go
+++ b/internal/decide/poison/detector.go
@@ -233,7 +233,8 @@
 	return min(suspectCrashes, det.cfg.MinCrashes)
 }
 
-// prune removes old data, and requests beyond maxRequests oldest first.
+// prune removes old data, requests beyond maxRequests oldest first, and crashed targets
+// beyond maxCrashedTargets in no particular order.
 func (det *Detector) prune(now time.Time) {
 	for d, r := range det.requests {
 		if now.Sub(r.lastReport) > retention && now.After(r.heldUntil) {
