--- a/internal/gate/answer.go
+++ b/internal/gate/answer.go
@@ -191,7 +191,7 @@
 	c.w.WriteHeader(a.Status)
 }
 
-// hopByHopResponseHeaders are the hop-by-hop response headers.
+// hopByHopResponseHeaders are the response headers that apply to a single connection.
 var hopByHopResponseHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
 	"Trailer": true, "Upgrade": true, "Content-Length": true,
