--- a/internal/sim/daemon.go
+++ b/internal/sim/daemon.go
@@ -26,7 +26,7 @@
 // peerReporter is a scheduler that exchanges load reports with those of other daemons.
 type peerReporter interface {
 	Report(m *fireflypath.PeerLoad)
-	UpdatePeers(now time.Time, mates []fireflypath.PeerLoad)
+	UpdatePeers(now time.Time, peers []fireflypath.PeerLoad)
 }
 
 // daemon owns one scheduler and executes its decisions.
