--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -169,7 +169,7 @@
 func (d *Distributor) handleUpdate(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var req updateRequest
 	if err := json.Unmarshal(params, &req); err != nil {
-		return nil, errors.Wrap(err, "decode configuration update request")
+		return nil, errors.Wrap(err, "decode the question for a configuration")
 	}
 	return d.configs.Update(req.Have), nil
 }
@@ -177,7 +177,7 @@
 func (d *Distributor) handleChunks(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var req chunksRequest
 	if err := json.Unmarshal(params, &req); err != nil {
-		return nil, errors.Wrap(err, "decode configuration chunks request")
+		return nil, errors.Wrap(err, "decode the question for chunks")
 	}
 	return chunksResponse{Chunks: d.configs.Chunks(req.Digests)}, nil
 }
--- a/internal/configuration/collect.go
+++ b/internal/configuration/collect.go
@@ -101,7 +101,7 @@
 			continue
 		}
 		if _, err := r.store.Put(ctx, key, b, 0, 0); err != nil && !errors.Is(err, fireflypath.ErrConflict) {
-			return errors.Wrapf(err, "restore %s", key)
+			return errors.Wrapf(err, "put back %s", key)
 		}
 		r.metrics.restored.Inc(1)
 	}
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -155,7 +155,7 @@
 		return err
 	}
 	r.metrics.restored.Inc(1)
-	r.log.Warn("store had an older configuration, restored the current one",
+	r.log.Warn("service showed an older configuration, restored",
 		zap.Uint64("found", from), zap.Uint64("generation", s.index.Generation))
 	return nil
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -157,12 +157,12 @@
 	Known bool `json:"known"`
 }
 
-var errNoSession = errors.New("unknown dispatch session")
+var errNoSession = errors.New("the dispatcher knows no such session")
 
 func (d *Dispatch) handleUpdate(_ context.Context, from string, params json.RawMessage) (any, error) {
 	var m updateMessage
 	if err := json.Unmarshal(params, &m); err != nil {
-		return nil, errors.Wrap(err, "decode dispatch update")
+		return nil, errors.Wrap(err, "decode news")
 	}
 	return d.processUpdate(from, &m)
 }
@@ -171,7 +171,7 @@
 func (d *Dispatch) processUpdate(from string, m *updateMessage) (decisionsMessage, error) {
 	s := d.server(m.Pool)
 	if s == nil {
-		return decisionsMessage{}, errors.Newf("dispatcher has no pool %q", m.Pool)
+		return decisionsMessage{}, errors.Newf("no pool %q here", m.Pool)
 	}
 	return s.processUpdate(from, m)
 }
@@ -179,7 +179,7 @@
 func (d *Dispatch) handleDecisions(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var m decisionsMessage
 	if err := json.Unmarshal(params, &m); err != nil {
-		return nil, errors.Wrap(err, "decode dispatch decisions")
+		return nil, errors.Wrap(err, "decode turns")
 	}
 	return ack{Known: d.applyDecisions(&m)}, nil
 }
--- a/internal/follow/download.go
+++ b/internal/follow/download.go
@@ -30,7 +30,7 @@
 	// errIncomplete means that the download of a value has not finished yet.
 	errIncomplete = errors.New("value is incomplete")
 	// errDownloadTimeout means that the download of a value takes too long.
-	errDownloadTimeout = errors.New("download of the value takes too long")
+	errDownloadTimeout = errors.New("value takes too long on its way")
 )
 
 // download is a large value that is received in parts. A part that fails is requested
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -63,7 +63,7 @@
 		return nil, errors.Wrap(err, "apply a patch")
 	}
 	if len(value) > maxSize {
-		return nil, errors.Newf("patch yields %d bytes, more than the limit of %d", len(value), maxSize)
+		return nil, errors.Newf("patch makes %d bytes, at most %d are taken", len(value), maxSize)
 	}
 	return value, nil
 }
--- a/internal/peer/endpoint.go
+++ b/internal/peer/endpoint.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		c.close()
 		e.metrics.dialFailed.Inc(1)
-		return none, errors.Wrapf(err, "exchange hello messages with %s", addr)
+		return none, errors.Wrapf(err, "introduction to %s", addr)
 	}
 	c.completeHello(theirs.Member)
 	if !e.spawn(c.run) {
--- a/internal/quotas/coordinator.go
+++ b/internal/quotas/coordinator.go
@@ -26,7 +26,7 @@
 func (q *Quotas) handleReport(_ context.Context, from string, params json.RawMessage) (any, error) {
 	var req reportRequest
 	if err := json.Unmarshal(params, &req); err != nil {
-		return nil, errors.Wrap(err, "decode quota report")
+		return nil, errors.Wrap(err, "decode report")
 	}
 	if q.isDuplicate(from, req.reportID) {
 		for team, usage := range req.Teams {
--- a/internal/windowshare/borrow.go
+++ b/internal/windowshare/borrow.go
@@ -264,7 +264,7 @@
 func (m *Manager) handleBorrow(_ context.Context, _ string, params json.RawMessage) (any, error) {
 	var req borrowRequest
 	if err := json.Unmarshal(params, &req); err != nil {
-		return nil, errors.Wrap(err, "decode loan request")
+		return nil, errors.Wrap(err, "decode the question for a loan")
 	}
 	resp := borrowResponse{Fractions: make([]float64, len(req.Loans))}
 	for i, l := range req.Loans {
