--- a/cmd/fireflypath/soak.go
+++ b/cmd/fireflypath/soak.go
@@ -69,7 +69,7 @@
 	if err := printSoak(w, faults, checked); err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(w, "soak: seeds=%d requests=%d failed=%d\n", c.Int("seeds"), requests, failedSeeds); err != nil {
+	if _, err := fmt.Fprintf(w, "soak: seeds=%d requests=%d broken=%d\n", c.Int("seeds"), requests, failedSeeds); err != nil {
 		return err
 	}
 	if failedSeeds > 0 {
--- a/internal/soak/prober.go
+++ b/internal/soak/prober.go
@@ -78,7 +78,7 @@
 		case status == http.StatusNotFound && p.newest() != n:
 			// A newer configuration removed the route during the probe.
 		case status == http.StatusNotFound && n == seen:
-			p.history.check(invariantVersion, false, "%s stopped serving version %d", d.name, n)
+			p.history.check(invariantVersion, false, "%s took version %d back", d.name, n)
 		case status == http.StatusNotFound && sentAt.Sub(createdAt) > activationDelay+probeMargin && stable():
 			p.history.check(invariantVersion, false, "%s does not serve version %d after %v", d.name, n, sentAt.Sub(createdAt))
 		}
