--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -11,7 +11,7 @@
 	"github.com/fireflypath/fireflypath/internal/mix"
 )
 
-// leavingGrace is the time after which a leaving target must get no new work (issue 3).
+// leavingGrace is the time after which a leaving target must get no new work.
 const leavingGrace = 3 * time.Second
 
 // leavingTarget tracks the target that leaves.
--- a/internal/mix/mix.go
+++ b/internal/mix/mix.go
@@ -21,9 +21,9 @@
 	Packets = "packets"
 )
 
-// Mix is the workload of one user. Teams, tiers and kinds of work come from the
-// project's brief. The shares and lengths are assumptions within its terms, until the
-// users provide their own figures.
+// Mix is the workload of one user. Teams, tiers and kinds of work are those that the users
+// describe. The shares and lengths are assumptions within their terms, until the users
+// provide their own figures.
 type Mix struct {
 	Name string
 	// Tiers are ordered by rank.
@@ -62,7 +62,7 @@
 }
 
 // The length of requests varies by a factor of about 100, from a co-op's question to a
-// mud-log packet (brief, "Our workloads").
+// mud-log packet.
 const (
 	minPromptTokens = 160
 	maxPromptTokens = 100 * minPromptTokens
